--- a/toucanrail-gateway/src/admitting.rs
+++ b/toucanrail-gateway/src/admitting.rs
@@ -13,10 +13,10 @@
 use toucanrail_wire::heads::RequestHead;
 
 use crate::answering::{self, CallerSide};
-use crate::borrowing::{self, BudgetGuard, BudgetNeed};
-use crate::budgeting::HoldFailure;
 use crate::calls::{CallPlan, DEADLINE_MARGIN};
 use crate::dispatching;
+use crate::grant_manager::HoldFailure;
+use crate::loan_client::{self, BudgetGuard, BudgetNeed};
 use crate::states::Gateway;
 
 /// Age of the last contact with the store from which an unknown key or route may be a new one that
@@ -62,7 +62,7 @@
         Err(refusal) => {
             let facts = requests::read_request(head);
             let version = gateway.tables.borrow().routes.version();
-            let age = gateway.store.age();
+            let age = gateway.store.time_since_answer();
             tracing::info!(
                 event = "refused", request = %facts.id, code = refusal.code.number(),
                 reason = refusal.code.row().name, path = head.path(), config = version,
@@ -146,7 +146,7 @@
         return Err(EntryRefusal { code: codetable::STORE_UNAVAILABLE, retry_after: later });
     }
     let unknown = |code: ResultCode| {
-        if gateway.store.age() > KNOWLEDGE_AGE {
+        if gateway.store.time_since_answer() > KNOWLEDGE_AGE {
             return EntryRefusal { code: codetable::STORE_UNAVAILABLE, retry_after: later };
         }
         EntryRefusal::from(code)
@@ -178,22 +178,23 @@
         stated,
         request: &plan.facts.id,
         service: &plan.service,
-        prompt: prompt.prompt,
-        output: prompt.output,
+        prompt_tokens: prompt.prompt,
+        max_output: prompt.output,
         rank: plan.urgency,
-        left: plan.left(),
+        time_left: plan.left(),
     };
-    let taken = borrowing::take_budget(gateway, &need).await;
+    let taken = loan_client::reserve_budget(gateway, &need).await;
     if let Err(failure) = &taken {
         tracing::info!(
             event = "budget_refused", request = %need.request, customer = %need.customer,
-            prompt = need.prompt, output = need.output, stated = need.stated, failure = ?failure,
+            prompt = need.prompt_tokens, output = need.max_output, stated = need.stated, failure = ?failure,
         );
     }
     taken.map(Some).map_err(|failure| match failure {
         HoldFailure::Uncovered => codetable::BUDGET_EXHAUSTED.into(),
         HoldFailure::Short => {
-            let is_outage = gateway.store.age() > OUTAGE_LEAST && !gateway.desk.unanswered.get();
+            let is_outage = gateway.store.time_since_answer() > OUTAGE_LEAST
+                && !gateway.loan_client.lenders_unreachable.get();
             let cause = if is_outage { RefusalCause::Outage } else { RefusalCause::Unconfirmed };
             let wait = returns::pick_wait(cause, plan.left(), fastrand::f64());
             EntryRefusal { code: codetable::BUDGET_UNCONFIRMED, retry_after: Some(wait) }
--- a/toucanrail-gateway/src/calls.rs
+++ b/toucanrail-gateway/src/calls.rs
@@ -16,8 +16,8 @@
 use toucanrail_wire::heads::{AnswerHead, RequestHead};
 use toucanrail_wire::keeping;
 
-use crate::borrowing::BudgetGuard;
-use crate::permitting::SendPermit;
+use crate::loan_client::BudgetGuard;
+use crate::permits::SendPermit;
 use crate::states::Gateway;
 
 /// Taken off the time that a caller waits: its answer must be there before it gives up by itself. What goes on
--- a/toucanrail-gateway/src/mirroring.rs
+++ b/toucanrail-gateway/src/change_feed.rs
@@ -13,10 +13,10 @@
 use toucanrail_platform::names;
 use toucanrail_platform::stores::{ListFreshness, StoreFailure};
 
-use crate::storing::StoreAccess;
+use crate::store_access::StoreAccess;
 
 /// Call with a [`NewsOrder`], answered with a [`NewsReply`].
-pub const NEWS_PATH: &str = "/news";
+pub const CHANGES_PATH: &str = "/news";
 
 /// Wait of one watch of what must be in force within two seconds.
 const WATCH_WAIT: Duration = Duration::from_millis(500);
@@ -61,13 +61,13 @@
 
 /// The boards of one relay.
 #[derive(Debug)]
-pub struct NewsOffice {
+pub struct ChangeFeed {
     store: Rc<StoreAccess>,
     executor: Rc<LocalExecutor<'static>>,
     boards: BTreeMap<&'static str, Rc<KindBoard>>,
 }
 
-impl NewsOffice {
+impl ChangeFeed {
     /// Makes boards that nobody has asked yet.
     pub fn new(store: Rc<StoreAccess>, executor: Rc<LocalExecutor<'static>>) -> Self {
         let kinds = [
@@ -117,7 +117,7 @@
     tracing::info!(event = "board_opened", kind);
     while store.now().saturating_sub(board.asked_at.get()) < ASKED_TIME {
         let done = step(&store, kind, &board).await;
-        store.note_use(kind, done.is_ok());
+        store.note_call(kind, done.is_ok());
         match done {
             Ok(false) => {}
             Ok(true) => {
--- a/toucanrail-gateway/src/dispatching.rs
+++ b/toucanrail-gateway/src/dispatching.rs
@@ -17,9 +17,9 @@
 use toucanrail_wire::clocks;
 
 use crate::answering::{self, CallerSide};
-use crate::borrowing::BudgetGuard;
 use crate::calls::{AttemptContext, AttemptEnd, CallPlan, FailedAnswer, StreamState};
-use crate::permitting::{self, SendPermit};
+use crate::loan_client::BudgetGuard;
+use crate::permits::{self, SendPermit};
 use crate::sending;
 use crate::sighting;
 use crate::states::Gateway;
@@ -91,7 +91,7 @@
                 let step = self.tally.give_up(self.last_fate());
                 return self.finish(step, caller).await;
             }
-            let permit = permitting::take_permit(self.gateway, &target).await;
+            let permit = permits::request_permit(self.gateway, &target).await;
             if permit == SendPermit::Denied {
                 continue;
             }
@@ -258,7 +258,7 @@
         let now = self.gateway.now();
         self.tally.note(fate);
         if let Some(budget) = &self.plan.budget {
-            budget.note_sent(self.tally.may_have_run);
+            budget.set_may_have_run(self.tally.may_have_run);
         }
         let mut tables = self.gateway.tables.borrow_mut();
         match fate {
--- a/toucanrail-gateway/src/budgeting.rs
+++ b/toucanrail-gateway/src/grant_manager.rs
@@ -20,7 +20,7 @@
 use toucanrail_daemons::observing::MetricBoard;
 use toucanrail_wire::clocks;
 
-use crate::storing::StoreAccess;
+use crate::store_access::StoreAccess;
 use crate::tuning::GatewayTuning;
 
 /// This use of the store, in logs.
@@ -61,7 +61,7 @@
 
 /// The grants of one process and the syncs that keep them.
 #[derive(Debug)]
-pub struct BudgetKeeper {
+pub struct GrantManager {
     /// The grants.
     pub grants: RefCell<GrantTable>,
     store: Rc<StoreAccess>,
@@ -82,8 +82,8 @@
     synced: Event,
 }
 
-impl BudgetKeeper {
-    /// Makes the keeper of one run of a process.
+impl GrantManager {
+    /// Makes the manager of one run of a process.
     pub fn new(
         id: &EntryId,
         store: Rc<StoreAccess>,
@@ -107,7 +107,7 @@
     }
 
     /// Takes a customer's total, as the configuration states it.
-    pub fn note_total(&self, customer: &CustomerId, total: Tokens) {
+    pub fn raise_prepaid(&self, customer: &CustomerId, total: Tokens) {
         let mut grants = self.grants.borrow_mut();
         if grants.account(customer).is_none() {
             grants.add_account(customer, &self.shard_of(customer));
@@ -121,7 +121,7 @@
     }
 
     /// Takes a hold, waiting for a sync if the grant is short.
-    pub async fn take_hold(
+    pub async fn acquire_hold(
         &self,
         customer: &CustomerId,
         amount: Tokens,
@@ -144,7 +144,7 @@
         if let Some(note) = note.filter(|note| now < note.until && amount >= note.amount) {
             return Err(note.failure);
         }
-        if self.left.get() || self.store.is_silent(USAGE) {
+        if self.left.get() || self.store.is_unanswered(USAGE) {
             self.log_short(customer, amount);
             return Err(HoldFailure::Short);
         }
@@ -163,7 +163,7 @@
     fn may_spend(&self, customer: &CustomerId, amount: Tokens, rank: u8) -> bool {
         let grants = self.grants.borrow();
         let available = grants.account(customer).map_or(0, GrantAccount::available);
-        self.store.silence(USAGE) < OUTAGE_LEAST
+        self.store.unanswered_for(USAGE) < OUTAGE_LEAST
             || policies::spends_in_outage(available, amount, rank)
     }
 
@@ -199,7 +199,7 @@
     }
 
     /// Ends a hold with what its request used.
-    pub fn finish(&self, hold: &GrantHold, request: Arc<str>, service: Arc<str>, used: Tokens) {
+    pub fn end_hold(&self, hold: &GrantHold, request: Arc<str>, service: Arc<str>, used: Tokens) {
         let bill = (used > 0).then(|| BillRow {
             request,
             customer: Arc::clone(&hold.customer),
@@ -224,7 +224,7 @@
             burn = account.map(|account| account.burn as Tokens),
             stated = account.map(|account| account.prepaid),
             prepaid_unspent_unallocated = ?grants.known_balance(customer),
-            store_age_ms = self.store.age().as_millis() as u64,
+            store_age_ms = self.store.time_since_answer().as_millis() as u64,
         );
     }
 
@@ -267,7 +267,7 @@
         let answered = !matches!(outcome, SyncOutcome::Unavailable);
         self.board.count_event(name_outcome(&outcome));
         self.board.add_events("sync_calls", u64::from(calls));
-        self.store.note_use(USAGE, answered);
+        self.store.note_call(USAGE, answered);
         let was_open = self.grants.borrow().is_open(shard);
         self.grants.borrow_mut().apply_sync(shard, outcome);
         if !was_open && !leave {
@@ -306,13 +306,13 @@
 ///
 /// Each customer has a shard of its own: entries that settle different customers never meet in one
 /// object, and thirty entries that share one object spent most calls on lost races.
-pub async fn run_syncs(keeper: Rc<BudgetKeeper>) {
-    while !keeper.left.get() {
-        let wanted = keeper.wanted.listen();
-        let shards = keeper.grants.borrow().shards();
-        for shard in shards.into_iter().filter(|shard| keeper.is_due(shard)) {
-            keeper.syncing.borrow_mut().insert(Arc::clone(&shard));
-            let held = Rc::clone(&keeper);
+pub async fn run_syncs(manager: Rc<GrantManager>) {
+    while !manager.left.get() {
+        let wanted = manager.wanted.listen();
+        let shards = manager.grants.borrow().shards();
+        for shard in shards.into_iter().filter(|shard| manager.is_due(shard)) {
+            manager.syncing.borrow_mut().insert(Arc::clone(&shard));
+            let held = Rc::clone(&manager);
             let syncing = async move {
                 let answered = held.sync_shard(&shard, false).await;
                 smol::Timer::after(if answered { SYNC_PAUSE } else { SILENT_PAUSE }).await;
@@ -320,7 +320,7 @@
                 // A request that began to wait during this sync found it running.
                 held.wanted.notify(usize::MAX);
             };
-            keeper.executor.spawn(syncing).detach();
+            manager.executor.spawn(syncing).detach();
         }
         let tick = async {
             smol::Timer::after(TICK).await;
@@ -330,21 +330,21 @@
 }
 
 /// Gives back what no request holds and takes no holds any more; what runs may use its holds on.
-pub async fn give_back(keeper: &Rc<BudgetKeeper>) {
-    keeper.left.set(true);
-    let shards = keeper.grants.borrow().shards();
-    for shard in shards.iter().filter(|shard| !keeper.syncing.borrow().contains(*shard)) {
-        keeper.sync_shard(shard, true).await;
+pub async fn release_unused(manager: &Rc<GrantManager>) {
+    manager.left.set(true);
+    let shards = manager.grants.borrow().shards();
+    for shard in shards.iter().filter(|shard| !manager.syncing.borrow().contains(*shard)) {
+        manager.sync_shard(shard, true).await;
     }
 }
 
 /// Settles all and gives unused grants back; what open holds may still use stays granted.
-pub async fn leave(keeper: &Rc<BudgetKeeper>) {
-    keeper.left.set(true);
-    let shards = keeper.grants.borrow().shards();
+pub async fn settle_all(manager: &Rc<GrantManager>) {
+    manager.left.set(true);
+    let shards = manager.grants.borrow().shards();
     let tasks: Vec<_> = shards
         .into_iter()
-        .map(|shard| keeper.executor.spawn(leave_shard(Rc::clone(keeper), shard)))
+        .map(|shard| manager.executor.spawn(leave_shard(Rc::clone(manager), shard)))
         .collect();
     let leaving = async {
         for task in tasks {
@@ -356,14 +356,14 @@
     }
 }
 
-async fn leave_shard(keeper: Rc<BudgetKeeper>, shard: ShardName) {
-    while keeper.grants.borrow().is_open(&shard) {
-        if keeper.syncing.borrow().contains(&shard) {
+async fn leave_shard(manager: Rc<GrantManager>, shard: ShardName) {
+    while manager.grants.borrow().is_open(&shard) {
+        if manager.syncing.borrow().contains(&shard) {
             smol::Timer::after(SYNC_PAUSE).await;
             continue;
         }
-        let settled = keeper.sync_shard(&shard, true).await;
-        if settled && keeper.grants.borrow().has_open_holds(&shard) {
+        let settled = manager.sync_shard(&shard, true).await;
+        if settled && manager.grants.borrow().has_open_holds(&shard) {
             return;
         }
         smol::Timer::after(SYNC_PAUSE).await;
--- a/toucanrail-gateway/src/hosting.rs
+++ b/toucanrail-gateway/src/hosting.rs
@@ -13,9 +13,9 @@
 use smol::Async;
 use toucanrail::coldstarts::PermitTable;
 
-use crate::lending::{self, LoanOffice};
-use crate::mirroring::NewsOffice;
-use crate::registering;
+use crate::change_feed::ChangeFeed;
+use crate::relay_api::{self, RelayApi};
+use crate::relay_registration;
 use crate::states::Gateway;
 use crate::tunnelling;
 
@@ -43,10 +43,10 @@
 fn is_wanted(gateway: &Gateway) -> bool {
     let store = &gateway.store;
     let waited = store.has_relay(&gateway.settings.vm) || gateway.now() > RELAY_TIME;
-    waited && store.lacks_relays() && gateway.stopping.get().is_none()
+    waited && store.has_only_hosted_relays() && gateway.stopping.get().is_none()
 }
 
-fn start(gateway: &Rc<Gateway>) -> io::Result<Rc<LoanOffice>> {
+fn start(gateway: &Rc<Gateway>) -> io::Result<Rc<RelayApi>> {
     let settings = &gateway.settings;
     let executor = &gateway.executor;
     let passed = Async::<TcpListener>::bind(settings.hosted)?;
@@ -56,17 +56,17 @@
     let passing =
         tunnelling::pass_connections(Rc::clone(executor), passed, settings.store, reaches);
     executor.spawn(passing).detach();
-    let office = Rc::new(LoanOffice {
-        keeper: Rc::clone(&gateway.keeper),
+    let office = Rc::new(RelayApi {
+        grant_manager: Rc::clone(&gateway.grant_manager),
         loans: RefCell::default(),
         leaving: Cell::new(false),
-        news: NewsOffice::new(Rc::clone(&gateway.store), Rc::clone(executor)),
+        change_feed: ChangeFeed::new(Rc::clone(&gateway.store), Rc::clone(executor)),
         permits: PermitTable::new(gateway.now()).into(),
-        gauge: None,
+        report_client: None,
     });
-    let lending = lending::serve_entries(Rc::clone(executor), Rc::clone(&office), entries);
+    let lending = relay_api::serve_entries(Rc::clone(executor), Rc::clone(&office), entries);
     executor.spawn(lending).detach();
-    let entry = registering::make_entry(settings, settings.hosted, true);
-    executor.spawn(registering::keep_entry(settings.clone(), entry, None)).detach();
+    let entry = relay_registration::new_entry(settings, settings.hosted, true);
+    executor.spawn(relay_registration::maintain_entry(settings.clone(), entry, None)).detach();
     Ok(office)
 }
--- a/toucanrail-gateway/src/inspecting.rs
+++ b/toucanrail-gateway/src/inspecting.rs
@@ -76,15 +76,15 @@
 
 fn dump_state(gateway: &Gateway) -> Vec<u8> {
     let tables = gateway.tables.borrow();
-    let grants = gateway.keeper.grants.borrow();
+    let grants = gateway.grant_manager.grants.borrow();
     let dump = StateDump {
         id: &gateway.id,
         data_centre: &gateway.settings.data_centre,
         config_version: tables.routes.version(),
         stopping: gateway.stopping.get().is_some(),
         in_flight: gateway.in_flight.get(),
-        store_age_ms: gateway.store.age().as_millis() as u64,
-        store_ways: gateway.store.ways(),
+        store_age_ms: gateway.store.time_since_answer().as_millis() as u64,
+        store_ways: gateway.store.endpoints(),
         backends: &tables.backends,
         limits: &tables.limits,
         grants: &grants,
--- a/toucanrail-gateway/src/lib.rs
+++ b/toucanrail-gateway/src/lib.rs
@@ -2,14 +2,14 @@
 //!
 //! One thread serves everything: callers' connections (`accepting`), a request's way in (`admitting`),
 //! the choice of servers (`dispatching`), one attempt at one (`sending`) and the answer (`relaying`).
-//! Beside it run the loops that follow the store (`following`, by a relay that `peering` calls or on
-//! the way that `storing` finds) and those that keep budgets: `borrowing` from lenders, and `budgeting`
+//! Beside it run the loops that follow the store (`store_watch`, by a relay that `relay_client` calls or on
+//! the way that `store_access` finds) and those that keep budgets: `loan_client` from lenders, and `grant_manager`
 //! with grants of its own.
 //!
 //! The second program of this crate stands beside backend servers: `tunnelling` passes connections to
-//! the store on, `lending` serves entries from the same `budgeting`, `mirroring` tells them what
-//! changed in the store, and `registering` how fast the server is; a server that has just started gets
-//! only what `permitting` had a permit for. Where no VM has such a relay, entries
+//! the store on, `relay_api` serves entries from the same `grant_manager`, `change_feed` tells them what
+//! changed in the store, and `relay_registration` how fast the server is; a server that has just started gets
+//! only what `permits` had a permit for. Where no VM has such a relay, entries
 //! host them (`hosting`). Decisions come from the library; this crate holds sockets and timers.
 //!
 //! # Examples
@@ -28,28 +28,28 @@
 pub mod accepting;
 pub mod admitting;
 pub mod answering;
-pub mod borrowing;
-pub mod budgeting;
 pub mod calls;
+pub mod change_feed;
 pub mod dispatching;
-pub mod following;
-pub mod gauging;
+pub mod grant_manager;
 pub mod hosting;
 pub mod inspecting;
 pub mod launching;
-pub mod lending;
 pub mod listening;
+pub mod loan_client;
 pub mod logging;
-pub mod mirroring;
-pub mod peering;
-pub mod permitting;
-pub mod registering;
+pub mod permits;
+pub mod relay_api;
+pub mod relay_client;
+pub mod relay_registration;
 pub mod relaying;
+pub mod report_client;
 pub mod sending;
 pub mod sighting;
 pub mod starting;
 pub mod states;
 pub mod stopping;
-pub mod storing;
+pub mod store_access;
+pub mod store_watch;
 pub mod tuning;
 pub mod tunnelling;
--- a/toucanrail-gateway/src/borrowing.rs
+++ b/toucanrail-gateway/src/loan_client.rs
@@ -13,9 +13,9 @@
 use toucanrail::ids::{CustomerId, RequestId, ServiceName, Tokens};
 use toucanrail::loans::{self, LoanEnd, LoanId, LoanOrder, LoanReply};
 
-use crate::budgeting::HoldFailure;
-use crate::lending::{DRAW_PATH, END_PATH};
-use crate::peering::{self, PeerRests};
+use crate::grant_manager::HoldFailure;
+use crate::relay_api::{LOAN_END_PATH, LOAN_PATH};
+use crate::relay_client::{self, RelayBackoff};
 use crate::states::Gateway;
 
 /// Longest wait for a lender's answer: one that has to ask the store first answers within about
@@ -51,11 +51,11 @@
 
 /// What an entry knows of lenders.
 #[derive(Debug, Default)]
-pub struct LoanDesk {
+pub struct LoanClient {
     next: Cell<u64>,
     /// Whether the last lenders that were asked did not answer.
-    pub unanswered: Cell<bool>,
-    rests: PeerRests,
+    pub lenders_unreachable: Cell<bool>,
+    rests: RelayBackoff,
     ends: RefCell<BTreeMap<Arc<str>, EndQueue>>,
 }
 
@@ -84,27 +84,30 @@
     /// The service.
     pub service: &'call ServiceName,
     /// Prompt tokens.
-    pub prompt: Tokens,
+    pub prompt_tokens: Tokens,
     /// Most tokens of the answer.
-    pub output: Tokens,
+    pub max_output: Tokens,
     /// The request's rank; 0 goes first.
     pub rank: u8,
     /// Time left.
-    pub left: Duration,
+    pub time_left: Duration,
 }
 
 /// Holds the worst case of a request: at a lender of the data centre, or in the entry's own grant
 /// where no lender answers.
-pub async fn take_budget(
+pub async fn reserve_budget(
     gateway: &Rc<Gateway>,
     need: &BudgetNeed<'_>,
 ) -> Result<BudgetGuard, HoldFailure> {
-    let amount = need.prompt + need.output;
+    let amount = need.prompt_tokens + need.max_output;
     let source = if let Some(drawn) = draw_loan(gateway, need, amount).await {
         drawn?
     } else {
-        gateway.keeper.note_total(need.customer, need.stated);
-        let hold = gateway.keeper.take_hold(need.customer, amount, need.rank, need.left).await;
+        gateway.grant_manager.raise_prepaid(need.customer, need.stated);
+        let hold = gateway
+            .grant_manager
+            .acquire_hold(need.customer, amount, need.rank, need.time_left)
+            .await;
         BudgetSource::Own(hold?)
     };
     Ok(BudgetGuard {
@@ -113,7 +116,7 @@
         amount,
         request: Arc::clone(need.request),
         service: Arc::clone(need.service),
-        prompt: need.prompt,
+        prompt: need.prompt_tokens,
         sent: Cell::new(false),
         output: Cell::new(0),
     })
@@ -127,11 +130,12 @@
 ) -> Option<Result<BudgetSource, HoldFailure>> {
     let now = gateway.now();
     let lenders = gateway.store.lenders();
-    let ranked = loans::rank_lenders(&lenders, &gateway.keeper.shard_of(need.customer));
-    let rested = ranked.into_iter().filter(|(name, _)| !gateway.desk.rests.is_resting(name, now));
+    let ranked = loans::rank_lenders(&lenders, &gateway.grant_manager.shard_of(need.customer));
+    let rested =
+        ranked.into_iter().filter(|(name, _)| !gateway.loan_client.rests.is_active(name, now));
     for (lender, address) in rested.take(LENDER_TRIES) {
-        let number = gateway.desk.next.get();
-        gateway.desk.next.set(number + 1);
+        let number = gateway.loan_client.next.get();
+        gateway.loan_client.next.set(number + 1);
         let loan: LoanId = Arc::from(format!("{}.{number}", gateway.id));
         let order = LoanOrder {
             loan: Arc::clone(&loan),
@@ -145,19 +149,19 @@
         match draw_watched(gateway, &lender, address, &order).await {
             Ok(reply) => {
                 draft.settled = true;
-                gateway.desk.unanswered.set(false);
+                gateway.loan_client.lenders_unreachable.set(false);
                 if let Some(source) = read_reply(reply, &lender, &loan) {
-                    gateway.desk.rests.forget_rest(&lender);
+                    gateway.loan_client.rests.reset(&lender);
                     return Some(source);
                 }
                 tracing::info!(event = "lender_leaving", %lender);
-                gateway.desk.rests.rest(&lender, gateway.now());
+                gateway.loan_client.rests.note_failure(&lender, gateway.now());
             }
             Err(error) => {
                 tracing::info!(event = "lender_failed", %lender, %error, customer = %need.customer);
                 gateway.board.count_event("lenders_failed");
-                gateway.desk.unanswered.set(true);
-                gateway.desk.rests.rest(&lender, gateway.now());
+                gateway.loan_client.lenders_unreachable.set(true);
+                gateway.loan_client.rests.note_failure(&lender, gateway.now());
             }
         }
     }
@@ -174,10 +178,10 @@
     address: SocketAddr,
     order: &LoanOrder,
 ) -> io::Result<LoanReply> {
-    let drawing = peering::call_peer(gateway, lender, address, DRAW_PATH, order, DRAW_BOUND);
+    let drawing = relay_client::call_relay(gateway, lender, address, LOAN_PATH, order, DRAW_BOUND);
     let watching = async {
         smol::Timer::after(LIFE_WAIT).await;
-        if peering::is_alive(address, LIFE_BOUND).await {
+        if relay_client::is_alive(address, LIFE_BOUND).await {
             std::future::pending::<()>().await;
         }
         Err(io::ErrorKind::TimedOut.into())
@@ -229,41 +233,48 @@
 }
 
 fn queue_end(gateway: &Gateway, lender: &Arc<str>, end: LoanEnd) {
-    let mut queues = gateway.desk.ends.borrow_mut();
+    let mut queues = gateway.loan_client.ends.borrow_mut();
     let fresh = || EndQueue { ends: Vec::new(), since: gateway.now() };
     queues.entry(Arc::clone(lender)).or_insert_with(fresh).ends.push(end);
 }
 
 /// Sends ends to lenders until they have them.
-pub async fn send_ends(gateway: Rc<Gateway>) {
+pub async fn send_loan_ends(gateway: Rc<Gateway>) {
     loop {
         smol::Timer::after(END_PAUSE).await;
-        flush_ends(&gateway).await;
+        flush_loan_ends(&gateway).await;
     }
 }
 
 /// Sends the ends that wait, to all lenders at once; true if none is left.
-pub async fn flush_ends(gateway: &Rc<Gateway>) -> bool {
-    let lenders: Vec<Arc<str>> = gateway.desk.ends.borrow().keys().map(Arc::clone).collect();
+pub async fn flush_loan_ends(gateway: &Rc<Gateway>) -> bool {
+    let lenders: Vec<Arc<str>> = gateway.loan_client.ends.borrow().keys().map(Arc::clone).collect();
     let sending = lenders
         .into_iter()
         .map(|lender| gateway.executor.spawn(send_queue(Rc::clone(gateway), lender)));
     for task in sending.collect::<Vec<_>>() {
         task.await;
     }
-    gateway.desk.ends.borrow().is_empty()
+    gateway.loan_client.ends.borrow().is_empty()
 }
 
 async fn send_queue(gateway: Rc<Gateway>, lender: Arc<str>) {
-    let Some(queue) = gateway.desk.ends.borrow_mut().remove(&lender) else {
+    let Some(queue) = gateway.loan_client.ends.borrow_mut().remove(&lender) else {
         return;
     };
     let ends = queue.ends;
     let known = gateway.store.lenders().into_iter().find(|(name, _)| *name == lender);
     let sent = match known {
         Some((_, address)) => {
-            peering::call_peer::<_, bool>(&gateway, &lender, address, END_PATH, &ends, END_BOUND)
-                .await
+            relay_client::call_relay::<_, bool>(
+                &gateway,
+                &lender,
+                address,
+                LOAN_END_PATH,
+                &ends,
+                END_BOUND,
+            )
+            .await
         }
         None => Err(io::ErrorKind::NotFound.into()),
     };
@@ -274,7 +285,7 @@
         tracing::warn!(event = "ends_dropped", %lender, ends = ends.len(), %error);
         return;
     }
-    let mut queues = gateway.desk.ends.borrow_mut();
+    let mut queues = gateway.loan_client.ends.borrow_mut();
     let fresh = EndQueue { ends: Vec::new(), since: queue.since };
     let waiting = queues.entry(lender).or_insert(fresh);
     waiting.since = waiting.since.min(queue.since);
@@ -283,12 +294,12 @@
 
 impl BudgetGuard {
     /// Notes whether a server may have run the request.
-    pub fn note_sent(&self, may_have_run: bool) {
+    pub fn set_may_have_run(&self, may_have_run: bool) {
         self.sent.set(may_have_run);
     }
 
     /// Notes tokens of the answer that came from a server.
-    pub fn add_output(&self, tokens: Tokens) {
+    pub fn add_output_tokens(&self, tokens: Tokens) {
         self.output.set(self.output.get() + tokens);
     }
 
@@ -306,7 +317,7 @@
         match &self.source {
             BudgetSource::Own(hold) => {
                 let (request, service) = (Arc::clone(&self.request), Arc::clone(&self.service));
-                self.gateway.keeper.finish(hold, request, service, used);
+                self.gateway.grant_manager.end_hold(hold, request, service, used);
             }
             BudgetSource::Loan { lender, loan } => {
                 let end = make_end(loan, &self.request, &self.service, used);
--- a/toucanrail-gateway/src/permitting.rs
+++ b/toucanrail-gateway/src/permits.rs
@@ -9,8 +9,8 @@
 use toucanrail::detours::RelayName;
 use toucanrail::loans;
 
-use crate::lending::PERMIT_PATH;
-use crate::peering;
+use crate::relay_api::PERMIT_PATH;
+use crate::relay_client;
 use crate::states::Gateway;
 
 /// Longest wait for a relay.
@@ -41,7 +41,7 @@
 }
 
 /// Asks for the permit of one request to a server, if it needs one.
-pub async fn take_permit(gateway: &Gateway, target: &BackendEntry) -> SendPermit {
+pub async fn request_permit(gateway: &Gateway, target: &BackendEntry) -> SendPermit {
     let Some(limit) = needed_limit(gateway, target) else {
         return SendPermit::Unneeded;
     };
@@ -74,7 +74,8 @@
     };
     let order = PermitOrder { server: Arc::clone(server), limit };
     let bound = PERMIT_BOUND;
-    let asked = peering::call_peer(gateway, &relay, address, PERMIT_PATH, &order, bound).await;
+    let asked =
+        relay_client::call_relay(gateway, &relay, address, PERMIT_PATH, &order, bound).await;
     asked.unwrap_or_else(|error| {
         tracing::info!(event = "permit_failed", %server, %relay, %error);
         PermitReply::After(SILENCE_TIME)
@@ -87,7 +88,7 @@
 /// Entries list the relays at different times. Where the relay beside a server is not known yet there is no
 /// other: two of them would give twice as many.
 fn find_relay(gateway: &Gateway, target: &BackendEntry) -> Option<(RelayName, SocketAddr)> {
-    if gateway.store.lacks_relays() {
+    if gateway.store.has_only_hosted_relays() {
         return loans::rank_lenders(&gateway.store.lenders(), &target.id).into_iter().next();
     }
     gateway.store.relay_at(target.address.ip())
--- a/toucanrail-gateway/src/lending.rs
+++ b/toucanrail-gateway/src/relay_api.rs
@@ -13,15 +13,15 @@
 use toucanrail_wire::channels::BufferedChannel;
 use toucanrail_wire::clocks;
 
-use crate::budgeting::{self, BudgetKeeper, HoldFailure};
-use crate::gauging::ServerGauge;
+use crate::change_feed::{CHANGES_PATH, ChangeFeed};
+use crate::grant_manager::{self, GrantManager, HoldFailure};
 use crate::listening;
-use crate::mirroring::{NEWS_PATH, NewsOffice};
+use crate::report_client::ReportClient;
 
 /// Call with a [`LoanOrder`], answered with a [`LoanReply`].
-pub const DRAW_PATH: &str = "/loans/draw";
+pub const LOAN_PATH: &str = "/loans/draw";
 /// Call with some [`LoanEnd`]s, answered with `true`.
-pub const END_PATH: &str = "/loans/end";
+pub const LOAN_END_PATH: &str = "/loans/end";
 
 /// Call with nothing, answered with the [`LoadReport`](toucanrail::paces::LoadReport) of the server beside
 /// the lender, if there is one.
@@ -33,32 +33,32 @@
 /// Call with nothing, answered with `true` at once.
 pub const ALIVE_PATH: &str = "/alive";
 
-/// Longest time for which an order may wait; [`BudgetKeeper::take_hold`] waits for a fourth of it.
+/// Longest time for which an order may wait; [`GrantManager::acquire_hold`] waits for a fourth of it.
 const ORDER_TIME: Duration = Duration::from_millis(1_400);
 /// How often a stopping lender looks whether its loans have ended.
 const DRAIN_STEP: Duration = Duration::from_millis(50);
 
 /// The lender's tables.
 #[derive(Debug)]
-pub struct LoanOffice {
+pub struct RelayApi {
     /// Its grants.
-    pub keeper: Rc<BudgetKeeper>,
+    pub grant_manager: Rc<GrantManager>,
     /// Its open loans.
     pub loans: RefCell<LoanTable>,
     /// Whether it is stopping.
     pub leaving: Cell<bool>,
     /// What it tells entries of the store.
-    pub news: NewsOffice,
+    pub change_feed: ChangeFeed,
     /// The permits that it gave for cold servers.
     pub permits: RefCell<PermitTable>,
     /// The server beside it.
-    pub gauge: Option<Rc<ServerGauge>>,
+    pub report_client: Option<Rc<ReportClient>>,
 }
 
 /// Serves entries; one that went away opens another connection.
 pub async fn serve_entries(
     executor: Rc<LocalExecutor<'static>>,
-    office: Rc<LoanOffice>,
+    office: Rc<RelayApi>,
     listener: Async<TcpListener>,
 ) {
     let serve = |socket| {
@@ -68,21 +68,21 @@
     listening::serve_each(&executor, listener, usize::MAX, serve, || ()).await;
 }
 
-async fn serve_entry(office: &LoanOffice, socket: Async<TcpStream>) -> io::Result<()> {
+async fn serve_entry(office: &RelayApi, socket: Async<TcpStream>) -> io::Result<()> {
     let mut channel = BufferedChannel::new(socket)?;
     while let Some((head, body)) = calling::read_call(&mut channel).await? {
         match head.path() {
-            DRAW_PATH => {
+            LOAN_PATH => {
                 let order = calling::decode(&body)?;
                 calling::reply(&channel, &draw(office, &order).await).await?;
             }
-            END_PATH => {
+            LOAN_END_PATH => {
                 end(office, calling::decode(&body)?);
                 calling::reply(&channel, &true).await?;
             }
-            NEWS_PATH => {
+            CHANGES_PATH => {
                 let order = calling::decode(&body)?;
-                calling::reply(&channel, &office.news.answer(&order).await).await?;
+                calling::reply(&channel, &office.change_feed.answer(&order).await).await?;
             }
             ALIVE_PATH => calling::reply(&channel, &true).await?,
             PERMIT_PATH => {
@@ -90,8 +90,8 @@
                 calling::reply(&channel, &give_permit(office, &order)).await?;
             }
             REPORT_PATH => {
-                let report = match &office.gauge {
-                    Some(gauge) => gauge.see().await,
+                let report = match &office.report_client {
+                    Some(report_client) => report_client.try_fetch().await,
                     None => None,
                 };
                 calling::reply(&channel, &report).await?;
@@ -102,7 +102,7 @@
     Ok(())
 }
 
-async fn draw(office: &LoanOffice, order: &LoanOrder) -> LoanReply {
+async fn draw(office: &RelayApi, order: &LoanOrder) -> LoanReply {
     if office.loans.borrow().is_open(&order.loan) {
         return LoanReply::Held;
     }
@@ -110,10 +110,10 @@
         return LoanReply::Leaving;
     }
     let LoanOrder { customer, amount, rank, .. } = order;
-    office.keeper.note_total(customer, order.stated);
-    match office.keeper.take_hold(customer, *amount, *rank, ORDER_TIME).await {
+    office.grant_manager.raise_prepaid(customer, order.stated);
+    match office.grant_manager.acquire_hold(customer, *amount, *rank, ORDER_TIME).await {
         Ok(hold) if office.leaving.get() => {
-            office.keeper.grants.borrow_mut().finish(&hold, None);
+            office.grant_manager.grants.borrow_mut().finish(&hold, None);
             LoanReply::Leaving
         }
         Ok(hold) if office.loans.borrow().is_new(&order.loan) => {
@@ -122,7 +122,7 @@
         }
         Ok(hold) => {
             // Ended while it waited: the entry gave it up.
-            office.keeper.grants.borrow_mut().finish(&hold, None);
+            office.grant_manager.grants.borrow_mut().finish(&hold, None);
             LoanReply::Short
         }
         Err(HoldFailure::Short) => LoanReply::Short,
@@ -130,17 +130,17 @@
     }
 }
 
-fn give_permit(office: &LoanOffice, order: &PermitOrder) -> PermitReply {
-    let reply = office.permits.borrow_mut().give(order, office.news.now());
+fn give_permit(office: &RelayApi, order: &PermitOrder) -> PermitReply {
+    let reply = office.permits.borrow_mut().give(order, office.change_feed.now());
     tracing::info!(event = "permit", server = %order.server, limit = order.limit, reply = ?reply);
     reply
 }
 
-fn end(office: &LoanOffice, ends: Vec<LoanEnd>) {
+fn end(office: &RelayApi, ends: Vec<LoanEnd>) {
     for end in ends {
         let hold = office.loans.borrow_mut().end(&end.loan);
         if let Some(hold) = hold {
-            office.keeper.finish(&hold, end.request, end.service, end.used);
+            office.grant_manager.end_hold(&hold, end.request, end.service, end.used);
         }
     }
 }
@@ -149,10 +149,10 @@
 ///
 /// A lender that ends with open loans takes their customers' money with it: nobody can tell any more
 /// what of it was used.
-pub async fn drain(office: &LoanOffice, bound: Duration) {
+pub async fn drain(office: &RelayApi, bound: Duration) {
     office.leaving.set(true);
     tracing::info!(event = "stop", role = "relay", loans = office.loans.borrow().len());
-    budgeting::give_back(&office.keeper).await;
+    grant_manager::release_unused(&office.grant_manager).await;
     let ending = async {
         while !office.loans.borrow().is_empty() {
             smol::Timer::after(DRAIN_STEP).await;
--- a/toucanrail-gateway/src/peering.rs
+++ b/toucanrail-gateway/src/relay_client.rs
@@ -13,7 +13,7 @@
 use toucanrail_wire::channels::BufferedChannel;
 use toucanrail_wire::clocks;
 
-use crate::lending::ALIVE_PATH;
+use crate::relay_api::ALIVE_PATH;
 use crate::states::Gateway;
 
 /// Longest wait for a connection: relays are some milliseconds away, a dead one answers nothing.
@@ -33,30 +33,30 @@
 
 /// Relays that did not answer and are passed over.
 #[derive(Debug, Default)]
-pub struct PeerRests {
+pub struct RelayBackoff {
     rests: RefCell<BTreeMap<Arc<str>, PeerRest>>,
 }
 
-impl PeerRests {
+impl RelayBackoff {
     /// Tells whether a relay is passed over now.
-    pub fn is_resting(&self, peer: &Arc<str>, now: Duration) -> bool {
+    pub fn is_active(&self, peer: &Arc<str>, now: Duration) -> bool {
         self.rests.borrow().get(peer).is_some_and(|rest| now < rest.until)
     }
 
     /// Passes a relay over for a while, for longer each time in a row.
-    pub fn rest(&self, peer: &Arc<str>, now: Duration) {
+    pub fn note_failure(&self, peer: &Arc<str>, now: Duration) {
         let mut rests = self.rests.borrow_mut();
         let time = rests.get(peer).map_or(PEER_REST, |rest| rest.time * 2).min(REST_LIMIT);
         rests.insert(Arc::clone(peer), PeerRest { until: now + time, time });
     }
 
     /// Passes a relay over for a stated time.
-    pub fn rest_for(&self, peer: &Arc<str>, now: Duration, time: Duration) {
+    pub fn back_off_for(&self, peer: &Arc<str>, now: Duration, time: Duration) {
         self.rests.borrow_mut().insert(Arc::clone(peer), PeerRest { until: now + time, time });
     }
 
     /// Notes that a relay answered.
-    pub fn forget_rest(&self, peer: &Arc<str>) {
+    pub fn reset(&self, peer: &Arc<str>) {
         self.rests.borrow_mut().remove(peer);
     }
 }
@@ -71,7 +71,7 @@
 }
 
 /// Calls a relay, on a kept connection where there is one.
-pub async fn call_peer<Order, Reply>(
+pub async fn call_relay<Order, Reply>(
     gateway: &Gateway,
     peer: &Arc<str>,
     address: SocketAddr,
--- a/toucanrail-gateway/src/registering.rs
+++ b/toucanrail-gateway/src/relay_registration.rs
@@ -12,8 +12,8 @@
 use toucanrail_platform::settings::NodeSettings;
 use toucanrail_platform::stores::StoreClient;
 
-use crate::gauging::ServerGauge;
-use crate::storing::RELAY_KIND;
+use crate::report_client::ReportClient;
+use crate::store_access::RELAY_KIND;
 
 const CONNECT_BOUND: Duration = Duration::from_millis(500);
 /// Longest wait for a call to the store, and the pause before the next try.
@@ -36,7 +36,7 @@
 }
 
 /// Makes the entry of a relay that passes connections on at `address`.
-pub fn make_entry(settings: &NodeSettings, address: SocketAddr, hosted: bool) -> RelayEntry {
+pub fn new_entry(settings: &NodeSettings, address: SocketAddr, hosted: bool) -> RelayEntry {
     RelayEntry {
         address,
         lending: settings.lending,
@@ -48,22 +48,26 @@
 }
 
 /// Writes the relay's entry until the store has it, and again when the server's pace has changed.
-pub async fn keep_entry(settings: NodeSettings, entry: RelayEntry, gauge: Option<Rc<ServerGauge>>) {
+pub async fn maintain_entry(
+    settings: NodeSettings,
+    entry: RelayEntry,
+    report_client: Option<Rc<ReportClient>>,
+) {
     let client = StoreClient::new(CONNECT_BOUND);
     let expect = WriteExpectation::Absent;
     let mut registration = Registration { client, settings, entry, expect };
     registration.write().await;
     tracing::info!(event = "registered", role = "relay", vm = %registration.settings.vm);
-    let Some(gauge) = gauge else {
+    let Some(report_client) = report_client else {
         return;
     };
-    let (server, clock) = (gauge.server, ProcessClock::start());
+    let (server, clock) = (report_client.server, ProcessClock::start());
     let mut meter = PaceMeter::default();
     let mut written = clock.now();
     loop {
         let pause = if meter.wants_reports() { REPORT_PAUSE } else { CALM_PAUSE };
         smol::Timer::after(pause).await;
-        match gauge.read().await {
+        match report_client.fetch().await {
             Ok(report) => meter.take_report(&report, clock.now()),
             // A server that is not there has no pace; the entries learn of its end from the store.
             Err(failure) => tracing::debug!(event = "report_failed", %server, %failure),
--- a/toucanrail-gateway/src/relaying.rs
+++ b/toucanrail-gateway/src/relaying.rs
@@ -98,7 +98,7 @@
             heard = Instant::now();
             flight.note_begun();
             if let Some(budget) = &plan.budget {
-                budget.add_output((stream.scanner.count - known) * stride);
+                budget.add_output_tokens((stream.scanner.count - known) * stride);
             }
         }
         if exchange.framer.is_done() {
--- a/toucanrail-gateway/src/sending.rs
+++ b/toucanrail-gateway/src/sending.rs
@@ -114,7 +114,7 @@
     }
     if let Some(budget) = &plan.budget {
         // From here on the server may read the prompt, whether the caller stays or not.
-        budget.note_sent(true);
+        budget.set_may_have_run(true);
     }
     let mut bytes = requests::write_order(plan.head, &order);
     bytes.extend_from_slice(plan.body);
--- a/toucanrail-gateway/src/sighting.rs
+++ b/toucanrail-gateway/src/sighting.rs
@@ -12,8 +12,8 @@
 use toucanrail::silences::{RunSight, SilenceVerdict, SilenceWatch};
 
 use crate::calls::AttemptContext;
-use crate::lending::REPORT_PATH;
-use crate::peering;
+use crate::relay_api::REPORT_PATH;
+use crate::relay_client;
 use crate::states::Gateway;
 
 /// Longest wait for a relay, which asks the server beside it.
@@ -69,7 +69,7 @@
 async fn ask_report(gateway: &Gateway, server: &BackendEntry) -> Option<LoadReport> {
     let (relay, address) = gateway.store.relay_at(server.address.ip())?;
     let bound = SIGHT_BOUND;
-    let asked = peering::call_peer(gateway, &relay, address, REPORT_PATH, &(), bound).await;
+    let asked = relay_client::call_relay(gateway, &relay, address, REPORT_PATH, &(), bound).await;
     asked.unwrap_or_else(|error| {
         tracing::debug!(event = "look_failed", server = %server.id, %error);
         None
--- a/toucanrail-gateway/src/starting.rs
+++ b/toucanrail-gateway/src/starting.rs
@@ -21,16 +21,16 @@
 use toucanrail_wire::keeping::ChannelPool;
 
 use crate::accepting;
-use crate::borrowing::{self, LoanDesk};
-use crate::budgeting::{self, BudgetKeeper};
-use crate::following;
+use crate::grant_manager::{self, GrantManager};
 use crate::hosting;
 use crate::inspecting;
-use crate::peering::PeerRests;
+use crate::loan_client::{self, LoanClient};
+use crate::relay_client::RelayBackoff;
 use crate::sighting::SightBoard;
 use crate::states::{Gateway, GatewayTables};
 use crate::stopping;
-use crate::storing::{self, StoreAccess, UNMEASURED_REFRESH};
+use crate::store_access::{self, StoreAccess, UNMEASURED_LIST_INTERVAL};
+use crate::store_watch;
 use crate::tuning::GatewayTuning;
 
 /// Longest wait for a connection to the store.
@@ -53,14 +53,18 @@
     executor.spawn(accepting::serve_callers(Rc::clone(&held), callers)).detach();
     executor.spawn(inspecting::serve_questions(Rc::clone(&held), readiness)).detach();
     executor.spawn(inspecting::serve_questions(Rc::clone(&held), inner)).detach();
-    let ways = storing::keep_ways(Rc::clone(&held.store), held.settings.store, UNMEASURED_REFRESH);
+    let ways = store_access::maintain_endpoint(
+        Rc::clone(&held.store),
+        held.settings.store,
+        UNMEASURED_LIST_INTERVAL,
+    );
     executor.spawn(ways).detach();
-    executor.spawn(following::follow_config(Rc::clone(&held))).detach();
-    executor.spawn(following::follow_servers(Rc::clone(&held))).detach();
-    executor.spawn(following::follow_evacuations(Rc::clone(&held))).detach();
-    executor.spawn(following::sweep(Rc::clone(&held))).detach();
-    executor.spawn(budgeting::run_syncs(Rc::clone(&held.keeper))).detach();
-    executor.spawn(borrowing::send_ends(Rc::clone(&held))).detach();
+    executor.spawn(store_watch::watch_config(Rc::clone(&held))).detach();
+    executor.spawn(store_watch::watch_servers(Rc::clone(&held))).detach();
+    executor.spawn(store_watch::watch_evacuations(Rc::clone(&held))).detach();
+    executor.spawn(store_watch::sweep(Rc::clone(&held))).detach();
+    executor.spawn(grant_manager::run_syncs(Rc::clone(&held.grant_manager))).detach();
+    executor.spawn(loan_client::send_loan_ends(Rc::clone(&held))).detach();
     executor.spawn(hosting::host_relay(Rc::clone(&held))).detach();
     smol::block_on(executor.run(stopping::wait_end(held)));
     Ok(())
@@ -74,8 +78,8 @@
     let data_centre = Arc::clone(&settings.data_centre);
     let ways = DetourTable::new(settings.store, data_centre, Arc::clone(&settings.region));
     let store = Rc::new(StoreAccess::new(StoreClient::new(STORE_CONNECT), ways, clock));
-    let keeper =
-        BudgetKeeper::new(&id, Rc::clone(&store), tuning, board.clone(), Rc::clone(&executor));
+    let grant_manager =
+        GrantManager::new(&id, Rc::clone(&store), tuning, board.clone(), Rc::clone(&executor));
     let evacuations = settings.evacuation_bound.map(EvacuationTable::awaiting).unwrap_or_default();
     let tables = GatewayTables {
         routes: RouteTable::new(),
@@ -88,10 +92,10 @@
         settings,
         id,
         store,
-        keeper: Rc::new(keeper),
-        desk: LoanDesk::default(),
-        boards: PeerRests::default(),
-        stale_boards: PeerRests::default(),
+        grant_manager: Rc::new(grant_manager),
+        loan_client: LoanClient::default(),
+        boards: RelayBackoff::default(),
+        stale_boards: RelayBackoff::default(),
         hosted: RefCell::new(None),
         sights: SightBoard::default(),
         board,
--- a/toucanrail-gateway/src/states.rs
+++ b/toucanrail-gateway/src/states.rs
@@ -20,12 +20,12 @@
 use toucanrail_platform::settings::NodeSettings;
 use toucanrail_wire::keeping::ChannelPool;
 
-use crate::borrowing::LoanDesk;
-use crate::budgeting::BudgetKeeper;
-use crate::lending::LoanOffice;
-use crate::peering::PeerRests;
+use crate::grant_manager::GrantManager;
+use crate::loan_client::LoanClient;
+use crate::relay_api::RelayApi;
+use crate::relay_client::RelayBackoff;
 use crate::sighting::SightBoard;
-use crate::storing::StoreAccess;
+use crate::store_access::StoreAccess;
 
 /// Part of the fleet's retries that entries divide among themselves. Their windows end at different
 /// times, and two of the fleet's windows cover all of them.
@@ -83,15 +83,15 @@
     /// Idle callers' connections are to be closed.
     pub leaving: Event,
     /// What it may spend of its own.
-    pub keeper: Rc<BudgetKeeper>,
+    pub grant_manager: Rc<GrantManager>,
     /// What it knows of lenders.
-    pub desk: LoanDesk,
+    pub loan_client: LoanClient,
     /// Boards that failed and are passed over.
-    pub boards: PeerRests,
+    pub boards: RelayBackoff,
     /// Boards that did not hear from the store a moment ago.
-    pub stale_boards: PeerRests,
+    pub stale_boards: RelayBackoff,
     /// The relay that this entry hosts.
-    pub hosted: RefCell<Option<Rc<LoanOffice>>>,
+    pub hosted: RefCell<Option<Rc<RelayApi>>>,
     /// Reports of servers that did not answer.
     pub sights: SightBoard,
 }
@@ -120,9 +120,9 @@
     /// while entries beside it serve: the balancer must send new callers there. It is found out by the
     /// loops that follow the store, and ends with their first answer.
     pub fn is_cut_off(&self) -> bool {
-        let silent = |kind: &str| self.store.silence(kind) > CUT_LEAST;
+        let silent = |kind: &str| self.store.unanswered_for(kind) > CUT_LEAST;
         let kinds = [names::CONFIG_KIND, names::SERVER_KIND];
-        self.desk.unanswered.get() && kinds.into_iter().all(silent)
+        self.loan_client.lenders_unreachable.get() && kinds.into_iter().all(silent)
     }
 
     /// Notes a fresh request for a service in its retry budget.
@@ -191,7 +191,7 @@
     /// Before the relays were listed the servers stand in for them: an entry that started in an outage
     /// would take a fourth of the reserve, and so would all others that started with it.
     fn retry_bounds(&self) -> RetryBounds {
-        let relays = match self.store.count_relays() {
+        let relays = match self.store.relay_count() {
             0 => self.tables.borrow().backends.rows().count(),
             relays => relays,
         };
--- a/toucanrail-gateway/src/stopping.rs
+++ b/toucanrail-gateway/src/stopping.rs
@@ -8,9 +8,9 @@
 use toucanrail_platform::settings;
 use toucanrail_wire::clocks;
 
-use crate::borrowing;
-use crate::budgeting;
-use crate::lending::{self, LoanOffice};
+use crate::grant_manager;
+use crate::loan_client;
+use crate::relay_api::{self, RelayApi};
 use crate::states::Gateway;
 
 /// Time after SIGTERM for which idle connections stay open: the balancer learns in this time that
@@ -69,11 +69,11 @@
     wait_idle(gateway, since, grace.saturating_sub(GRACE_MARGIN)).await;
     // Before the waits below: what is admitted in one of them would be cut off at its end.
     gateway.closed.set(true);
-    clocks::bounded(ENDS_BOUND, borrowing::flush_ends(gateway)).await;
+    clocks::bounded(ENDS_BOUND, loan_client::flush_loan_ends(gateway)).await;
     if let Some(lending) = lending {
         lending.await;
     }
-    budgeting::leave(&gateway.keeper).await;
+    grant_manager::settle_all(&gateway.grant_manager).await;
     wait_idle(gateway, since, grace.saturating_sub(EXIT_MARGIN)).await;
     tracing::info!(
         event = "stopped",
@@ -82,8 +82,8 @@
     );
 }
 
-async fn drain_loans(office: Rc<LoanOffice>, bound: Duration) {
-    lending::drain(&office, bound).await;
+async fn drain_loans(office: Rc<RelayApi>, bound: Duration) {
+    relay_api::drain(&office, bound).await;
 }
 
 /// Waits until nothing is in flight, at most until `limit` after the signal.
--- a/toucanrail-gateway/src/storing.rs
+++ b/toucanrail-gateway/src/store_access.rs
@@ -23,9 +23,9 @@
 pub const RELAY_KIND: &str = "relays";
 /// Time between listings of the relays: they change with their VMs. A listing of a stale copy costs a
 /// tenth of a call.
-pub const RELAY_REFRESH: Duration = Duration::from_secs(12);
+pub const RELAY_LIST_INTERVAL: Duration = Duration::from_secs(12);
 /// The same for an entry while a server's pace is not known.
-pub const UNMEASURED_REFRESH: Duration = Duration::from_secs(2);
+pub const UNMEASURED_LIST_INTERVAL: Duration = Duration::from_secs(2);
 /// Time after the start in which they are listed often. An entry that is started again may be cut off
 /// moments later, and is without relays and lenders until the cut heals; in a fleet that starts, the
 /// relays themselves register in this time.
@@ -69,7 +69,7 @@
     }
 
     /// Returns the ways, for the dump of the state.
-    pub fn ways(&self) -> DetourTable {
+    pub fn endpoints(&self) -> DetourTable {
         self.ways.borrow().clone()
     }
 
@@ -79,15 +79,15 @@
     }
 
     /// Returns the time since the store last answered.
-    pub fn age(&self) -> Duration {
+    pub fn time_since_answer(&self) -> Duration {
         self.now().saturating_sub(self.heard.get().unwrap_or_default())
     }
 
     /// Notes whether a call was answered; logs when one of the uses of the store is lost or back.
-    pub fn note_use(&self, usage: &'static str, answered: bool) {
+    pub fn note_call(&self, usage: &'static str, answered: bool) {
         let mut silent = self.silent.borrow_mut();
         if answered {
-            let age = self.age().as_millis() as u64;
+            let age = self.time_since_answer().as_millis() as u64;
             self.heard.set(Some(self.now()));
             if silent.remove(usage).is_some() {
                 tracing::info!(event = "store_regained", usage, store_age_ms = age);
@@ -99,12 +99,12 @@
     }
 
     /// Tells whether the last call of a use of the store had no answer.
-    pub fn is_silent(&self, usage: &str) -> bool {
+    pub fn is_unanswered(&self, usage: &str) -> bool {
         self.silent.borrow().contains_key(usage)
     }
 
     /// Returns for how long a use of the store has had no answer.
-    pub fn silence(&self, usage: &str) -> Duration {
+    pub fn unanswered_for(&self, usage: &str) -> Duration {
         let since = self.silent.borrow().get(usage).copied();
         since.map_or(Duration::ZERO, |since| self.now().saturating_sub(since))
     }
@@ -120,7 +120,7 @@
     }
 
     /// Returns the paces of servers that relays measured, by the address of their VM.
-    pub fn paces(&self) -> BTreeMap<IpAddr, Duration> {
+    pub fn server_paces(&self) -> BTreeMap<IpAddr, Duration> {
         self.ways.borrow().paces()
     }
 
@@ -130,7 +130,7 @@
     }
 
     /// Tells whether the relays were listed, and none stands on a VM of its own.
-    pub fn lacks_relays(&self) -> bool {
+    pub fn has_only_hosted_relays(&self) -> bool {
         self.relays_listed.get() && self.ways.borrow().is_hosted()
     }
 
@@ -140,7 +140,7 @@
     }
 
     /// Returns how many relays stand in the store, as last listed.
-    pub fn count_relays(&self) -> usize {
+    pub fn relay_count(&self) -> usize {
         self.ways.borrow().count_relays()
     }
 
@@ -171,7 +171,7 @@
     ) -> Result<KindListing, StoreFailure> {
         let (way, address) = self.ways.borrow().way();
         let listing = self.client.list_kind(address, kind, freshness, bound).await;
-        self.note_result(&way, &listing);
+        self.note_endpoint_result(&way, &listing);
         listing
     }
 
@@ -193,11 +193,11 @@
             Err(StoreFailure::NoAnswer(io::ErrorKind::ConnectionAborted.into()))
         };
         let watched = watching.or(moving).await;
-        self.note_result(&way, &watched);
+        self.note_endpoint_result(&way, &watched);
         watched
     }
 
-    fn note_result<Value>(&self, way: &StoreWay, result: &Result<Value, StoreFailure>) {
+    fn note_endpoint_result<Value>(&self, way: &StoreWay, result: &Result<Value, StoreFailure>) {
         if matches!(result, Err(StoreFailure::NoAnswer(_) | StoreFailure::Declined(_))) {
             self.note_failure(way);
         }
@@ -233,15 +233,15 @@
 ///
 /// An entry that places prompts lists more often (`unmeasured`) while a relay has not stated its
 /// server's pace yet: until it does, a slow server gets the prompts of a fast one.
-pub async fn keep_ways(store: Rc<StoreAccess>, direct: SocketAddr, unmeasured: Duration) {
+pub async fn maintain_endpoint(store: Rc<StoreAccess>, direct: SocketAddr, unmeasured: Duration) {
     let mut listed: Option<Duration> = None;
     loop {
         let now = store.now();
         let pause = match now {
             now if now < RELAY_FIRST => RELAY_FIRST_REFRESH,
-            now if now < HOSTED_FIRST && store.lacks_relays() => RELAY_FIRST_REFRESH,
+            now if now < HOSTED_FIRST && store.has_only_hosted_relays() => RELAY_FIRST_REFRESH,
             _ if store.ways.borrow().lacks_paces() => unmeasured,
-            _ => RELAY_REFRESH,
+            _ => RELAY_LIST_INTERVAL,
         };
         if listed.is_none_or(|at| now.saturating_sub(at) > pause) {
             let done = list_relays(&store).await;
--- a/toucanrail-gateway/src/following.rs
+++ b/toucanrail-gateway/src/store_watch.rs
@@ -11,8 +11,8 @@
 use toucanrail_platform::stores::{ListFreshness, StoreFailure};
 use toucanrail_platform::{configs, names, registrations};
 
-use crate::mirroring::NEWS_PATH;
-use crate::peering;
+use crate::change_feed::CHANGES_PATH;
+use crate::relay_client;
 use crate::states::{Gateway, GatewayTables};
 
 /// Wait of one watch. Each watch is a counted call, and a connection that turned silent shows only
@@ -56,17 +56,17 @@
 }
 
 /// Follows the configuration.
-pub async fn follow_config(gateway: Rc<Gateway>) {
+pub async fn watch_config(gateway: Rc<Gateway>) {
     follow(gateway, ConfigTaker).await;
 }
 
 /// Follows the servers' registrations.
-pub async fn follow_servers(gateway: Rc<Gateway>) {
+pub async fn watch_servers(gateway: Rc<Gateway>) {
     follow(gateway, ServerTaker { returned: None }).await;
 }
 
 /// Follows the evacuations, where the operator orders any.
-pub async fn follow_evacuations(gateway: Rc<Gateway>) {
+pub async fn watch_evacuations(gateway: Rc<Gateway>) {
     if gateway.settings.evacuation_bound.is_some() {
         follow(gateway, EvacuationTaker { age: Duration::ZERO }).await;
     }
@@ -84,12 +84,12 @@
             tracing::info!(event = "server_gone", server = %id, reason = "lapsed");
             gateway.channels.forget(&id);
         }
-        gateway.tables.borrow_mut().backends.take_paces(&gateway.store.paces());
+        gateway.tables.borrow_mut().backends.take_paces(&gateway.store.server_paces());
         gateway.channels.sweep();
         let tables = gateway.tables.borrow();
         gateway.sights.retain(|server| tables.backends.get(server).is_some());
         drop(tables);
-        gateway.keeper.grants.borrow_mut().smooth_burn(now.saturating_sub(swept));
+        gateway.grant_manager.grants.borrow_mut().smooth_burn(now.saturating_sub(swept));
         swept = now;
     }
 }
@@ -118,7 +118,7 @@
                 state.revision = Some(next);
                 state.heard = gateway.now();
                 pause = PAUSE_LEAST;
-                gateway.store.note_use(Taker::KIND, true);
+                gateway.store.note_call(Taker::KIND, true);
             }
             Err(StoreFailure::Forgotten) => {
                 tracing::info!(event = "history_gone", kind = Taker::KIND);
@@ -126,7 +126,7 @@
             }
             Err(failure) => {
                 tracing::debug!(event = "store_failed", kind = Taker::KIND, %failure);
-                gateway.store.note_use(Taker::KIND, false);
+                gateway.store.note_call(Taker::KIND, false);
                 smol::Timer::after(pause.mul_f64(0.5 + 0.5 * fastrand::f64())).await;
                 pause = (pause * 2).min(PAUSE_LIMIT);
             }
@@ -223,16 +223,17 @@
     let kind = Taker::KIND;
     let boards = boards::pick_boards(&gateway.store.lenders());
     let answering =
-        boards.iter().filter(|(name, _)| !gateway.boards.is_resting(name, gateway.now()));
+        boards.iter().filter(|(name, _)| !gateway.boards.is_active(name, gateway.now()));
     let order = NewsOrder { kind: Arc::from(kind), after, wait: Taker::BOARD_WAIT };
     let mut stale = false;
     for (board, address) in answering {
-        if gateway.stale_boards.is_resting(board, gateway.now()) {
+        if gateway.stale_boards.is_active(board, gateway.now()) {
             stale = true;
             continue;
         }
         let bound = Taker::BOARD_WAIT + BOARD_SLACK;
-        let asked = peering::call_peer(gateway, board, *address, NEWS_PATH, &order, bound).await;
+        let asked =
+            relay_client::call_relay(gateway, board, *address, CHANGES_PATH, &order, bound).await;
         let reason = match asked {
             // An older listing than what is known would bring servers back that have left.
             Ok(NewsReply::Listing { revision, .. }) if after.is_some_and(|at| revision < at) => {
@@ -240,18 +241,18 @@
             }
             Ok(NewsReply::Stale) => {
                 tracing::info!(event = "board_stale", %board, kind);
-                gateway.stale_boards.rest_for(board, gateway.now(), STALE_REST);
+                gateway.stale_boards.back_off_for(board, gateway.now(), STALE_REST);
                 stale = true;
                 continue;
             }
             Ok(reply) => {
-                gateway.boards.forget_rest(board);
+                gateway.boards.reset(board);
                 return BoardAnswer::News(reply);
             }
             Err(error) => error.to_string(),
         };
         tracing::info!(event = "board_failed", %board, kind, reason);
-        gateway.boards.rest(board, gateway.now());
+        gateway.boards.note_failure(board, gateway.now());
         return BoardAnswer::Silent;
     }
     if stale { BoardAnswer::Outage } else { BoardAnswer::Silent }
--- a/toucanrail-gateway/src/tunnelling.rs
+++ b/toucanrail-gateway/src/tunnelling.rs
@@ -23,13 +23,13 @@
 use toucanrail_wire::channels::{BufferedChannel, ChannelWriter};
 use toucanrail_wire::clocks;
 
-use crate::budgeting::{self, BudgetKeeper};
-use crate::gauging::ServerGauge;
-use crate::lending::{self, LoanOffice};
+use crate::change_feed::ChangeFeed;
+use crate::grant_manager::{self, GrantManager};
 use crate::listening;
-use crate::mirroring::NewsOffice;
-use crate::registering;
-use crate::storing::{self, RELAY_REFRESH, StoreAccess};
+use crate::relay_api::{self, RelayApi};
+use crate::relay_registration;
+use crate::report_client::ReportClient;
+use crate::store_access::{self, RELAY_LIST_INTERVAL, StoreAccess};
 use crate::tuning::GatewayTuning;
 
 /// Most connections at once: some for each entry of a large fleet.
@@ -51,17 +51,19 @@
     executor.spawn(passing).detach();
     let office = Rc::new(make_office(settings, tuning, &executor)?);
     let entries = Async::<TcpListener>::bind(settings.lending)?;
-    let lending = lending::serve_entries(Rc::clone(&executor), Rc::clone(&office), entries);
+    let lending = relay_api::serve_entries(Rc::clone(&executor), Rc::clone(&office), entries);
     executor.spawn(lending).detach();
-    executor.spawn(budgeting::run_syncs(Rc::clone(&office.keeper))).detach();
+    executor.spawn(grant_manager::run_syncs(Rc::clone(&office.grant_manager))).detach();
     executor.spawn(smooth_burn(Rc::clone(&office))).detach();
-    let gauge = office.gauge.as_ref().map(Rc::clone);
-    let entry = registering::make_entry(settings, settings.inner, false);
-    executor.spawn(registering::keep_entry(settings.clone(), entry, gauge)).detach();
+    let report_client = office.report_client.as_ref().map(Rc::clone);
+    let entry = relay_registration::new_entry(settings, settings.inner, false);
+    executor
+        .spawn(relay_registration::maintain_entry(settings.clone(), entry, report_client))
+        .detach();
     smol::block_on(executor.run(async {
         wait_stop().await;
-        lending::drain(&office, settings.grace.saturating_sub(GRACE_MARGIN)).await;
-        budgeting::leave(&office.keeper).await;
+        relay_api::drain(&office, settings.grace.saturating_sub(GRACE_MARGIN)).await;
+        grant_manager::settle_all(&office.grant_manager).await;
     }));
     let loans = office.loans.borrow().len();
     tracing::info!(event = "stopped", role = "relay", loans);
@@ -72,29 +74,30 @@
     settings: &NodeSettings,
     tuning: GatewayTuning,
     executor: &Rc<LocalExecutor<'static>>,
-) -> io::Result<LoanOffice> {
+) -> io::Result<RelayApi> {
     let id = starting::new_incarnation(&settings.vm);
     let board = MetricBoard::new("relay").map_err(io::Error::other)?;
     let data_centre = Arc::clone(&settings.data_centre);
     let ways = DetourTable::new(settings.store, data_centre, Arc::clone(&settings.region));
     let client = StoreClient::new(CONNECT_BOUND);
     let store = Rc::new(StoreAccess::new(client, ways, ProcessClock::start()));
-    let watching = storing::keep_ways(Rc::clone(&store), settings.store, RELAY_REFRESH);
+    let watching =
+        store_access::maintain_endpoint(Rc::clone(&store), settings.store, RELAY_LIST_INTERVAL);
     executor.spawn(watching).detach();
     let permits = PermitTable::new(store.now()).into();
-    let news = NewsOffice::new(Rc::clone(&store), Rc::clone(executor));
-    let keeper = Rc::new(BudgetKeeper::new(&id, store, tuning, board, Rc::clone(executor)));
+    let change_feed = ChangeFeed::new(Rc::clone(&store), Rc::clone(executor));
+    let grant_manager = Rc::new(GrantManager::new(&id, store, tuning, board, Rc::clone(executor)));
     let server = settings.server;
-    let gauge =
-        server.map(|server| Rc::new(ServerGauge::new(StoreClient::new(CONNECT_BOUND), server)));
+    let report_client =
+        server.map(|server| Rc::new(ReportClient::new(StoreClient::new(CONNECT_BOUND), server)));
     let (loans, leaving) = (RefCell::default(), Cell::new(false));
-    Ok(LoanOffice { keeper, loans, leaving, news, permits, gauge })
+    Ok(RelayApi { grant_manager, loans, leaving, change_feed, permits, report_client })
 }
 
-async fn smooth_burn(office: Rc<LoanOffice>) {
+async fn smooth_burn(office: Rc<RelayApi>) {
     loop {
         smol::Timer::after(BURN_TICK).await;
-        office.keeper.grants.borrow_mut().smooth_burn(BURN_TICK);
+        office.grant_manager.grants.borrow_mut().smooth_burn(BURN_TICK);
     }
 }
 
--- a/toucanrail-gateway/tests/cold_servers.rs
+++ b/toucanrail-gateway/tests/cold_servers.rs
@@ -5,7 +5,7 @@
 use std::thread;
 use std::time::Duration;
 
-use platform::{Act, Backend, Process, Store, request};
+use platform::{Action, Backend, Process, Store, request};
 use serde_json::json;
 
 /// Requests in a second that a cold server bears, by the settings and the configuration below.
@@ -14,7 +14,7 @@
 /// A store and one server, whose service has cold servers.
 fn start_server() -> (Store, Backend) {
     let store = Store::start();
-    let backend = Backend::start("i-1", |_, _| Act::Answer(platform::signed("seven")));
+    let backend = Backend::start("i-1", |_, _| Action::Respond(platform::signed_response("seven")));
     platform::configure(&store, 1, &[&backend]);
     platform::configure_field(&store, 2, "services", "cold_start_s", &json!(3.0));
     platform::configure_field(&store, 3, "services", "cold_per_s", &json!(10.0));
@@ -23,7 +23,7 @@
 
 /// Starts two gateways that do not know one another, and waits until they have listed the relays.
 fn start_gateways(store: &Store) -> Vec<Process> {
-    let gateways = (0..2).map(|_| Process::start_bounded(store)).collect();
+    let gateways = (0..2).map(|_| Process::start_with_limits(store)).collect();
     // Relays are listed within a second.
     thread::sleep(Duration::from_millis(1_500));
     gateways
--- a/toucanrail-gateway/tests/departed_callers.rs
+++ b/toucanrail-gateway/tests/departed_callers.rs
@@ -7,7 +7,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use platform::{Act, Backend, Process, Store, request};
+use platform::{Action, Backend, Process, Store, request};
 
 /// Long enough for bytes and for the end of a connection to arrive, shorter than any timeout of a loan.
 const ARRIVAL: Duration = Duration::from_millis(80);
@@ -29,7 +29,7 @@
 #[test]
 fn unread_request() {
     let store = Store::start();
-    let backend = Backend::start("i-1", |_, _| Act::Answer(platform::signed("fine")));
+    let backend = Backend::start("i-1", |_, _| Action::Respond(platform::signed_response("fine")));
     platform::configure(&store, 1, &[&backend]);
     let gateway = Process::start_gateway(&store);
     let first = platform::call(gateway.callers, &request("GET", "/safe/a", "r1", "", ""));
@@ -48,13 +48,13 @@
 fn late_loan() {
     let store = Store::start();
     let events = platform::chunk("id: 1\ndata: x\n\n");
-    let answer = [platform::STREAM, &events, "0\r\n\r\n"].concat();
-    let backend = Backend::start("i-1", move |_, _| Act::Answer(answer.clone()));
-    platform::configure_total(&store, 1, &[&backend], 100_000);
+    let answer = [platform::STREAM_HEAD, &events, "0\r\n\r\n"].concat();
+    let backend = Backend::start("i-1", move |_, _| Action::Respond(answer.clone()));
+    platform::configure_prepaid(&store, 1, &[&backend], 100_000);
     let relay = Process::start_relay(&store, "side-1");
     platform::wait_until("the relay", || store.has("relays", "side-1"));
     let gateway = Process::start_gateway(&store);
-    let prompt = |id: &str| request("POST", "/stream/a", id, platform::PROMPT, "p");
+    let prompt = |id: &str| request("POST", "/stream/a", id, platform::PROMPT_HEADERS, "p");
     let ask = |id: &str| {
         platform::call_raw(
             gateway.callers,
@@ -82,7 +82,7 @@
 #[test]
 fn silent_server() {
     let store = Store::start();
-    let backend = Backend::start("i-1", |_, _| Act::Answer("PAUSE".repeat(100)));
+    let backend = Backend::start("i-1", |_, _| Action::Respond("PAUSE".repeat(100)));
     platform::configure(&store, 1, &[&backend]);
     let gateway = Process::start_gateway(&store);
     let text = request("POST", "/once/a", "r1", "", "order").replace(": 8000", ": 1000");
@@ -97,10 +97,10 @@
 #[test]
 fn silent_stream() {
     let store = Store::start();
-    let backend = Backend::start("i-1", |_, _| Act::Answer("PAUSE".repeat(250)));
-    platform::configure_total(&store, 1, &[&backend], 100_000);
+    let backend = Backend::start("i-1", |_, _| Action::Respond("PAUSE".repeat(250)));
+    platform::configure_prepaid(&store, 1, &[&backend], 100_000);
     let gateway = Process::start_gateway(&store);
-    let text = request("POST", "/stream/a", "r1", platform::PROMPT, "p");
+    let text = request("POST", "/stream/a", "r1", platform::PROMPT_HEADERS, "p");
     let start = Instant::now();
     let answer = platform::call(gateway.callers, &text).unwrap();
     assert_eq!(answer.status(), 504);
--- a/toucanrail-gateway/tests/direct_requests.rs
+++ b/toucanrail-gateway/tests/direct_requests.rs
@@ -2,14 +2,14 @@
 
 mod platform;
 
-use platform::{Act, Backend, Process, Store, request};
+use platform::{Action, Backend, Process, Store, request};
 
 /// A caller's key must stay with the fleet, its path must reach the server as it was written, and
 /// the server must be told who pays, whatever the caller claims.
 #[test]
 fn passed_on() {
     let store = Store::start();
-    let backend = Backend::start("i-1", |_, _| Act::Answer(platform::signed("fine")));
+    let backend = Backend::start("i-1", |_, _| Action::Respond(platform::signed_response("fine")));
     platform::configure(&store, 1, &[&backend]);
     let gateway = Process::start_gateway(&store);
     let more = "X-Tenant: rich\r\nX-Hold: h\r\n";
@@ -41,7 +41,7 @@
 #[test]
 fn unknown_requests() {
     let store = Store::start();
-    let backend = Backend::start("i-1", |_, _| Act::Answer(platform::signed("fine")));
+    let backend = Backend::start("i-1", |_, _| Action::Respond(platform::signed_response("fine")));
     platform::configure(&store, 1, &[&backend]);
     let gateway = Process::start_gateway(&store);
     let wrong = request("GET", "/safe/a", "r1", "", "").replace(platform::KEY, "other");
@@ -56,7 +56,7 @@
 #[test]
 fn smuggled_requests() {
     let store = Store::start();
-    let backend = Backend::start("i-1", |_, _| Act::Answer(platform::signed("fine")));
+    let backend = Backend::start("i-1", |_, _| Action::Respond(platform::signed_response("fine")));
     platform::configure(&store, 1, &[&backend]);
     let gateway = Process::start_gateway(&store);
     let both = request("POST", "/once/a", "r1", "Transfer-Encoding: chunked\r\n", "0\r\n\r\n");
@@ -72,19 +72,19 @@
 fn budget_end() {
     let store = Store::start();
     let stream = [
-        platform::STREAM,
+        platform::STREAM_HEAD,
         &platform::chunk("id: 1\ndata: a\n\n"),
         "PAUSE",
         &platform::chunk("id: 2\ndata: b\n\n"),
         "0\r\n\r\n",
     ]
     .concat();
-    let backend = Backend::start("i-1", move |_, _| Act::Answer(stream.clone()));
+    let backend = Backend::start("i-1", move |_, _| Action::Respond(stream.clone()));
     platform::configure(&store, 1, &[&backend]);
     let gateway = Process::start_gateway(&store);
     let mut served = 0;
     let refused = loop {
-        let more = format!("{}Connection: close\r\n", platform::PROMPT);
+        let more = format!("{}Connection: close\r\n", platform::PROMPT_HEADERS);
         let text = request("POST", "/stream/a", &format!("r{served}"), &more, "p");
         let answer = platform::call_raw(gateway.callers, &text);
         if !answer.starts_with("HTTP/1.1 200") {
--- a/toucanrail-gateway/tests/emptied_zones.rs
+++ b/toucanrail-gateway/tests/evacuations.rs
@@ -5,7 +5,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use platform::{Act, Backend, Process, Store, request};
+use platform::{Action, Backend, Process, Store, request};
 use serde_json::json;
 
 /// Time in which an evacuation must be in force.
@@ -14,11 +14,11 @@
 /// A store, a server in each of the data centres `a` and `b`, and a gateway in `a`.
 fn start_pair() -> (Store, Backend, Backend, Process) {
     let store = Store::start();
-    let near = Backend::start("i-a", |_, _| Act::Answer(platform::signed("near")));
-    let far = Backend::start("i-b", |_, _| Act::Answer(platform::signed("far")));
+    let near = Backend::start("i-a", |_, _| Action::Respond(platform::signed_response("near")));
+    let far = Backend::start("i-b", |_, _| Action::Respond(platform::signed_response("far")));
     platform::configure(&store, 1, &[&near, &far]);
     platform::register(&store, &far, "b", 0);
-    let gateway = Process::start_bounded(&store);
+    let gateway = Process::start_with_limits(&store);
     (store, near, far, gateway)
 }
 
@@ -75,7 +75,7 @@
 #[test]
 fn unseen_evacuation() {
     let (store, _near, _far, gateway) = start_pair();
-    store.put_unseen("evacuations", "a", json!({}));
+    store.put_without_event("evacuations", "a", json!({}));
     assert!(wait_answers(&gateway, "far") < BOUND);
 }
 
@@ -87,7 +87,7 @@
     store.put("evacuations", "a", json!({}));
     wait_answers(&gateway, "far");
     let seen = near.seen().len();
-    store.hold("evacuations", true);
+    store.set_blocked("evacuations", true);
     thread::sleep(Duration::from_secs(3));
     assert_eq!(ask(&gateway, "kept"), (200, "far".into()));
     gateway.restart();
@@ -95,7 +95,7 @@
         platform::call(gateway.callers, &request("POST", "/once/a", "new", "", "x")).is_some()
     });
     gateway.wait_ready(false);
-    store.hold("evacuations", false);
+    store.set_blocked("evacuations", false);
     gateway.wait_ready(true);
     assert_eq!(ask(&gateway, "known"), (200, "far".into()));
     assert_eq!(near.seen().len(), seen);
--- a/toucanrail-gateway/tests/fault_soak.rs
+++ b/toucanrail-gateway/tests/fault_soak.rs
@@ -15,15 +15,15 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use platform::proxies::{Harm, Proxy};
-use platform::{Act, Backend, Message, Process, Store, request};
+use platform::proxies::{Proxy, ProxyFault};
+use platform::{Action, Backend, Message, Process, Store, request};
 
 /// Seeds of every CI run.
 const SEEDS: [u64; 2] = [1, 2];
 const HARMED_SEEDS: [u64; 2] = [1, 2];
 const LENGTH: Duration = Duration::from_secs(6);
 const TOTAL: u64 = 12_000;
-const PROMPT: u64 = 100;
+const PROMPT_HEADERS: u64 = 100;
 const STRIDE: u64 = 6;
 const EVENTS: u64 = 8;
 const CALLERS: u64 = 4;
@@ -49,30 +49,32 @@
         let draw = dice.lock().expect("dice").u32(0..100);
         if draw < 6 {
             let text = "HTTP/1.1 503 Full\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n";
-            return Act::Answer(text.to_owned());
+            return Action::Respond(text.to_owned());
         }
         let attempt = message.field("x-attempt-id").unwrap_or_default().to_owned();
         *truth.lock().expect("truth").runs.entry(attempt.clone()).or_default() += 1;
         if draw < 10 {
-            return Act::Break(String::new());
+            return Action::Disconnect(String::new());
         }
         let text = make_answer(message, &attempt);
         match draw {
-            10..14 => Act::Break(text[..text.len() * 2 / 3].to_owned()),
-            14..17 => Act::Answer(text.clone() + &platform::signed("late").replace("ID", "other")),
-            _ => Act::Answer(text),
+            10..14 => Action::Disconnect(text[..text.len() * 2 / 3].to_owned()),
+            14..17 => Action::Respond(
+                text.clone() + &platform::signed_response("late").replace("ID", "other"),
+            ),
+            _ => Action::Respond(text),
         }
     })
 }
 
 fn make_answer(message: &Message, attempt: &str) -> String {
     if message.field("x-token-usage").is_none() {
-        return platform::signed(attempt);
+        return platform::signed_response(attempt);
     }
     let last: u64 = message.field("last-event-id").map_or(0, |text| text.parse().unwrap_or(0));
     let events =
         (last + 1..=EVENTS).map(|id| platform::chunk(&format!("id: {id}\ndata: {attempt}\n\n")));
-    [platform::STREAM, &events.collect::<Vec<_>>().join("PAUSE"), "0\r\n\r\n"].concat()
+    [platform::STREAM_HEAD, &events.collect::<Vec<_>>().join("PAUSE"), "0\r\n\r\n"].concat()
 }
 
 fn run_caller(
@@ -89,7 +91,7 @@
         let route = ROUTES[dice.usize(0..ROUTES.len())];
         let attempt = format!("{route}-{number}-{count}");
         let streams = matches!(route, "stream" | "resume");
-        let more = if streams { platform::PROMPT } else { "" };
+        let more = if streams { platform::PROMPT_HEADERS } else { "" };
         let more = format!("{more}Connection: close\r\n");
         let (method, body) = if route == "safe" { ("GET", "") } else { ("POST", "b") };
         let text = request(method, &format!("/{route}/a"), &attempt, &more, body);
@@ -151,9 +153,9 @@
             processes[at].restart();
         }
         4 => {
-            store.cut(true);
+            store.set_cut_off(true);
             thread::sleep(Duration::from_millis(dice.u64(300..1_500)));
-            store.cut(false);
+            store.set_cut_off(false);
         }
         _ => thread::sleep(Duration::from_millis(dice.u64(100..500))),
     }
@@ -173,7 +175,7 @@
         .runs
         .keys()
         .filter(|attempt| attempt.starts_with("stream") || attempt.starts_with("resume"));
-    let prompts = streams.count() as u64 * PROMPT;
+    let prompts = streams.count() as u64 * PROMPT_HEADERS;
     let outputs: u64 = truth.events.values().map(|events| events * STRIDE).sum();
     if prompts + outputs > TOTAL {
         truth.faults.push(format!("{} of {TOTAL} tokens used", prompts + outputs));
@@ -185,14 +187,14 @@
     let proxy = &proxies[dice.usize(0..proxies.len())];
     let time = Duration::from_millis(dice.u64(200..1_500));
     match dice.u32(0..5) {
-        0 => proxy.reset(),
-        1 => proxy.silence(),
-        2 => proxy.set(Harm::Delay(Duration::from_millis(dice.u64(20..400)))),
-        3 => proxy.set(Harm::LoseAnswers),
-        _ => proxy.set(Harm::LoseRequests),
+        0 => proxy.reset_connections(),
+        1 => proxy.stall_connections(),
+        2 => proxy.set_fault(ProxyFault::Delay(Duration::from_millis(dice.u64(20..400)))),
+        3 => proxy.set_fault(ProxyFault::DropResponses),
+        _ => proxy.set_fault(ProxyFault::DropRequests),
     }
     thread::sleep(time);
-    proxy.set(Harm::None);
+    proxy.set_fault(ProxyFault::None);
 }
 
 fn run_seed(seed: u64, proxied: bool) -> Truth {
@@ -210,7 +212,7 @@
         }
         harmed.extend(servers);
     }
-    platform::configure_total(&store, 1, &backends.each_ref(), TOTAL);
+    platform::configure_prepaid(&store, 1, &backends.each_ref(), TOTAL);
     let relays = ["side-1", "side-2"].map(|vm| Process::start_relay(&store, vm));
     let gateways = [Process::start_gateway(&store), Process::start_gateway(&store)];
     let entries: Vec<SocketAddr> = gateways.iter().map(|gateway| gateway.callers).collect();
--- a/toucanrail-gateway/tests/fleet_boards.rs
+++ b/toucanrail-gateway/tests/fleet_boards.rs
@@ -5,7 +5,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use platform::{Act, Backend, Process, Store, request};
+use platform::{Action, Backend, Process, Store, request};
 
 /// Makes the fleet look large: more names of the one relay that runs.
 fn start_fleet(store: &Store) -> Process {
@@ -21,7 +21,7 @@
 /// A store, a relay that is the board and a gateway that asks it.
 fn start_board() -> (Store, Backend, Process, Process) {
     let store = Store::start();
-    let backend = Backend::start("i-1", |_, _| Act::Answer(platform::signed("seven")));
+    let backend = Backend::start("i-1", |_, _| Action::Respond(platform::signed_response("seven")));
     platform::configure(&store, 1, &[&backend]);
     let relay = start_fleet(&store);
     let gateway = Process::start_gateway(&store);
@@ -32,7 +32,7 @@
 
 /// Writes a configuration with one more route; it must be in force within two seconds.
 fn expect_change(store: &Store, backend: &Backend, gateway: &Process) {
-    platform::configure_path(store, 2, &[backend], "fresh");
+    platform::configure_extra_route(store, 2, &[backend], "fresh");
     let start = Instant::now();
     let text = request("GET", "/fresh/a", "r0", "", "");
     platform::wait_until("the new route", || {
@@ -46,10 +46,10 @@
 #[test]
 fn board_watches() {
     let (store, backend, _relay, gateway) = start_board();
-    let before = store.watches();
+    let before = store.watch_count();
     expect_change(&store, &backend, &gateway);
     thread::sleep(Duration::from_secs(3));
-    assert_eq!(store.watches(), before);
+    assert_eq!(store.watch_count(), before);
 }
 
 /// The board is killed. Its entries must not wait for it: they watch the store themselves at once.
@@ -75,12 +75,12 @@
 fn stale_board() {
     let (store, backend, _relay, gateway) = start_board();
     for hold in [true, false] {
-        store.hold("config", hold);
-        store.hold("servers", hold);
+        store.set_blocked("config", hold);
+        store.set_blocked("servers", hold);
         thread::sleep(Duration::from_millis(if hold { 4_500 } else { 2_500 }));
     }
-    let before = store.watches();
+    let before = store.watch_count();
     thread::sleep(Duration::from_millis(2_500));
-    assert_eq!(store.watches(), before);
+    assert_eq!(store.watch_count(), before);
     expect_change(&store, &backend, &gateway);
 }
--- a/toucanrail-gateway/tests/fresh_start.rs
+++ b/toucanrail-gateway/tests/fresh_start.rs
@@ -2,7 +2,7 @@
 
 mod platform;
 
-use platform::{Act, Backend, Process, Store, request};
+use platform::{Action, Backend, Process, Store, request};
 
 /// An entry starts while the store is busy. Its configuration comes first, the balancer finds it
 /// ready and sends callers, and each is refused with "no backend server" although all servers are
@@ -10,9 +10,9 @@
 #[test]
 fn unlisted_servers() {
     let store = Store::start();
-    let backend = Backend::start("i-1", |_, _| Act::Answer(platform::signed("seven")));
+    let backend = Backend::start("i-1", |_, _| Action::Respond(platform::signed_response("seven")));
     platform::configure(&store, 1, &[&backend]);
-    store.hold("servers", true);
+    store.set_blocked("servers", true);
     let gateway = Process::start_unready(&store);
     let unknown = request("GET", "/nowhere/a", "r0", "", "");
     platform::wait_until("the configuration", || {
@@ -20,7 +20,7 @@
     });
     let asked = platform::call(gateway.readiness, "GET /api/ready HTTP/1.1\r\nHost: x\r\n\r\n");
     assert_eq!(asked.map(|answer| answer.status()), Some(503));
-    store.hold("servers", false);
+    store.set_blocked("servers", false);
     gateway.wait_ready(true);
     let text = request("GET", "/safe/a", "r1", "", "");
     assert_eq!(platform::call(gateway.callers, &text).unwrap().body, b"seven");
--- a/toucanrail-gateway/tests/gateway_ends.rs
+++ b/toucanrail-gateway/tests/gateway_ends.rs
@@ -5,12 +5,12 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use platform::{Act, Backend, Process, Store, request};
+use platform::{Action, Backend, Process, Store, request};
 
 fn slow_stream() -> String {
     let events = (1..=20).map(|id| platform::chunk(&format!("id: {id}\ndata: x\n\n")));
     let events: Vec<String> = events.collect();
-    [platform::STREAM, &events.join("PAUSE"), "0\r\n\r\n"].concat()
+    [platform::STREAM_HEAD, &events.join("PAUSE"), "0\r\n\r\n"].concat()
 }
 
 /// An entry is stopped while a stream is under way: the balancer is told, the stream ends whole, and
@@ -18,12 +18,12 @@
 #[test]
 fn graceful_stop() {
     let store = Store::start();
-    let backend = Backend::start("i-1", |_, _| Act::Answer(slow_stream()));
+    let backend = Backend::start("i-1", |_, _| Action::Respond(slow_stream()));
     platform::configure(&store, 1, &[&backend]);
     let mut gateway = Process::start_gateway(&store);
     let address = gateway.callers;
     let caller = thread::spawn(move || {
-        let more = format!("{}Connection: close\r\n", platform::PROMPT);
+        let more = format!("{}Connection: close\r\n", platform::PROMPT_HEADERS);
         platform::call_raw(address, &request("POST", "/stream/a", "r1", &more, "p"))
     });
     platform::wait_until("the request", || !backend.seen().is_empty());
@@ -39,19 +39,19 @@
 #[test]
 fn late_requests() {
     let store = Store::start();
-    let slow = ["PAUSE".repeat(20), platform::signed("whole")].concat();
+    let slow = ["PAUSE".repeat(20), platform::signed_response("whole")].concat();
     let backend = Backend::start("i-1", move |_, message| match message.field("x-model") {
-        Some(_) => Act::Answer([platform::STREAM, "0\r\n\r\n"].concat()),
-        None => Act::Answer(slow.clone()),
+        Some(_) => Action::Respond([platform::STREAM_HEAD, "0\r\n\r\n"].concat()),
+        None => Action::Respond(slow.clone()),
     });
     platform::configure(&store, 1, &[&backend]);
     let mut gateway = Process::start_gateway(&store);
     let address = gateway.callers;
     // The entry has a grant to give back, and the store does not take it.
-    let more = format!("{}Connection: close\r\n", platform::PROMPT);
+    let more = format!("{}Connection: close\r\n", platform::PROMPT_HEADERS);
     platform::call_raw(address, &request("POST", "/stream/a", "r0", &more, "p"));
     assert!(!store.granted("acme").is_empty());
-    store.hold("budgets", true);
+    store.set_blocked("budgets", true);
     gateway.signal("TERM");
     thread::sleep(Duration::from_millis(2_600));
     let call = |number: u32| {
@@ -75,11 +75,13 @@
 fn caller_gone() {
     use std::io::Write;
     let store = Store::start();
-    let backend = Backend::start("i-1", |_, _| Act::Answer(slow_stream().repeat(5)));
+    let backend = Backend::start("i-1", |_, _| Action::Respond(slow_stream().repeat(5)));
     platform::configure(&store, 1, &[&backend]);
     let gateway = Process::start_gateway(&store);
     let mut stream = std::net::TcpStream::connect(gateway.callers).unwrap();
-    stream.write_all(request("POST", "/stream/a", "r1", platform::PROMPT, "p").as_bytes()).unwrap();
+    stream
+        .write_all(request("POST", "/stream/a", "r1", platform::PROMPT_HEADERS, "p").as_bytes())
+        .unwrap();
     platform::wait_until("the request", || !backend.seen().is_empty());
     drop(stream);
     // The prompt alone, or with what had come until then, is billed soon after: the attempt is over.
@@ -91,14 +93,14 @@
 #[test]
 fn absent_store() {
     let store = Store::start();
-    let backend = Backend::start("i-1", |_, _| Act::Answer(platform::signed("fine")));
+    let backend = Backend::start("i-1", |_, _| Action::Respond(platform::signed_response("fine")));
     platform::configure(&store, 1, &[&backend]);
     let gateway = Process::start_gateway(&store);
     let text = request("GET", "/safe/a", "r1", "", "");
     platform::wait_until("service", || {
         platform::call(gateway.callers, &text).is_some_and(|answer| answer.status() == 200)
     });
-    store.cut(true);
+    store.set_cut_off(true);
     let start = Instant::now();
     while start.elapsed() < Duration::from_secs(3) {
         assert_eq!(platform::call(gateway.callers, &text).unwrap().status(), 200);
@@ -111,7 +113,7 @@
     let relay = Process::start_relay(store, "side-1");
     let gateway = Process::start_gateway(store);
     thread::sleep(Duration::from_millis(1_200));
-    store.cut(true);
+    store.set_cut_off(true);
     (relay, gateway)
 }
 
@@ -121,15 +123,15 @@
 #[test]
 fn cut_entry() {
     let store = Store::start();
-    let backend = Backend::start("i-1", |_, _| Act::Answer(slow_stream()));
+    let backend = Backend::start("i-1", |_, _| Action::Respond(slow_stream()));
     platform::configure(&store, 1, &[&backend]);
     let (relay, gateway) = start_cut(&store);
-    let more = format!("{}Connection: close\r\n", platform::PROMPT);
+    let more = format!("{}Connection: close\r\n", platform::PROMPT_HEADERS);
     let text = request("POST", "/stream/a", "r1", &more, "p");
     platform::wait_until("service", || {
         platform::call_raw(gateway.callers, &text).starts_with("HTTP/1.1 200")
     });
-    let two = Backend::start("i-2", |_, _| Act::Answer(platform::signed("second")));
+    let two = Backend::start("i-2", |_, _| Action::Respond(platform::signed_response("second")));
     platform::configure(&store, 2, &[&two]);
     store.remove("servers", "i-1");
     platform::wait_until("the new server", || {
@@ -145,11 +147,11 @@
 #[test]
 fn lone_entry() {
     let store = Store::start();
-    let backend = Backend::start("i-1", |_, _| Act::Answer(slow_stream()));
+    let backend = Backend::start("i-1", |_, _| Action::Respond(slow_stream()));
     platform::configure(&store, 1, &[&backend]);
     let (relay, gateway) = start_cut(&store);
     relay.signal("KILL");
-    let text = request("POST", "/stream/a", "r1", platform::PROMPT, "p");
+    let text = request("POST", "/stream/a", "r1", platform::PROMPT_HEADERS, "p");
     platform::wait_until("a refusal that closes", || {
         let answer = platform::call(gateway.callers, &text).unwrap();
         answer.status() == 503 && answer.field("connection") == Some("close")
@@ -158,7 +160,7 @@
     // What needs no budget is served on.
     let public = request("GET", "/safe/a", "r2", "", "");
     assert!(platform::call(gateway.callers, &public).is_some());
-    store.cut(false);
+    store.set_cut_off(false);
     gateway.wait_ready(true);
 }
 
@@ -168,15 +170,15 @@
 #[test]
 fn forgotten_history() {
     let store = Store::start();
-    let backend = Backend::start("i-1", |_, _| Act::Answer(platform::signed("fine")));
+    let backend = Backend::start("i-1", |_, _| Action::Respond(platform::signed_response("fine")));
     platform::configure(&store, 1, &[&backend]);
     let gateway = Process::start_gateway(&store);
     let text = request("GET", "/safe/a", "r1", "", "");
     assert_eq!(platform::call(gateway.callers, &text).unwrap().status(), 200);
-    let mut config = platform::last_config(&store);
+    let mut config = platform::current_config(&store);
     config["version"] = 2.into();
     config["tenants"][0]["api_keys"] = vec!["another"].into();
-    store.put_unseen("config", "main", config);
+    store.put_without_event("config", "main", config);
     let start = Instant::now();
     platform::wait_until("the lost key", || {
         platform::call(gateway.callers, &text).is_some_and(|answer| answer.status() == 401)
--- a/toucanrail-gateway/tests/hosted_relays.rs
+++ b/toucanrail-gateway/tests/hosted_relays.rs
@@ -5,20 +5,20 @@
 use std::thread;
 use std::time::Duration;
 
-use platform::{Act, Backend, Process, Store, request};
+use platform::{Action, Backend, Process, Store, request};
 
 fn start_entries() -> (Store, Backend, [Process; 2]) {
     let store = Store::start();
     let events = platform::chunk("id: 1\ndata: x\n\n");
-    let answer = [platform::STREAM, &events, "0\r\n\r\n"].concat();
-    let backend = Backend::start("i-1", move |_, _| Act::Answer(answer.clone()));
-    platform::configure_total(&store, 1, &[&backend], 100_000);
+    let answer = [platform::STREAM_HEAD, &events, "0\r\n\r\n"].concat();
+    let backend = Backend::start("i-1", move |_, _| Action::Respond(answer.clone()));
+    platform::configure_prepaid(&store, 1, &[&backend], 100_000);
     let entries = ["front-1", "front-2"].map(|vm| Process::start_gateway_on(&store, vm));
     (store, backend, entries)
 }
 
 fn serve(entry: &Process, id: &str) {
-    let more = format!("{}Connection: close\r\n", platform::PROMPT);
+    let more = format!("{}Connection: close\r\n", platform::PROMPT_HEADERS);
     let answer = platform::call_raw(entry.callers, &request("POST", "/stream/a", id, &more, "p"));
     assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
 }
--- a/toucanrail-gateway/tests/lender_ends.rs
+++ b/toucanrail-gateway/tests/lender_shutdown.rs
@@ -5,7 +5,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use platform::{Act, Backend, Process, Store, request};
+use platform::{Action, Backend, Process, Store, request};
 
 /// A lender is told to stop while a stream that it lent the budget for is under way. It gave its unused
 /// grants back and ended at once; the entry could end the loan nowhere, the stream was never billed, and
@@ -16,15 +16,15 @@
     let store = Store::start();
     let events: Vec<String> =
         (1..=60).map(|id| platform::chunk(&format!("id: {id}\ndata: x\n\n"))).collect();
-    let stream = [platform::STREAM, &events.join("PAUSE"), "0\r\n\r\n"].concat();
-    let backend = Backend::start("i-1", move |_, _| Act::Answer(stream.clone()));
-    platform::configure_total(&store, 1, &[&backend], 100_000);
+    let stream = [platform::STREAM_HEAD, &events.join("PAUSE"), "0\r\n\r\n"].concat();
+    let backend = Backend::start("i-1", move |_, _| Action::Respond(stream.clone()));
+    platform::configure_prepaid(&store, 1, &[&backend], 100_000);
     let mut relay = Process::start_relay(&store, "side-1");
     platform::wait_until("the relay", || store.has("relays", "side-1"));
     let gateway = Process::start_gateway(&store);
     let address = gateway.callers;
     let caller = thread::spawn(move || {
-        let more = format!("{}Connection: close\r\n", platform::PROMPT);
+        let more = format!("{}Connection: close\r\n", platform::PROMPT_HEADERS);
         platform::call_raw(address, &request("POST", "/stream/a", "r1", &more, "p"))
     });
     platform::wait_until("the request", || !backend.seen().is_empty());
@@ -42,13 +42,14 @@
 #[test]
 fn leaving_lender() {
     let store = Store::start();
-    let stream = [platform::STREAM, &platform::chunk("id: 1\ndata: a\n\n"), "0\r\n\r\n"].concat();
-    let backend = Backend::start("i-1", move |_, _| Act::Answer(stream.clone()));
-    platform::configure_total(&store, 1, &[&backend], 100_000);
+    let stream =
+        [platform::STREAM_HEAD, &platform::chunk("id: 1\ndata: a\n\n"), "0\r\n\r\n"].concat();
+    let backend = Backend::start("i-1", move |_, _| Action::Respond(stream.clone()));
+    platform::configure_prepaid(&store, 1, &[&backend], 100_000);
     let mut relay = Process::start_relay(&store, "side-1");
     platform::wait_until("the relay", || store.has("relays", "side-1"));
     let gateway = Process::start_gateway(&store);
-    let more = format!("{}Connection: close\r\n", platform::PROMPT);
+    let more = format!("{}Connection: close\r\n", platform::PROMPT_HEADERS);
     let call = |id: &str| {
         platform::call_raw(gateway.callers, &request("POST", "/stream/a", id, &more, "p"))
     };
@@ -67,16 +68,16 @@
 fn frozen_lender() {
     let store = Store::start();
     let events = platform::chunk("id: 1\ndata: x\n\n");
-    let answer = [platform::STREAM, &events, "0\r\n\r\n"].concat();
-    let backend = Backend::start("i-1", move |_, _| Act::Answer(answer.clone()));
-    platform::configure_total(&store, 1, &[&backend], 100_000);
+    let answer = [platform::STREAM_HEAD, &events, "0\r\n\r\n"].concat();
+    let backend = Backend::start("i-1", move |_, _| Action::Respond(answer.clone()));
+    platform::configure_prepaid(&store, 1, &[&backend], 100_000);
     let relays = ["side-1", "side-2"].map(|vm| Process::start_relay(&store, vm));
     let gateway = Process::start_gateway(&store);
     thread::sleep(Duration::from_millis(1_200));
     // Whichever of the two lends: one of these is the time of a frozen lender.
     for relay in &relays {
         relay.signal("STOP");
-        let more = format!("{}Connection: close\r\n", platform::PROMPT);
+        let more = format!("{}Connection: close\r\n", platform::PROMPT_HEADERS);
         let text = request("POST", "/stream/a", "r1", &more, "p");
         let start = Instant::now();
         let got = platform::call_raw(gateway.callers, &text);
--- a/toucanrail-gateway/tests/lost_answers.rs
+++ b/toucanrail-gateway/tests/lost_answers.rs
@@ -2,14 +2,14 @@
 
 mod platform;
 
-use platform::{Act, Backend, Process, Store, request};
+use platform::{Action, Backend, Process, Store, request};
 
 const FAILED: &str = "HTTP/1.1 500 Failed\r\nX-Attempt-Id: ID\r\nX-Replica-Signature: s\r\nContent-Length: 4\r\n\r\nsick";
 const DECLINED: &str = "HTTP/1.1 503 Full\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n";
 
 fn start_pair<Script>(script: Script) -> (Store, Backend, Backend, Process)
 where
-    Script: Fn(usize) -> Act + Clone + Send + Sync + 'static,
+    Script: Fn(usize) -> Action + Clone + Send + Sync + 'static,
 {
     let store = Store::start();
     let other = script.clone();
@@ -24,7 +24,7 @@
 /// as "not run" its caller would file it twice.
 #[test]
 fn lost_submission() {
-    let (_store, one, two, gateway) = start_pair(|_| Act::Break(String::new()));
+    let (_store, one, two, gateway) = start_pair(|_| Action::Disconnect(String::new()));
     let text = request("POST", "/once/a", "r1", "", "file");
     let answer = platform::call(gateway.callers, &text).unwrap();
     assert_eq!(answer.status(), 502);
@@ -36,8 +36,8 @@
 #[test]
 fn failed_lookup() {
     let store = Store::start();
-    let sick = Backend::start("i-1", |_, _| Act::Answer(FAILED.to_owned()));
-    let sound = Backend::start("i-2", |_, _| Act::Answer(platform::signed("seven")));
+    let sick = Backend::start("i-1", |_, _| Action::Respond(FAILED.to_owned()));
+    let sound = Backend::start("i-2", |_, _| Action::Respond(platform::signed_response("seven")));
     platform::configure(&store, 1, &[&sick, &sound]);
     let gateway = Process::start_gateway(&store);
     for number in 0..4 {
@@ -49,7 +49,7 @@
 /// Both servers say that they did not run a submission: its caller is told so, and when to come back.
 #[test]
 fn declined_submission() {
-    let (_store, one, two, gateway) = start_pair(|_| Act::Answer(DECLINED.to_owned()));
+    let (_store, one, two, gateway) = start_pair(|_| Action::Respond(DECLINED.to_owned()));
     let text = request("POST", "/once/a", "r1", "", "file");
     let answer = platform::call(gateway.callers, &text).unwrap();
     assert_eq!(answer.status(), 429);
@@ -64,10 +64,10 @@
 fn foreign_answer() {
     let store = Store::start();
     let backend = Backend::start("i-1", |number, _| {
-        let own = platform::signed("own");
-        Act::Answer(match number {
+        let own = platform::signed_response("own");
+        Action::Respond(match number {
             0 => own,
-            _ => platform::signed("foreign").replace("ID", "r0") + &own,
+            _ => platform::signed_response("foreign").replace("ID", "r0") + &own,
         })
     });
     platform::configure(&store, 1, &[&backend]);
@@ -86,7 +86,8 @@
         "rubbish\r\n\r\n",
         "HTTP/1.1 200 OK\r\nX-Attempt-Id: ID\r\nX-Replica-Signature: s\r\nContent-Length: 9\r\n\r\ncut",
     ] {
-        let (_store, _one, _two, gateway) = start_pair(move |_| Act::Break(bytes.to_owned()));
+        let (_store, _one, _two, gateway) =
+            start_pair(move |_| Action::Disconnect(bytes.to_owned()));
         let text = request("POST", "/once/a", "r1", "", "file");
         assert_eq!(platform::call(gateway.callers, &text).unwrap().status(), 502);
     }
@@ -98,19 +99,19 @@
 fn resumed_stream() {
     let store = Store::start();
     let script = |_: usize, message: &platform::Message| match message.field("last-event-id") {
-        None => {
-            Act::Break([platform::STREAM, &platform::chunk("id: 1\ndata: a\n\nid: 2\nda")].concat())
-        }
-        Some("1") => Act::Answer(
-            [platform::STREAM, &platform::chunk("id: 2\ndata: b\n\n"), "0\r\n\r\n"].concat(),
+        None => Action::Disconnect(
+            [platform::STREAM_HEAD, &platform::chunk("id: 1\ndata: a\n\nid: 2\nda")].concat(),
         ),
-        Some(_) => Act::Break(String::new()),
+        Some("1") => Action::Respond(
+            [platform::STREAM_HEAD, &platform::chunk("id: 2\ndata: b\n\n"), "0\r\n\r\n"].concat(),
+        ),
+        Some(_) => Action::Disconnect(String::new()),
     };
     let one = Backend::start("i-1", script);
     let two = Backend::start("i-2", script);
     platform::configure(&store, 1, &[&one, &two]);
     let gateway = Process::start_gateway(&store);
-    let more = format!("{}Connection: close\r\n", platform::PROMPT);
+    let more = format!("{}Connection: close\r\n", platform::PROMPT_HEADERS);
     let answer =
         platform::call_raw(gateway.callers, &request("POST", "/resume/a", "r1", &more, "p"));
     assert_eq!(answer.matches("data: a").count(), 1, "{answer}");
@@ -121,9 +122,9 @@
 /// The same where it may not be resumed: the caller must see that its stream is cut.
 #[test]
 fn cut_stream() {
-    let broken = [platform::STREAM, &platform::chunk("id: 1\ndata: a\n\nid: 2\nda")].concat();
-    let (_store, one, two, gateway) = start_pair(move |_| Act::Break(broken.clone()));
-    let more = format!("{}Connection: close\r\n", platform::PROMPT);
+    let broken = [platform::STREAM_HEAD, &platform::chunk("id: 1\ndata: a\n\nid: 2\nda")].concat();
+    let (_store, one, two, gateway) = start_pair(move |_| Action::Disconnect(broken.clone()));
+    let more = format!("{}Connection: close\r\n", platform::PROMPT_HEADERS);
     let answer =
         platform::call_raw(gateway.callers, &request("POST", "/stream/a", "r1", &more, "p"));
     assert!(answer.contains("data: a") && !answer.ends_with("0\r\n\r\n"), "{answer}");
@@ -135,7 +136,7 @@
 #[test]
 fn early_answer() {
     let store = Store::start();
-    let backend = Backend::start_hasty("i-1");
+    let backend = Backend::start_early_responder("i-1");
     platform::configure(&store, 1, &[&backend]);
     let gateway = Process::start_gateway(&store);
     for number in 0..6_u8 {
--- a/toucanrail-gateway/tests/platform/mod.rs
+++ b/toucanrail-gateway/tests/platform/mod.rs
@@ -179,7 +179,7 @@
     }
 
     /// Keeps calls for one kind waiting, or lets them go on.
-    pub fn hold(&self, kind: &str, hold: bool) {
+    pub fn set_blocked(&self, kind: &str, hold: bool) {
         let mut blocked = self.blocked.lock().expect("blocked kinds");
         if hold {
             blocked.insert(kind.to_owned());
@@ -189,7 +189,7 @@
     }
 
     /// Cuts the gateways off, or heals the cut.
-    pub fn cut(&self, cut: bool) {
+    pub fn set_cut_off(&self, cut: bool) {
         self.cut.store(cut, Ordering::Relaxed);
     }
 
@@ -200,7 +200,7 @@
     }
 
     /// Writes an object and forgets all history with it: no watch sees the change.
-    pub fn put_unseen(&self, kind: &str, name: &str, spec: Value) {
+    pub fn put_without_event(&self, kind: &str, name: &str, spec: Value) {
         let mut state = self.state.lock().expect("the store");
         write(&mut state, kind, name, spec);
         state.events.clear();
@@ -218,7 +218,7 @@
     }
 
     /// Returns how often gateways themselves began to watch.
-    pub fn watches(&self) -> u64 {
+    pub fn watch_count(&self) -> u64 {
         self.watches.load(Ordering::Relaxed)
     }
 
@@ -334,11 +334,11 @@
 
 /// What a backend server does with a request.
 #[derive(Debug, Clone)]
-pub enum Act {
+pub enum Action {
     /// Writes these bytes, in which `ID` stands for the attempt's id, then waits for the next.
-    Answer(String),
+    Respond(String),
     /// Writes these bytes and resets or closes the connection.
-    Break(String),
+    Disconnect(String),
 }
 
 /// A backend server.
@@ -353,7 +353,7 @@
     /// Starts one that does what `script` says of each request it gets, by its number from 0.
     pub fn start<Script>(id: &str, script: Script) -> Self
     where
-        Script: Fn(usize, &Message) -> Act + Send + Sync + 'static,
+        Script: Fn(usize, &Message) -> Action + Send + Sync + 'static,
     {
         let seen: Arc<Mutex<Vec<Message>>> = Arc::default();
         let known = Arc::clone(&seen);
@@ -366,8 +366,8 @@
                 };
                 let id = message.field("x-attempt-id").unwrap_or_default().to_owned();
                 let (text, breaks) = match script(number, &message) {
-                    Act::Answer(text) => (text, false),
-                    Act::Break(text) => (text, true),
+                    Action::Respond(text) => (text, false),
+                    Action::Disconnect(text) => (text, true),
                 };
                 for part in text.replace("ID", &id).split("PAUSE") {
                     if stream.write_all(part.as_bytes()).is_err() {
@@ -384,13 +384,13 @@
     }
 
     /// Starts one that answers as soon as it has a request's head, and reads its body later.
-    pub fn start_hasty(id: &str) -> Self {
+    pub fn start_early_responder(id: &str) -> Self {
         let seen: Arc<Mutex<Vec<Message>>> = Arc::default();
         let known = Arc::clone(&seen);
         let address = spawn_server(move |mut stream| {
             while let Some(mut message) = read_head(&mut stream) {
                 let id = message.field("x-attempt-id").unwrap_or_default().to_owned();
-                let text = signed("early").replace("ID", &id);
+                let text = signed_response("early").replace("ID", &id);
                 if stream.write_all(text.as_bytes()).is_err() {
                     return;
                 }
@@ -423,7 +423,7 @@
 }
 
 /// An answer with a body, signed.
-pub fn signed(body: &str) -> String {
+pub fn signed_response(body: &str) -> String {
     format!(
         "HTTP/1.1 200 OK\r\nX-Attempt-Id: ID\r\nX-Replica-Signature: s\r\nContent-Length: {}\r\n\r\n{body}",
         body.len()
@@ -431,7 +431,7 @@
 }
 
 /// The start of a stream, signed, up to its first chunk.
-pub const STREAM: &str = "HTTP/1.1 200 OK\r\nX-Attempt-Id: ID\r\nX-Replica-Signature: s\r\n\
+pub const STREAM_HEAD: &str = "HTTP/1.1 200 OK\r\nX-Attempt-Id: ID\r\nX-Replica-Signature: s\r\n\
     Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
 
 /// One chunk.
@@ -478,7 +478,7 @@
     }
 
     /// Starts a gateway where data centres are emptied and cold servers spared, and waits until it is ready.
-    pub fn start_bounded(store: &Store) -> Self {
+    pub fn start_with_limits(store: &Store) -> Self {
         let program = env!("CARGO_BIN_EXE_toucanrail-gateway");
         let process = Self::start_with(program, store.address, "front-1", None, PLACE_BOUNDS);
         process.wait_ready(true);
@@ -661,15 +661,16 @@
 }
 
 /// Fields of a request for a model.
-pub const PROMPT: &str = "X-Model: m\r\nX-Token-Usage: 100,60\r\nX-Prefix-Hash: a:60,b:40\r\n";
+pub const PROMPT_HEADERS: &str =
+    "X-Model: m\r\nX-Token-Usage: 100,60\r\nX-Prefix-Hash: a:60,b:40\r\n";
 
 /// Writes the configuration: plain routes `/once/` and `/safe/`, streams `/stream/` and `/resume/`.
 pub fn configure(store: &Store, version: u64, backends: &[&Backend]) {
-    configure_total(store, version, backends, 1_000);
+    configure_prepaid(store, version, backends, 1_000);
 }
 
 /// Writes the same with another total of the customer.
-pub fn configure_total(store: &Store, version: u64, backends: &[&Backend], total: u64) {
+pub fn configure_prepaid(store: &Store, version: u64, backends: &[&Backend], total: u64) {
     configure_all(store, version, backends, total, None);
 }
 
@@ -683,7 +684,7 @@
 
 /// Writes the configuration with another value of one field of all routes, customers or services.
 pub fn configure_field(store: &Store, version: u64, table: &str, field: &str, value: &Value) {
-    let mut config = last_config(store);
+    let mut config = current_config(store);
     config["version"] = json!(version);
     for row in config[table].as_array_mut().expect("a table") {
         row[field] = value.clone();
@@ -692,12 +693,12 @@
 }
 
 /// Returns the configuration as last written.
-pub fn last_config(store: &Store) -> Value {
+pub fn current_config(store: &Store) -> Value {
     store.get("config", "main").expect("a configuration")
 }
 
 /// Writes the same with one more plain route, `/NAME/`.
-pub fn configure_path(store: &Store, version: u64, backends: &[&Backend], name: &str) {
+pub fn configure_extra_route(store: &Store, version: u64, backends: &[&Backend], name: &str) {
     configure_all(store, version, backends, 1_000, Some(name));
 }
 
--- a/toucanrail-gateway/tests/platform/proxies.rs
+++ b/toucanrail-gateway/tests/platform/proxies.rs
@@ -11,15 +11,15 @@
 
 /// What a proxy does with bytes that arrive.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Harm {
+pub enum ProxyFault {
     /// Passes them on.
     None,
     /// Passes them on late.
     Delay(Duration),
     /// Loses what servers send.
-    LoseAnswers,
+    DropResponses,
     /// Loses what callers send.
-    LoseRequests,
+    DropRequests,
 }
 
 /// One connection, as both of its directions see it.
@@ -34,14 +34,14 @@
 #[derive(Debug, Clone)]
 pub struct Proxy {
     pub address: SocketAddr,
-    harm: Arc<Mutex<Harm>>,
+    harm: Arc<Mutex<ProxyFault>>,
     open: Arc<Mutex<Vec<Passage>>>,
 }
 
 impl Proxy {
     /// Starts a proxy that harms nothing yet.
     pub fn start(target: SocketAddr) -> Self {
-        let harm = Arc::new(Mutex::new(Harm::None));
+        let harm = Arc::new(Mutex::new(ProxyFault::None));
         let open: Arc<Mutex<Vec<Passage>>> = Arc::default();
         let (known, opened) = (Arc::clone(&harm), Arc::clone(&open));
         let address = spawn_server(move |near| {
@@ -53,28 +53,34 @@
             opened.lock().expect("passages").push(passage.clone());
             let (back, harm) = (passage.clone(), Arc::clone(&known));
             let answers = thread::spawn(move || {
-                pass_bytes(&back.far, &back.near, &back.silent, &harm, Harm::LoseAnswers);
+                pass_bytes(&back.far, &back.near, &back.silent, &harm, ProxyFault::DropResponses);
             });
-            pass_bytes(&passage.near, &passage.far, &passage.silent, &known, Harm::LoseRequests);
+            pass_bytes(
+                &passage.near,
+                &passage.far,
+                &passage.silent,
+                &known,
+                ProxyFault::DropRequests,
+            );
             answers.join().expect("the other direction");
         });
         Self { address, harm, open }
     }
 
     /// Harms what arrives from now on, on old connections and new ones.
-    pub fn set(&self, harm: Harm) {
+    pub fn set_fault(&self, harm: ProxyFault) {
         *self.harm.lock().expect("harm") = harm;
     }
 
     /// Ends all open connections.
-    pub fn reset(&self) {
+    pub fn reset_connections(&self) {
         for passage in self.open.lock().expect("passages").drain(..) {
             close(&passage.near, &passage.far);
         }
     }
 
     /// Lets all open connections go silent for good; new ones work.
-    pub fn silence(&self) {
+    pub fn stall_connections(&self) {
         for passage in self.open.lock().expect("passages").drain(..) {
             passage.silent.store(true, Ordering::Relaxed);
         }
@@ -93,8 +99,8 @@
     mut from: &TcpStream,
     mut to: &TcpStream,
     silent: &AtomicBool,
-    harm: &Mutex<Harm>,
-    losing: Harm,
+    harm: &Mutex<ProxyFault>,
+    losing: ProxyFault,
 ) {
     let mut buffer = [0; 4_096];
     let mut lost = false;
@@ -107,7 +113,7 @@
         if lost || silent.load(Ordering::Relaxed) {
             continue;
         }
-        if let Harm::Delay(time) = now {
+        if let ProxyFault::Delay(time) = now {
             thread::sleep(time);
         }
         if to.write_all(&buffer[..count]).is_err() {
--- a/toucanrail-gateway/tests/silent_servers.rs
+++ b/toucanrail-gateway/tests/silent_servers.rs
@@ -4,7 +4,7 @@
 
 use std::time::{Duration, Instant};
 
-use platform::{Act, Backend, Message, Process, Store, request};
+use platform::{Action, Backend, Message, Process, Store, request};
 
 /// A report of a server's load.
 fn report(waiting: u32, runs: &str) -> String {
@@ -13,7 +13,7 @@
 }
 
 fn whole_stream() -> String {
-    [platform::STREAM, &platform::chunk("id: 1\ndata: whole\n\n"), "0\r\n\r\n"].concat()
+    [platform::STREAM_HEAD, &platform::chunk("id: 1\ndata: whole\n\n"), "0\r\n\r\n"].concat()
 }
 
 /// Starts a server that answers a stream only after some seconds and reports as told, with its relay,
@@ -24,13 +24,13 @@
 ) -> (Store, Backend, Vec<Backend>, Process, Process) {
     let store = Store::start();
     let slow = Backend::start("i-1", move |_, message: &Message| match message.target() {
-        "/api/report" => Act::Answer(reports.to_owned()),
-        _ => Act::Answer(["PAUSE".repeat(70), whole_stream()].concat()),
+        "/api/report" => Action::Respond(reports.to_owned()),
+        _ => Action::Respond(["PAUSE".repeat(70), whole_stream()].concat()),
     });
-    let fast = Backend::start("i-2", |_, _| Act::Answer(whole_stream()));
+    let fast = Backend::start("i-2", |_, _| Action::Respond(whole_stream()));
     let backends: Vec<Backend> = if others { vec![fast] } else { Vec::new() };
     let all: Vec<&Backend> = std::iter::once(&slow).chain(&backends).collect();
-    platform::configure_total(&store, 1, &all, 100_000);
+    platform::configure_prepaid(&store, 1, &all, 100_000);
     let relay = Process::start_relay_beside(&store, "side-1", &slow);
     let gateway = Process::start_gateway(&store);
     (store, slow, backends, relay, gateway)
@@ -41,7 +41,7 @@
 }
 
 fn ask(gateway: &Process, id: &str) -> String {
-    let more = format!("{}Connection: close\r\n", platform::PROMPT);
+    let more = format!("{}Connection: close\r\n", platform::PROMPT_HEADERS);
     platform::call_raw(gateway.callers, &request("POST", "/resume/a", id, &more, "p"))
 }
 
@@ -104,10 +104,10 @@
 fn lost_answers() {
     let store = Store::start();
     let backend = Backend::start("i-1", |_, message: &Message| match message.target() {
-        "/api/report" => Act::Answer(report(0, "")),
-        _ => Act::Answer("PAUSE".repeat(300)),
+        "/api/report" => Action::Respond(report(0, "")),
+        _ => Action::Respond("PAUSE".repeat(300)),
     });
-    platform::configure_total(&store, 1, &[&backend], 100_000);
+    platform::configure_prepaid(&store, 1, &[&backend], 100_000);
     let _relay = Process::start_relay_beside(&store, "side-1", &backend);
     let gateway = Process::start_gateway(&store);
     let gateway = &gateway;
