--- a/toucanrail-gateway/src/change_feed.rs
+++ b/toucanrail-gateway/src/change_feed.rs
@@ -1,4 +1,4 @@
-//! The relay's watches of the store, and the answers to entries that ask for news.
+//! A relay's change feed: it watches the store on behalf of the entries that query it for changes.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -15,30 +15,31 @@
 
 use crate::store_access::StoreAccess;
 
-/// Call with a [`NewsOrder`], answered with a [`NewsReply`].
+/// Path of a call that takes a [`NewsOrder`] and returns a [`NewsReply`].
 pub const CHANGES_PATH: &str = "/news";
 
-/// Wait of one watch of what must be in force within two seconds.
+/// Long-poll wait of a watch on objects that must be in force within two seconds.
 const WATCH_WAIT: Duration = Duration::from_millis(500);
-/// Wait of one watch of evacuations, which may take longer.
+/// Long-poll wait of a watch on evacuations, which may take longer to come into force.
 const EVACUATION_WAIT: Duration = Duration::from_millis(1_500);
-/// Added before a watch counts as unanswered, and before the board is stale.
+/// Added to the wait before a watch counts as unanswered, and before the board counts as stale.
 const ANSWER_SLACK: Duration = Duration::from_millis(300);
 const STALE_SLACK: Duration = Duration::from_millis(400);
-/// Pause after a call that failed.
+/// Pause after a failed call.
 const FAILURE_PAUSE: Duration = Duration::from_millis(100);
-/// Time without a question after which a relay watches no more: it is not one that entries ask.
-const ASKED_TIME: Duration = Duration::from_secs(6);
-/// Longest wait of a question; entries wait for less.
-const ORDER_LIMIT: Duration = Duration::from_secs(5);
+/// Time without a query after which a relay stops watching: entries query other relays then.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(6);
+/// Upper limit for the wait of a query; entries ask for less.
+const MAX_QUERY_WAIT: Duration = Duration::from_secs(5);
 
-/// The board of one kind.
+/// The copy of one kind of store objects, and its watch.
 #[derive(Debug)]
 struct KindBoard {
-    /// Wait of one watch.
+    /// Long-poll wait of one watch.
     wait: Duration,
     table: RefCell<BoardTable>,
-    asked_at: Cell<Duration>,
+    /// Time of the last query.
+    queried_at: Cell<Duration>,
     watching: Cell<bool>,
     changed: Event,
 }
@@ -46,20 +47,21 @@
 impl KindBoard {
     fn new(wait: Duration) -> Self {
         let table = RefCell::new(Self::empty_table(wait));
-        let (asked_at, watching) = (Cell::default(), Cell::default());
-        Self { wait, table, asked_at, watching, changed: Event::new() }
+        let (queried_at, watching) = (Cell::default(), Cell::default());
+        Self { wait, table, queried_at, watching, changed: Event::new() }
     }
 
     fn empty_table(wait: Duration) -> BoardTable {
         BoardTable::with_freshness(wait + STALE_SLACK)
     }
 
-    fn forget(&self) {
+    /// Discards the copy; the next watch begins with a listing.
+    fn clear(&self) {
         *self.table.borrow_mut() = Self::empty_table(self.wait);
     }
 }
 
-/// The boards of one relay.
+/// The boards of one relay, by kind.
 #[derive(Debug)]
 pub struct ChangeFeed {
     store: Rc<StoreAccess>,
@@ -68,7 +70,7 @@
 }
 
 impl ChangeFeed {
-    /// Makes boards that nobody has asked yet.
+    /// Creates the boards. Watching begins with the first query.
     pub fn new(store: Rc<StoreAccess>, executor: Rc<LocalExecutor<'static>>) -> Self {
         let kinds = [
             (names::CONFIG_KIND, WATCH_WAIT),
@@ -79,17 +81,18 @@
         Self { store, executor, boards: boards.into() }
     }
 
-    /// Returns the time since the process's start.
+    /// Returns the time since the process started.
     pub fn now(&self) -> Duration {
         self.store.now()
     }
 
-    /// Answers one question: at once where there is news, else when there is, or after its wait.
+    /// Answers one query: immediately if there are changes, else as soon as there are, or with an empty reply
+    /// when its wait is over.
     pub async fn answer(&self, order: &NewsOrder) -> NewsReply {
         let Some((kind, board)) = self.boards.get_key_value(&*order.kind) else {
             return NewsReply::Stale;
         };
-        board.asked_at.set(self.store.now());
+        board.queried_at.set(self.store.now());
         if !board.watching.replace(true) {
             let watching = watch(Rc::clone(&self.store), kind, Rc::clone(board));
             self.executor.spawn(watching).detach();
@@ -103,44 +106,44 @@
                 changed.await;
             }
         };
-        let patience = async {
-            smol::Timer::after(order.wait.min(ORDER_LIMIT)).await;
+        let timeout = async {
+            smol::Timer::after(order.wait.min(MAX_QUERY_WAIT)).await;
             let after = order.after.unwrap_or_default();
             board.table.borrow().no_news(after, self.store.now())
         };
-        waiting.or(patience).await
+        waiting.or(timeout).await
     }
 }
 
-/// Follows a kind as long as it is asked for.
+/// Watches a kind for as long as entries query it.
 async fn watch(store: Rc<StoreAccess>, kind: &'static str, board: Rc<KindBoard>) {
     tracing::info!(event = "board_opened", kind);
-    while store.now().saturating_sub(board.asked_at.get()) < ASKED_TIME {
-        let done = step(&store, kind, &board).await;
-        store.note_call(kind, done.is_ok());
-        match done {
+    while store.now().saturating_sub(board.queried_at.get()) < IDLE_TIMEOUT {
+        let result = step(&store, kind, &board).await;
+        store.note_call(kind, result.is_ok());
+        match result {
             Ok(false) => {}
             Ok(true) => {
                 board.changed.notify(usize::MAX);
             }
             Err(StoreFailure::Forgotten) => {
-                board.forget();
+                board.clear();
             }
             Err(failure) => {
                 tracing::debug!(event = "store_failed", kind, %failure);
-                // Those who wait learn it now, and not when their wait is over.
+                // Waiting queries are answered as stale now instead of at the end of their wait.
                 board.table.borrow_mut().note_silence();
                 board.changed.notify(usize::MAX);
                 smol::Timer::after(FAILURE_PAUSE).await;
             }
         }
     }
-    board.forget();
+    board.clear();
     board.watching.set(false);
     tracing::info!(event = "board_closed", kind);
 }
 
-/// Lists the kind, or waits for its next changes; tells whether there are any.
+/// Lists the kind, or waits for its next changes. Returns whether there are any.
 async fn step(store: &StoreAccess, kind: &str, board: &KindBoard) -> Result<bool, StoreFailure> {
     let KindBoard { wait, table, .. } = board;
     let known = table.borrow().revision();
--- a/toucanrail-gateway/src/grant_manager.rs
+++ b/toucanrail-gateway/src/grant_manager.rs
@@ -1,6 +1,6 @@
-//! Grants of one process: holds for requests, and the syncs that settle them.
+//! The budget grants of one process: holds for requests, and the syncs with the store that bill their use.
 //!
-//! Lenders keep grants for the entries around them; an entry keeps its own where it reaches none.
+//! Lenders hold grants on behalf of the entries around them; an entry that reaches no lender uses its own.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -23,43 +23,45 @@
 use crate::store_access::StoreAccess;
 use crate::tuning::GatewayTuning;
 
-/// This use of the store, in logs.
+/// Name of this use of the store, in logs.
 const USAGE: &str = "budgets";
-/// Pause between syncs that requests asked for: those that wait meanwhile share the next one. Each
-/// costs a call, and a first event within half a second bears the wait.
+/// Pause between two syncs of a shard. Requests that arrive meanwhile share the next sync: each sync costs
+/// a store call, and a first event that is due within half a second leaves time for this pause.
 const SYNC_PAUSE: Duration = Duration::from_millis(50);
 /// Pause after a sync that the store did not answer.
-const SILENT_PAUSE: Duration = Duration::from_millis(150);
-/// Time for which a customer whose grant could not be had is refused without asking the store again;
-/// each look costs two or three calls, and what others hold comes back with their settlements.
-const SHORT_TIME: Duration = Duration::from_millis(400);
-/// Silence of the store from which what is left is kept for some requests: a slow answer or a lost one is
-/// followed by another within this time, and an outage lasts for seconds.
-const OUTAGE_LEAST: Duration = Duration::from_millis(800);
-/// Longest wait of a request for a grant; most grants are there, the others take one sync.
+const FAILURE_PAUSE: Duration = Duration::from_millis(150);
+/// Time for which a customer whose grant could not be raised is refused without asking the store again. Each
+/// attempt costs two or three calls, and budget that other processes hold is released only when they settle.
+const REFUSAL_CACHE_TIME: Duration = Duration::from_millis(400);
+/// Time without an answer of the store after which the remaining grant is reserved for some requests. A slow
+/// or lost answer is followed by another one within this time, while an outage lasts for seconds.
+const OUTAGE_THRESHOLD: Duration = Duration::from_millis(800);
+/// Longest wait of a request for a grant. Most requests are covered by the current grant; the others need
+/// one sync.
 const GRANT_WAIT: Duration = Duration::from_millis(400);
-/// How often shards are looked at for what is due.
-const TICK: Duration = Duration::from_millis(100);
-/// Longest wait of a stopping entry for its last settlement.
-const LEAVE_BOUND: Duration = Duration::from_millis(800);
+/// Interval at which shards are checked for due syncs.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// Timeout of the last settlement of a stopping process.
+const LEAVE_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Why a hold was not taken.
+/// Why a hold was refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HoldFailure {
-    /// The grant is short, and the store does not bring it now.
+    /// The grant does not cover the amount, and the store cannot raise it now.
     Short,
-    /// The customer's balance provably does not cover the amount.
+    /// The customer's balance is known not to cover the amount.
     Uncovered,
 }
 
+/// A recent refusal; requests of at least this amount are refused alike until it expires.
 #[derive(Debug, Clone, Copy)]
-struct ShortNote {
+struct CachedRefusal {
     until: Duration,
     amount: Tokens,
     failure: HoldFailure,
 }
 
-/// The grants of one process and the syncs that keep them.
+/// The grants of one process, and the syncs that raise and settle them.
 #[derive(Debug)]
 pub struct GrantManager {
     /// The grants.
@@ -68,22 +70,22 @@
     tuning: GatewayTuning,
     board: MetricBoard,
     executor: Rc<LocalExecutor<'static>>,
-    /// Customers whose grant could not be had just now.
-    short: RefCell<BTreeMap<CustomerId, ShortNote>>,
-    /// Shards whose sync runs; two at a time would take each other's outcome.
+    /// Recent refusals, by customer.
+    refusals: RefCell<BTreeMap<CustomerId, CachedRefusal>>,
+    /// Shards with a sync in progress; two concurrent syncs of a shard would mix up their outcomes.
     syncing: RefCell<BTreeSet<ShardName>>,
-    /// When each shard's last sync began.
+    /// When the last settlement of each shard began.
     settled_at: RefCell<BTreeMap<ShardName, Duration>>,
-    /// Whether the grants have gone back; none are taken any more.
-    left: Cell<bool>,
-    /// A request waits for a grant.
-    wanted: Event,
-    /// A sync has ended.
+    /// Whether the process is giving its grants back and accepts no new holds that need a sync.
+    closed: Cell<bool>,
+    /// Notified when a request begins to wait for a grant.
+    sync_requested: Event,
+    /// Notified when a sync has ended.
     synced: Event,
 }
 
 impl GrantManager {
-    /// Makes the manager of one run of a process.
+    /// Creates the manager for one run of a process.
     pub fn new(
         id: &EntryId,
         store: Rc<StoreAccess>,
@@ -97,16 +99,16 @@
             tuning,
             board,
             executor,
-            short: RefCell::default(),
+            refusals: RefCell::default(),
             syncing: RefCell::default(),
             settled_at: RefCell::default(),
-            left: Cell::new(false),
-            wanted: Event::new(),
+            closed: Cell::new(false),
+            sync_requested: Event::new(),
             synced: Event::new(),
         }
     }
 
-    /// Takes a customer's total, as the configuration states it.
+    /// Records a customer's prepaid total according to the configuration, adding the account if it is new.
     pub fn raise_prepaid(&self, customer: &CustomerId, total: Tokens) {
         let mut grants = self.grants.borrow_mut();
         if grants.account(customer).is_none() {
@@ -120,13 +122,13 @@
         paths::shard_of(customer, self.tuning.shards)
     }
 
-    /// Takes a hold, waiting for a sync if the grant is short.
+    /// Acquires a hold on the customer's grant, waiting for a sync if the grant does not cover the amount.
     pub async fn acquire_hold(
         &self,
         customer: &CustomerId,
         amount: Tokens,
         rank: u8,
-        left: Duration,
+        time_left: Duration,
     ) -> Result<GrantHold, HoldFailure> {
         if !self.may_spend(customer, amount, rank) {
             self.log_short(customer, amount);
@@ -135,35 +137,38 @@
         if let Ok(hold) = self.grants.borrow_mut().hold(customer, amount) {
             return Ok(hold);
         }
-        // No look could change this: totals come with the configuration, and what is billed only grows.
+        // No sync could change this: totals come with the configuration, and the billed amount only grows.
         if self.grants.borrow().is_uncovered(customer, amount) {
             return Err(HoldFailure::Uncovered);
         }
         let now = self.store.now();
-        let note = self.short.borrow().get(customer).copied();
-        if let Some(note) = note.filter(|note| now < note.until && amount >= note.amount) {
-            return Err(note.failure);
+        let recent = self.refusals.borrow().get(customer).copied();
+        if let Some(recent) = recent.filter(|recent| now < recent.until && amount >= recent.amount)
+        {
+            return Err(recent.failure);
         }
-        if self.left.get() || self.store.is_unanswered(USAGE) {
+        if self.closed.get() || self.store.is_unanswered(USAGE) {
             self.log_short(customer, amount);
             return Err(HoldFailure::Short);
         }
         self.grants.borrow_mut().add_shortage(customer, amount);
-        let waiting = clocks::bounded(GRANT_WAIT.min(left / 4), self.wait_hold(customer, amount));
+        let waiting =
+            clocks::bounded(GRANT_WAIT.min(time_left / 4), self.wait_hold(customer, amount));
         let waited = waiting.await;
         self.grants.borrow_mut().drop_shortage(customer, amount);
-        let taken = waited.unwrap_or(Err(HoldFailure::Short));
-        if taken.is_err() {
+        let acquired = waited.unwrap_or(Err(HoldFailure::Short));
+        if acquired.is_err() {
             self.log_short(customer, amount);
         }
-        taken
+        acquired
     }
 
-    /// While the store is silent, what is left is kept for the first rank and for small requests.
+    /// Tells whether a request may use the grant. While the store does not answer, the remaining grant is
+    /// reserved for the most urgent rank and for small requests.
     fn may_spend(&self, customer: &CustomerId, amount: Tokens, rank: u8) -> bool {
         let grants = self.grants.borrow();
         let available = grants.account(customer).map_or(0, GrantAccount::available);
-        self.store.unanswered_for(USAGE) < OUTAGE_LEAST
+        self.store.unanswered_for(USAGE) < OUTAGE_THRESHOLD
             || policies::spends_in_outage(available, amount, rank)
     }
 
@@ -172,15 +177,15 @@
         customer: &CustomerId,
         amount: Tokens,
     ) -> Result<GrantHold, HoldFailure> {
-        // Only a shard read after the request came may refuse it; a sync that runs already may have
-        // read it before.
+        // Only a shard that was read after the request arrived may refuse it. A sync that is already in
+        // progress may have read the shard earlier.
         let shard = self.shard_of(customer);
         let running = u64::from(self.syncing.borrow().contains(&shard));
         let needed = self.grants.borrow().looks(&shard) + 1 + running;
         loop {
             let synced = self.synced.listen();
             self.grants.borrow_mut().want_look(customer);
-            self.wanted.notify(usize::MAX);
+            self.sync_requested.notify(usize::MAX);
             synced.await;
             let mut grants = self.grants.borrow_mut();
             if let Ok(hold) = grants.hold(customer, amount) {
@@ -189,16 +194,17 @@
             if grants.looks(&shard) < needed {
                 continue;
             }
-            // What is left is granted elsewhere: no further sync brings it until others settle.
+            // The rest is granted to other processes; no further sync can obtain it until they settle.
             let uncovered = grants.is_uncovered(customer, amount);
             let failure = if uncovered { HoldFailure::Uncovered } else { HoldFailure::Short };
-            let note = ShortNote { until: self.store.now() + SHORT_TIME, amount, failure };
-            self.short.borrow_mut().insert(Arc::clone(customer), note);
+            let refusal =
+                CachedRefusal { until: self.store.now() + REFUSAL_CACHE_TIME, amount, failure };
+            self.refusals.borrow_mut().insert(Arc::clone(customer), refusal);
             return Err(failure);
         }
     }
 
-    /// Ends a hold with what its request used.
+    /// Ends a hold and bills the tokens that its request used.
     pub fn end_hold(&self, hold: &GrantHold, request: Arc<str>, service: Arc<str>, used: Tokens) {
         let bill = (used > 0).then(|| BillRow {
             request,
@@ -228,23 +234,24 @@
         );
     }
 
+    /// Tells whether a sync of the shard is due.
     fn is_due(&self, shard: &ShardName) -> bool {
         if self.syncing.borrow().contains(shard) {
             return false;
         }
-        self.settles(shard) || self.grants.borrow().is_wanted(shard)
+        self.needs_settlement(shard) || self.grants.borrow().is_wanted(shard)
     }
 
-    /// Tells whether a shard's bills are due.
-    fn settles(&self, shard: &ShardName) -> bool {
+    /// Tells whether a settlement of the shard is due.
+    fn needs_settlement(&self, shard: &ShardName) -> bool {
         let mut times = self.settled_at.borrow_mut();
         let settled = times.entry(Arc::clone(shard)).or_insert_with(|| self.store.now());
         self.store.now().saturating_sub(*settled) > self.tuning.flush
     }
 
-    /// Runs one sync of a shard, if there is something to do; false if the store did not answer.
+    /// Runs one sync of a shard if there is something to do. Returns false if the store did not answer.
     async fn sync_shard(&self, shard: &ShardName, leave: bool) -> bool {
-        let settles = leave || self.settles(shard);
+        let settles = leave || self.needs_settlement(shard);
         if settles {
             self.settled_at.borrow_mut().insert(Arc::clone(shard), self.store.now());
         }
@@ -265,7 +272,7 @@
         }
         let outcome = machine.into_outcome();
         let answered = !matches!(outcome, SyncOutcome::Unavailable);
-        self.board.count_event(name_outcome(&outcome));
+        self.board.count_event(outcome_kind(&outcome));
         self.board.add_events("sync_calls", u64::from(calls));
         self.store.note_call(USAGE, answered);
         let was_open = self.grants.borrow().is_open(shard);
@@ -277,7 +284,7 @@
         answered
     }
 
-    /// Logs what stands in a shard when this process joins its holders.
+    /// Logs the accounts of a shard when this process becomes one of its holders.
     fn log_accounts(&self, shard: &ShardName) {
         let grants = self.grants.borrow();
         let Some(shard) = grants.known_shard(shard) else {
@@ -293,7 +300,8 @@
     }
 }
 
-fn name_outcome(outcome: &SyncOutcome) -> &'static str {
+/// Returns the event kind that an outcome is counted under.
+fn outcome_kind(outcome: &SyncOutcome) -> &'static str {
     match outcome {
         SyncOutcome::Applied { .. } => "syncs",
         SyncOutcome::Unchanged { .. } => "syncs_idle",
@@ -302,45 +310,46 @@
     }
 }
 
-/// Runs the syncs that are due, one at a time a shard, and at once where a request waits.
+/// Runs due syncs, at most one at a time per shard, and immediately when a request waits.
 ///
-/// Each customer has a shard of its own: entries that settle different customers never meet in one
-/// object, and thirty entries that share one object spent most calls on lost races.
+/// With one shard per customer (setting `shards` 0), entries that settle different customers never write the
+/// same object. Thirty entries that shared one object lost most of their calls to version conflicts.
 pub async fn run_syncs(manager: Rc<GrantManager>) {
-    while !manager.left.get() {
-        let wanted = manager.wanted.listen();
+    while !manager.closed.get() {
+        let requested = manager.sync_requested.listen();
         let shards = manager.grants.borrow().shards();
         for shard in shards.into_iter().filter(|shard| manager.is_due(shard)) {
             manager.syncing.borrow_mut().insert(Arc::clone(&shard));
             let held = Rc::clone(&manager);
             let syncing = async move {
                 let answered = held.sync_shard(&shard, false).await;
-                smol::Timer::after(if answered { SYNC_PAUSE } else { SILENT_PAUSE }).await;
+                smol::Timer::after(if answered { SYNC_PAUSE } else { FAILURE_PAUSE }).await;
                 held.syncing.borrow_mut().remove(&shard);
-                // A request that began to wait during this sync found it running.
-                held.wanted.notify(usize::MAX);
+                // A request that began to wait during this sync found it in progress and needs another one.
+                held.sync_requested.notify(usize::MAX);
             };
             manager.executor.spawn(syncing).detach();
         }
         let tick = async {
-            smol::Timer::after(TICK).await;
+            smol::Timer::after(CHECK_INTERVAL).await;
         };
-        wanted.or(tick).await;
+        requested.or(tick).await;
     }
 }
 
-/// Gives back what no request holds and takes no holds any more; what runs may use its holds on.
+/// Closes the manager and releases what no request holds. Requests in progress keep their holds.
 pub async fn release_unused(manager: &Rc<GrantManager>) {
-    manager.left.set(true);
+    manager.closed.set(true);
     let shards = manager.grants.borrow().shards();
     for shard in shards.iter().filter(|shard| !manager.syncing.borrow().contains(*shard)) {
         manager.sync_shard(shard, true).await;
     }
 }
 
-/// Settles all and gives unused grants back; what open holds may still use stays granted.
+/// Closes the manager, settles all shards and releases unused grants. What open holds may still use stays
+/// granted.
 pub async fn settle_all(manager: &Rc<GrantManager>) {
-    manager.left.set(true);
+    manager.closed.set(true);
     let shards = manager.grants.borrow().shards();
     let tasks: Vec<_> = shards
         .into_iter()
@@ -351,7 +360,7 @@
             task.await;
         }
     };
-    if clocks::bounded(LEAVE_BOUND, leaving).await.is_none() {
+    if clocks::bounded(LEAVE_TIMEOUT, leaving).await.is_none() {
         tracing::warn!(event = "left_unsettled");
     }
 }
--- a/toucanrail-gateway/src/hosting.rs
+++ b/toucanrail-gateway/src/hosting.rs
@@ -1,8 +1,8 @@
 //! The relay that an entry hosts, in a fleet without VMs for relays.
 //!
-//! The load it answers: entries that all hold grants of their own and watch the store for themselves. Some
-//! tens of them take what is left of a budget from one another, lose most races for its object, and are
-//! without money as soon as they are cut off. With relays among them one entry lends each budget.
+//! Without relays, each entry holds its own grants and watches the store itself. Some tens of such entries
+//! compete for the rest of a budget, lose most of their writes to its object to version conflicts, and have
+//! no budget left as soon as they are cut off. With hosted relays, one entry lends each budget.
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -19,44 +19,45 @@
 use crate::states::Gateway;
 use crate::tunnelling;
 
-/// Time in which relays on VMs of their own register in a fleet that starts.
-const RELAY_TIME: Duration = Duration::from_secs(4);
-/// How often it is looked whether there are any.
-const LOOK_PAUSE: Duration = Duration::from_millis(500);
+/// Time in which relays on VMs of their own register when a fleet starts.
+const REGISTRATION_TIME: Duration = Duration::from_secs(4);
+/// Interval at which an entry checks whether there are any.
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Hosts a relay once it is known that no VM of its own has one.
+/// Starts a hosted relay once it is known that no VM of its own runs one.
 pub async fn host_relay(gateway: Rc<Gateway>) {
-    while !is_wanted(&gateway) {
-        smol::Timer::after(LOOK_PAUSE).await;
+    while !should_host(&gateway) {
+        smol::Timer::after(CHECK_INTERVAL).await;
     }
     match start(&gateway) {
-        Ok(office) => {
-            gateway.hosted.borrow_mut().replace(office);
+        Ok(api) => {
+            gateway.hosted.borrow_mut().replace(api);
             tracing::info!(event = "relay_hosted", lending = %gateway.settings.lending);
         }
-        // The entry goes on with grants of its own.
+        // The entry continues with its own grants.
         Err(error) => tracing::error!(event = "relay_not_hosted", %error),
     }
 }
 
-/// Tells whether this entry is to host a relay: at once where an earlier run of it did.
-fn is_wanted(gateway: &Gateway) -> bool {
+/// Tells whether this entry is to host a relay. An entry whose earlier run hosted one does not wait for
+/// others to register.
+fn should_host(gateway: &Gateway) -> bool {
     let store = &gateway.store;
-    let waited = store.has_relay(&gateway.settings.vm) || gateway.now() > RELAY_TIME;
+    let waited = store.has_relay(&gateway.settings.vm) || gateway.now() > REGISTRATION_TIME;
     waited && store.has_only_hosted_relays() && gateway.stopping.get().is_none()
 }
 
 fn start(gateway: &Rc<Gateway>) -> io::Result<Rc<RelayApi>> {
     let settings = &gateway.settings;
     let executor = &gateway.executor;
-    let passed = Async::<TcpListener>::bind(settings.hosted)?;
+    let relayed = Async::<TcpListener>::bind(settings.hosted)?;
     let entries = Async::<TcpListener>::bind(settings.lending)?;
     let store = Rc::clone(&gateway.store);
-    let reaches = move || store.is_direct();
-    let passing =
-        tunnelling::pass_connections(Rc::clone(executor), passed, settings.store, reaches);
-    executor.spawn(passing).detach();
-    let office = Rc::new(RelayApi {
+    let reaches_store = move || store.is_direct();
+    let forwarding =
+        tunnelling::pass_connections(Rc::clone(executor), relayed, settings.store, reaches_store);
+    executor.spawn(forwarding).detach();
+    let api = Rc::new(RelayApi {
         grant_manager: Rc::clone(&gateway.grant_manager),
         loans: RefCell::default(),
         leaving: Cell::new(false),
@@ -64,9 +65,9 @@
         permits: PermitTable::new(gateway.now()).into(),
         report_client: None,
     });
-    let lending = relay_api::serve_entries(Rc::clone(executor), Rc::clone(&office), entries);
+    let lending = relay_api::serve_entries(Rc::clone(executor), Rc::clone(&api), entries);
     executor.spawn(lending).detach();
     let entry = relay_registration::new_entry(settings, settings.hosted, true);
     executor.spawn(relay_registration::maintain_entry(settings.clone(), entry, None)).detach();
-    Ok(office)
+    Ok(api)
 }
--- a/toucanrail-gateway/src/loan_client.rs
+++ b/toucanrail-gateway/src/loan_client.rs
@@ -1,4 +1,7 @@
-//! The entry's side of loans: the budget of one request, from a lender of its data centre.
+//! An entry's client of the lenders: it borrows the budget of each request from a relay.
+//!
+//! A lender holds grants of customers' budgets for the entries around it. An entry borrows the worst-case
+//! cost of a request before sending it, and ends the loan with the tokens that were used.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -18,48 +21,51 @@
 use crate::relay_client::{self, RelayBackoff};
 use crate::states::Gateway;
 
-/// Longest wait for a lender's answer: one that has to ask the store first answers within about
-/// half of it, one that is cut off or frozen not at all.
-const DRAW_BOUND: Duration = Duration::from_millis(650);
-/// Wait for a lender's answer after which it is asked for a sign of life, and the longest wait for that:
-/// most orders are answered within some milliseconds.
-const LIFE_WAIT: Duration = Duration::from_millis(150);
-const LIFE_BOUND: Duration = Duration::from_millis(100);
-/// Lenders tried for one request.
-const LENDER_TRIES: usize = 2;
-/// Pause between messages with ends; those of the pause share one.
-const END_PAUSE: Duration = Duration::from_millis(100);
-const END_BOUND: Duration = Duration::from_secs(1);
-/// Time for which ends are kept for a lender that does not answer; after that it is taken as gone,
-/// and its loans stay granted to it.
-const END_PATIENCE: Duration = Duration::from_secs(60);
+/// Timeout of a loan request. A lender that has to ask the store first answers within about half of it;
+/// one that is cut off or frozen does not answer at all.
+const LOAN_TIMEOUT: Duration = Duration::from_millis(650);
+/// Time without a reply after which the lender's liveness is probed, and the timeout of that probe. Most
+/// loan requests are answered within a few milliseconds.
+const LIVENESS_DELAY: Duration = Duration::from_millis(150);
+const LIVENESS_TIMEOUT: Duration = Duration::from_millis(100);
+/// Maximum number of lenders tried for one request.
+const MAX_LENDERS: usize = 2;
+/// Interval at which loan ends are sent; the ends queued for a lender within one interval share a message.
+const END_INTERVAL: Duration = Duration::from_millis(100);
+const END_TIMEOUT: Duration = Duration::from_secs(1);
+/// Time for which ends are queued for a lender that does not answer. After that the lender is considered
+/// gone, and the budget of its loans stays granted to it.
+const END_RETENTION: Duration = Duration::from_secs(60);
 
-/// Where the budget of a request is held.
+/// Where the budget of a request is reserved.
 #[derive(Debug)]
 enum BudgetSource {
     /// In this process's own grant.
     Own(GrantHold),
-    /// At a lender.
+    /// On loan from a lender.
     Loan { lender: Arc<str>, loan: LoanId },
 }
 
+/// Loan ends that one lender has not acknowledged.
 #[derive(Debug)]
 struct EndQueue {
     ends: Vec<LoanEnd>,
+    /// When the oldest of them was queued.
     since: Duration,
 }
 
-/// What an entry knows of lenders.
+/// State of an entry's loans: failed lenders, and loan ends still to be sent.
 #[derive(Debug, Default)]
 pub struct LoanClient {
-    next: Cell<u64>,
-    /// Whether the last lenders that were asked did not answer.
+    next_number: Cell<u64>,
+    /// Whether the lender that was last asked did not answer.
     pub lenders_unreachable: Cell<bool>,
-    rests: RelayBackoff,
+    backoff: RelayBackoff,
     ends: RefCell<BTreeMap<Arc<str>, EndQueue>>,
 }
 
-/// The budget held for one request; billed for what was used, however the request ends.
+/// The budget reserved for one request. Dropping it bills the tokens that were used, however the request
+/// ends.
 #[derive(Debug)]
 pub struct BudgetGuard {
     gateway: Rc<Gateway>,
@@ -68,40 +74,40 @@
     request: RequestId,
     service: ServiceName,
     prompt: Tokens,
-    sent: Cell<bool>,
+    may_have_run: Cell<bool>,
     output: Cell<Tokens>,
 }
 
-/// A request's need.
+/// The budget that a request needs at most, and the request's attributes that decide whether it gets it.
 #[derive(Debug, Clone, Copy)]
 pub struct BudgetNeed<'call> {
-    /// Who pays.
+    /// The customer who pays.
     pub customer: &'call CustomerId,
-    /// The customer's total as the configuration states it.
+    /// The customer's prepaid total according to the configuration.
     pub stated: Tokens,
-    /// The request.
+    /// Id of the request.
     pub request: &'call RequestId,
     /// The service.
     pub service: &'call ServiceName,
     /// Prompt tokens.
     pub prompt_tokens: Tokens,
-    /// Most tokens of the answer.
+    /// Maximum number of output tokens.
     pub max_output: Tokens,
-    /// The request's rank; 0 goes first.
+    /// Urgency rank; 0 is the most urgent.
     pub rank: u8,
-    /// Time left.
+    /// Time left until the request's deadline.
     pub time_left: Duration,
 }
 
-/// Holds the worst case of a request: at a lender of the data centre, or in the entry's own grant
-/// where no lender answers.
+/// Reserves the worst-case cost of a request: on loan from a lender, or in the entry's own grant if no
+/// lender answers.
 pub async fn reserve_budget(
     gateway: &Rc<Gateway>,
     need: &BudgetNeed<'_>,
 ) -> Result<BudgetGuard, HoldFailure> {
     let amount = need.prompt_tokens + need.max_output;
-    let source = if let Some(drawn) = draw_loan(gateway, need, amount).await {
-        drawn?
+    let source = if let Some(loaned) = request_loan(gateway, need, amount).await {
+        loaned?
     } else {
         gateway.grant_manager.raise_prepaid(need.customer, need.stated);
         let hold = gateway
@@ -117,13 +123,13 @@
         request: Arc::clone(need.request),
         service: Arc::clone(need.service),
         prompt: need.prompt_tokens,
-        sent: Cell::new(false),
+        may_have_run: Cell::new(false),
         output: Cell::new(0),
     })
 }
 
-/// Asks lenders in their order; none if no lender answers.
-async fn draw_loan(
+/// Requests a loan from the lenders in rank order. Returns `None` if no lender answers or all are stopping.
+async fn request_loan(
     gateway: &Rc<Gateway>,
     need: &BudgetNeed<'_>,
     amount: Tokens,
@@ -131,11 +137,11 @@
     let now = gateway.now();
     let lenders = gateway.store.lenders();
     let ranked = loans::rank_lenders(&lenders, &gateway.grant_manager.shard_of(need.customer));
-    let rested =
-        ranked.into_iter().filter(|(name, _)| !gateway.loan_client.rests.is_active(name, now));
-    for (lender, address) in rested.take(LENDER_TRIES) {
-        let number = gateway.loan_client.next.get();
-        gateway.loan_client.next.set(number + 1);
+    let available =
+        ranked.into_iter().filter(|(name, _)| !gateway.loan_client.backoff.is_active(name, now));
+    for (lender, address) in available.take(MAX_LENDERS) {
+        let number = gateway.loan_client.next_number.get();
+        gateway.loan_client.next_number.set(number + 1);
         let loan: LoanId = Arc::from(format!("{}.{number}", gateway.id));
         let order = LoanOrder {
             loan: Arc::clone(&loan),
@@ -144,52 +150,56 @@
             amount,
             rank: need.rank,
         };
-        // Whatever cuts this call short, the loan is ended: one that nobody knows is never returned.
-        let mut draft = LoanDraft { gateway, lender: &lender, loan: &loan, need, settled: false };
-        match draw_watched(gateway, &lender, address, &order).await {
+        // If this call is cancelled or fails, the loan is ended all the same: the lender may have granted it,
+        // and nobody else would return it.
+        let mut pending =
+            PendingLoan { gateway, lender: &lender, loan: &loan, need, settled: false };
+        match request_watched(gateway, &lender, address, &order).await {
             Ok(reply) => {
-                draft.settled = true;
+                pending.settled = true;
                 gateway.loan_client.lenders_unreachable.set(false);
                 if let Some(source) = read_reply(reply, &lender, &loan) {
-                    gateway.loan_client.rests.reset(&lender);
+                    gateway.loan_client.backoff.reset(&lender);
                     return Some(source);
                 }
                 tracing::info!(event = "lender_leaving", %lender);
-                gateway.loan_client.rests.note_failure(&lender, gateway.now());
+                gateway.loan_client.backoff.note_failure(&lender, gateway.now());
             }
             Err(error) => {
                 tracing::info!(event = "lender_failed", %lender, %error, customer = %need.customer);
                 gateway.board.count_event("lenders_failed");
                 gateway.loan_client.lenders_unreachable.set(true);
-                gateway.loan_client.rests.note_failure(&lender, gateway.now());
+                gateway.loan_client.backoff.note_failure(&lender, gateway.now());
             }
         }
     }
     None
 }
 
-/// Asks a lender for a loan, and gives one up early that does not live.
+/// Requests a loan from one lender, and gives up early if the lender fails a liveness probe.
 ///
-/// An order waits for up to 400 ms where the lender asks the store, and a frozen lender looks the same:
-/// each request waited for 650 ms until it was passed over, longer than callers bear.
-async fn draw_watched(
+/// A lender that has to ask the store may take up to 400 ms to reply, which looks the same as a frozen one.
+/// Without the probe, a request waits for the full 650 ms before it tries the next lender, longer than
+/// callers accept.
+async fn request_watched(
     gateway: &Rc<Gateway>,
     lender: &Arc<str>,
     address: SocketAddr,
     order: &LoanOrder,
 ) -> io::Result<LoanReply> {
-    let drawing = relay_client::call_relay(gateway, lender, address, LOAN_PATH, order, DRAW_BOUND);
+    let requesting =
+        relay_client::call_relay(gateway, lender, address, LOAN_PATH, order, LOAN_TIMEOUT);
     let watching = async {
-        smol::Timer::after(LIFE_WAIT).await;
-        if relay_client::is_alive(address, LIFE_BOUND).await {
+        smol::Timer::after(LIVENESS_DELAY).await;
+        if relay_client::is_alive(address, LIVENESS_TIMEOUT).await {
             std::future::pending::<()>().await;
         }
         Err(io::ErrorKind::TimedOut.into())
     };
-    drawing.or(watching).await
+    requesting.or(watching).await
 }
 
-/// Reads a lender's reply; none where it is stopping and another is to be asked.
+/// Converts a lender's reply. Returns `None` if the lender is stopping and another one is to be asked.
 fn read_reply(
     reply: LoanReply,
     lender: &Arc<str>,
@@ -205,8 +215,8 @@
     }
 }
 
-/// An order whose answer is not known yet.
-struct LoanDraft<'call> {
+/// A loan request whose outcome is not known yet; ends the loan when dropped unsettled.
+struct PendingLoan<'call> {
     gateway: &'call Rc<Gateway>,
     lender: &'call Arc<str>,
     loan: &'call LoanId,
@@ -214,7 +224,7 @@
     settled: bool,
 }
 
-impl Drop for LoanDraft<'_> {
+impl Drop for PendingLoan<'_> {
     fn drop(&mut self) {
         if !self.settled {
             let (request, service) = (self.need.request, self.need.service);
@@ -234,19 +244,19 @@
 
 fn queue_end(gateway: &Gateway, lender: &Arc<str>, end: LoanEnd) {
     let mut queues = gateway.loan_client.ends.borrow_mut();
-    let fresh = || EndQueue { ends: Vec::new(), since: gateway.now() };
-    queues.entry(Arc::clone(lender)).or_insert_with(fresh).ends.push(end);
+    let empty = || EndQueue { ends: Vec::new(), since: gateway.now() };
+    queues.entry(Arc::clone(lender)).or_insert_with(empty).ends.push(end);
 }
 
-/// Sends ends to lenders until they have them.
+/// Sends queued loan ends to their lenders at regular intervals.
 pub async fn send_loan_ends(gateway: Rc<Gateway>) {
     loop {
-        smol::Timer::after(END_PAUSE).await;
+        smol::Timer::after(END_INTERVAL).await;
         flush_loan_ends(&gateway).await;
     }
 }
 
-/// Sends the ends that wait, to all lenders at once; true if none is left.
+/// Sends the queued loan ends to all lenders concurrently. Returns true if none is left.
 pub async fn flush_loan_ends(gateway: &Rc<Gateway>) -> bool {
     let lenders: Vec<Arc<str>> = gateway.loan_client.ends.borrow().keys().map(Arc::clone).collect();
     let sending = lenders
@@ -263,8 +273,8 @@
         return;
     };
     let ends = queue.ends;
-    let known = gateway.store.lenders().into_iter().find(|(name, _)| *name == lender);
-    let sent = match known {
+    let listed = gateway.store.lenders().into_iter().find(|(name, _)| *name == lender);
+    let sent = match listed {
         Some((_, address)) => {
             relay_client::call_relay::<_, bool>(
                 &gateway,
@@ -272,7 +282,7 @@
                 address,
                 LOAN_END_PATH,
                 &ends,
-                END_BOUND,
+                END_TIMEOUT,
             )
             .await
         }
@@ -281,32 +291,32 @@
     let Err(error) = sent else {
         return;
     };
-    if gateway.now().saturating_sub(queue.since) > END_PATIENCE {
+    if gateway.now().saturating_sub(queue.since) > END_RETENTION {
         tracing::warn!(event = "ends_dropped", %lender, ends = ends.len(), %error);
         return;
     }
     let mut queues = gateway.loan_client.ends.borrow_mut();
-    let fresh = EndQueue { ends: Vec::new(), since: queue.since };
-    let waiting = queues.entry(lender).or_insert(fresh);
-    waiting.since = waiting.since.min(queue.since);
-    waiting.ends.extend(ends);
+    let empty = EndQueue { ends: Vec::new(), since: queue.since };
+    let current = queues.entry(lender).or_insert(empty);
+    current.since = current.since.min(queue.since);
+    current.ends.extend(ends);
 }
 
 impl BudgetGuard {
-    /// Notes whether a server may have run the request.
+    /// Sets whether a backend server may have run the request.
     pub fn set_may_have_run(&self, may_have_run: bool) {
-        self.sent.set(may_have_run);
+        self.may_have_run.set(may_have_run);
     }
 
-    /// Notes tokens of the answer that came from a server.
+    /// Adds output tokens that were received from a backend server.
     pub fn add_output_tokens(&self, tokens: Tokens) {
         self.output.set(self.output.get() + tokens);
     }
 
-    /// Returns what is billed: the prompt once it may have been read, and the output, which the
-    /// server bounds by what the caller asked for.
+    /// Returns the tokens to bill: the prompt if a server may have processed it, plus the output. The server
+    /// limits the output to what the caller asked for.
     pub fn used(&self) -> Tokens {
-        let prompt = if self.sent.get() { self.prompt } else { 0 };
+        let prompt = if self.may_have_run.get() { self.prompt } else { 0 };
         (prompt + self.output.get()).min(self.amount)
     }
 }
--- a/toucanrail-gateway/src/permits.rs
+++ b/toucanrail-gateway/src/permits.rs
@@ -1,4 +1,4 @@
-//! Permits for requests to servers that have just started, from the relays beside them.
+//! Permits for requests to cold backend servers, granted by the relays beside them.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,19 +13,19 @@
 use crate::relay_client;
 use crate::states::Gateway;
 
-/// Longest wait for a relay.
-const PERMIT_BOUND: Duration = Duration::from_millis(80);
-/// Time in which a server is passed over whose relay does not answer.
-const SILENCE_TIME: Duration = Duration::from_millis(300);
+/// Timeout of a permit call.
+const PERMIT_TIMEOUT: Duration = Duration::from_millis(80);
+/// Time for which a server is not chosen after its relay did not answer.
+const UNANSWERED_DELAY: Duration = Duration::from_millis(300);
 
 /// Whether a request may be sent to a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SendPermit {
-    /// The server is not cold.
+    /// Not needed, since the server is not cold.
     Unneeded,
-    /// It must be sent before then.
+    /// Granted; the request must be sent before this time.
     Until(Instant),
-    /// Not now.
+    /// Denied for now.
     Denied,
 }
 
@@ -40,14 +40,14 @@
     }
 }
 
-/// Asks for the permit of one request to a server, if it needs one.
+/// Requests a permit for sending one request to a server, if the server is cold.
 pub async fn request_permit(gateway: &Gateway, target: &BackendEntry) -> SendPermit {
-    let Some(limit) = needed_limit(gateway, target) else {
+    let Some(limit) = permit_limit_of(gateway, target) else {
         return SendPermit::Unneeded;
     };
-    let asked = Instant::now();
-    let PermitReply::After(wait) = ask_relay(gateway, target, limit).await else {
-        return SendPermit::Until(asked + PERMIT_TIME);
+    let requested_at = Instant::now();
+    let PermitReply::After(wait) = call_permit_relay(gateway, target, limit).await else {
+        return SendPermit::Until(requested_at + PERMIT_TIME);
     };
     let until = gateway.now() + wait;
     gateway.tables.borrow_mut().backends.note_no_permit(&target.id, until);
@@ -58,8 +58,8 @@
     SendPermit::Denied
 }
 
-/// Returns the permits that a server's relay may give; none where the server needs no permit.
-fn needed_limit(gateway: &Gateway, target: &BackendEntry) -> Option<usize> {
+/// Returns how many permits a server's relay may grant per window, or `None` if the server needs no permit.
+fn permit_limit_of(gateway: &Gateway, target: &BackendEntry) -> Option<usize> {
     let slack = gateway.settings.cold_slack?;
     let tables = gateway.tables.borrow();
     let rule = tables.routes.cold_rule(&target.service)?;
@@ -67,26 +67,26 @@
     row.is_cold(gateway.now()).then(|| coldstarts::permit_limit(rule, slack))
 }
 
-async fn ask_relay(gateway: &Gateway, target: &BackendEntry, limit: usize) -> PermitReply {
+async fn call_permit_relay(gateway: &Gateway, target: &BackendEntry, limit: usize) -> PermitReply {
     let server = &target.id;
     let Some((relay, address)) = find_relay(gateway, target) else {
-        return PermitReply::After(SILENCE_TIME);
+        return PermitReply::After(UNANSWERED_DELAY);
     };
     let order = PermitOrder { server: Arc::clone(server), limit };
-    let bound = PERMIT_BOUND;
-    let asked =
-        relay_client::call_relay(gateway, &relay, address, PERMIT_PATH, &order, bound).await;
-    asked.unwrap_or_else(|error| {
+    let timeout = PERMIT_TIMEOUT;
+    let reply =
+        relay_client::call_relay(gateway, &relay, address, PERMIT_PATH, &order, timeout).await;
+    reply.unwrap_or_else(|error| {
         tracing::info!(event = "permit_failed", %server, %relay, %error);
-        PermitReply::After(SILENCE_TIME)
+        PermitReply::After(UNANSWERED_DELAY)
     })
 }
 
-/// Returns the relay that gives a server's permits: the one beside it, or in a fleet that hosts its relays
-/// the first by rank.
+/// Returns the relay that grants a server's permits: the one beside it, or the first by rank in a fleet with
+/// hosted relays only.
 ///
-/// Entries list the relays at different times. Where the relay beside a server is not known yet there is no
-/// other: two of them would give twice as many.
+/// Entries list the relays at different times. While the relay beside a server is not listed yet, no other
+/// relay stands in for it: two relays would together grant twice as many permits.
 fn find_relay(gateway: &Gateway, target: &BackendEntry) -> Option<(RelayName, SocketAddr)> {
     if gateway.store.has_only_hosted_relays() {
         return loans::rank_lenders(&gateway.store.lenders(), &target.id).into_iter().next();
--- a/toucanrail-gateway/src/relay_api.rs
+++ b/toucanrail-gateway/src/relay_api.rs
@@ -1,4 +1,7 @@
-//! The lender: it keeps grants for the entries of its data centre and lends them request by request.
+//! The calls that a relay answers for entries.
+//!
+//! A relay is a lender, which holds grants of customers' budgets and lends them to entries request by request.
+//! It also serves the change feed, load reports and permits for cold servers.
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -18,79 +21,79 @@
 use crate::listening;
 use crate::report_client::ReportClient;
 
-/// Call with a [`LoanOrder`], answered with a [`LoanReply`].
+/// Path of a call that takes a [`LoanOrder`] and returns a [`LoanReply`].
 pub const LOAN_PATH: &str = "/loans/draw";
-/// Call with some [`LoanEnd`]s, answered with `true`.
+/// Path of a call that takes a list of [`LoanEnd`]s and returns `true`.
 pub const LOAN_END_PATH: &str = "/loans/end";
 
-/// Call with nothing, answered with the [`LoadReport`](toucanrail::paces::LoadReport) of the server beside
-/// the lender, if there is one.
+/// Path of a call without arguments that returns the [`LoadReport`](toucanrail::paces::LoadReport) of the
+/// backend server beside the relay, if there is one.
 pub const REPORT_PATH: &str = "/report";
 
-/// Call with a [`PermitOrder`], answered with a [`PermitReply`].
+/// Path of a call that takes a [`PermitOrder`] and returns a [`PermitReply`].
 pub const PERMIT_PATH: &str = "/permit";
 
-/// Call with nothing, answered with `true` at once.
+/// Path of a call without arguments that returns `true` immediately.
 pub const ALIVE_PATH: &str = "/alive";
 
-/// Longest time for which an order may wait; [`GrantManager::acquire_hold`] waits for a fourth of it.
-const ORDER_TIME: Duration = Duration::from_millis(1_400);
-/// How often a stopping lender looks whether its loans have ended.
-const DRAIN_STEP: Duration = Duration::from_millis(50);
+/// Time given to a loan request; [`GrantManager::acquire_hold`] waits for at most a quarter of it.
+const LOAN_TIME: Duration = Duration::from_millis(1_400);
+/// Interval at which a stopping lender checks whether its loans have ended.
+const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The lender's tables.
+/// State behind the calls of one relay.
 #[derive(Debug)]
 pub struct RelayApi {
-    /// Its grants.
+    /// The grants that it lends from.
     pub grant_manager: Rc<GrantManager>,
-    /// Its open loans.
+    /// The open loans.
     pub loans: RefCell<LoanTable>,
-    /// Whether it is stopping.
+    /// Whether the relay is stopping and lends no more.
     pub leaving: Cell<bool>,
-    /// What it tells entries of the store.
+    /// Changes of store objects, for entries that query them.
     pub change_feed: ChangeFeed,
-    /// The permits that it gave for cold servers.
+    /// The permits granted for cold servers.
     pub permits: RefCell<PermitTable>,
-    /// The server beside it.
+    /// Reads the load of the backend server beside the relay, if there is one.
     pub report_client: Option<Rc<ReportClient>>,
 }
 
-/// Serves entries; one that went away opens another connection.
+/// Serves the connections of entries. A connection that fails is dropped; the entry opens another one.
 pub async fn serve_entries(
     executor: Rc<LocalExecutor<'static>>,
-    office: Rc<RelayApi>,
+    api: Rc<RelayApi>,
     listener: Async<TcpListener>,
 ) {
     let serve = |socket| {
-        let office = Rc::clone(&office);
-        async move { serve_entry(&office, socket).await }
+        let api = Rc::clone(&api);
+        async move { serve_entry(&api, socket).await }
     };
     listening::serve_each(&executor, listener, usize::MAX, serve, || ()).await;
 }
 
-async fn serve_entry(office: &RelayApi, socket: Async<TcpStream>) -> io::Result<()> {
+async fn serve_entry(api: &RelayApi, socket: Async<TcpStream>) -> io::Result<()> {
     let mut channel = BufferedChannel::new(socket)?;
     while let Some((head, body)) = calling::read_call(&mut channel).await? {
         match head.path() {
             LOAN_PATH => {
                 let order = calling::decode(&body)?;
-                calling::reply(&channel, &draw(office, &order).await).await?;
+                calling::reply(&channel, &open_loan(api, &order).await).await?;
             }
             LOAN_END_PATH => {
-                end(office, calling::decode(&body)?);
+                end_loans(api, calling::decode(&body)?);
                 calling::reply(&channel, &true).await?;
             }
             CHANGES_PATH => {
                 let order = calling::decode(&body)?;
-                calling::reply(&channel, &office.change_feed.answer(&order).await).await?;
+                calling::reply(&channel, &api.change_feed.answer(&order).await).await?;
             }
             ALIVE_PATH => calling::reply(&channel, &true).await?,
             PERMIT_PATH => {
                 let order = calling::decode(&body)?;
-                calling::reply(&channel, &give_permit(office, &order)).await?;
+                calling::reply(&channel, &grant_permit(api, &order)).await?;
             }
             REPORT_PATH => {
-                let report = match &office.report_client {
+                let report = match &api.report_client {
                     Some(report_client) => report_client.try_fetch().await,
                     None => None,
                 };
@@ -102,27 +105,28 @@
     Ok(())
 }
 
-async fn draw(office: &RelayApi, order: &LoanOrder) -> LoanReply {
-    if office.loans.borrow().is_open(&order.loan) {
+/// Opens a loan if the grants cover it. Repeating the call for an open loan has no further effect.
+async fn open_loan(api: &RelayApi, order: &LoanOrder) -> LoanReply {
+    if api.loans.borrow().is_open(&order.loan) {
         return LoanReply::Held;
     }
-    if office.leaving.get() {
+    if api.leaving.get() {
         return LoanReply::Leaving;
     }
     let LoanOrder { customer, amount, rank, .. } = order;
-    office.grant_manager.raise_prepaid(customer, order.stated);
-    match office.grant_manager.acquire_hold(customer, *amount, *rank, ORDER_TIME).await {
-        Ok(hold) if office.leaving.get() => {
-            office.grant_manager.grants.borrow_mut().finish(&hold, None);
+    api.grant_manager.raise_prepaid(customer, order.stated);
+    match api.grant_manager.acquire_hold(customer, *amount, *rank, LOAN_TIME).await {
+        Ok(hold) if api.leaving.get() => {
+            api.grant_manager.grants.borrow_mut().finish(&hold, None);
             LoanReply::Leaving
         }
-        Ok(hold) if office.loans.borrow().is_new(&order.loan) => {
-            office.loans.borrow_mut().open(&order.loan, hold);
+        Ok(hold) if api.loans.borrow().is_new(&order.loan) => {
+            api.loans.borrow_mut().open(&order.loan, hold);
             LoanReply::Held
         }
         Ok(hold) => {
-            // Ended while it waited: the entry gave it up.
-            office.grant_manager.grants.borrow_mut().finish(&hold, None);
+            // The entry gave the loan up and ended it while this call waited.
+            api.grant_manager.grants.borrow_mut().finish(&hold, None);
             LoanReply::Short
         }
         Err(HoldFailure::Short) => LoanReply::Short,
@@ -130,35 +134,35 @@
     }
 }
 
-fn give_permit(office: &RelayApi, order: &PermitOrder) -> PermitReply {
-    let reply = office.permits.borrow_mut().give(order, office.change_feed.now());
+fn grant_permit(api: &RelayApi, order: &PermitOrder) -> PermitReply {
+    let reply = api.permits.borrow_mut().give(order, api.change_feed.now());
     tracing::info!(event = "permit", server = %order.server, limit = order.limit, reply = ?reply);
     reply
 }
 
-fn end(office: &RelayApi, ends: Vec<LoanEnd>) {
+fn end_loans(api: &RelayApi, ends: Vec<LoanEnd>) {
     for end in ends {
-        let hold = office.loans.borrow_mut().end(&end.loan);
+        let hold = api.loans.borrow_mut().end(&end.loan);
         if let Some(hold) = hold {
-            office.grant_manager.end_hold(&hold, end.request, end.service, end.used);
+            api.grant_manager.end_hold(&hold, end.request, end.service, end.used);
         }
     }
 }
 
-/// Lends no more and waits until the open loans have ended, for at most `bound`.
+/// Stops lending and waits until the open loans have ended, for at most `timeout`.
 ///
-/// A lender that ends with open loans takes their customers' money with it: nobody can tell any more
-/// what of it was used.
-pub async fn drain(office: &RelayApi, bound: Duration) {
-    office.leaving.set(true);
-    tracing::info!(event = "stop", role = "relay", loans = office.loans.borrow().len());
-    grant_manager::release_unused(&office.grant_manager).await;
+/// The budget of loans that are open when the process exits is lost to their customers, since nobody can tell
+/// any more how much of it was used.
+pub async fn drain(api: &RelayApi, timeout: Duration) {
+    api.leaving.set(true);
+    tracing::info!(event = "stop", role = "relay", loans = api.loans.borrow().len());
+    grant_manager::release_unused(&api.grant_manager).await;
     let ending = async {
-        while !office.loans.borrow().is_empty() {
-            smol::Timer::after(DRAIN_STEP).await;
+        while !api.loans.borrow().is_empty() {
+            smol::Timer::after(DRAIN_CHECK_INTERVAL).await;
         }
     };
-    if clocks::bounded(bound, ending).await.is_none() {
-        tracing::warn!(event = "loans_left", loans = office.loans.borrow().len());
+    if clocks::bounded(timeout, ending).await.is_none() {
+        tracing::warn!(event = "loans_left", loans = api.loans.borrow().len());
     }
 }
--- a/toucanrail-gateway/src/relay_client.rs
+++ b/toucanrail-gateway/src/relay_client.rs
@@ -1,4 +1,4 @@
-//! An entry's calls to relays, and which of them it passes over.
+//! An entry's calls to relays, and the backoff of relays that failed.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -16,79 +16,81 @@
 use crate::relay_api::ALIVE_PATH;
 use crate::states::Gateway;
 
-/// Longest wait for a connection: relays are some milliseconds away, a dead one answers nothing.
-const CONNECT_BOUND: Duration = Duration::from_millis(120);
-/// Longest idle time of a connection.
-const IDLE_BOUND: Duration = Duration::from_secs(20);
-/// Time for which a relay that did not answer, or is stopping, is passed over; doubled with each time
-/// in a row, since one whose VM was taken away never answers again.
-const PEER_REST: Duration = Duration::from_secs(3);
-const REST_LIMIT: Duration = Duration::from_secs(12);
+/// Connect timeout. Relays are a few milliseconds away; a dead one does not answer at all.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(120);
+/// Longest idle time of a pooled connection.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
+/// Backoff of a relay that did not answer or is stopping. It doubles with each consecutive failure, up to the
+/// maximum, since a relay whose VM was removed never answers again.
+const INITIAL_BACKOFF: Duration = Duration::from_secs(3);
+const MAX_BACKOFF: Duration = Duration::from_secs(12);
 
 #[derive(Debug, Clone, Copy)]
-struct PeerRest {
+struct BackoffRow {
     until: Duration,
-    time: Duration,
+    length: Duration,
 }
 
-/// Relays that did not answer and are passed over.
+/// Relays in backoff after failures.
 #[derive(Debug, Default)]
 pub struct RelayBackoff {
-    rests: RefCell<BTreeMap<Arc<str>, PeerRest>>,
+    rows: RefCell<BTreeMap<Arc<str>, BackoffRow>>,
 }
 
 impl RelayBackoff {
-    /// Tells whether a relay is passed over now.
-    pub fn is_active(&self, peer: &Arc<str>, now: Duration) -> bool {
-        self.rests.borrow().get(peer).is_some_and(|rest| now < rest.until)
+    /// Tells whether a relay is in backoff and is not to be called now.
+    pub fn is_active(&self, relay: &Arc<str>, now: Duration) -> bool {
+        self.rows.borrow().get(relay).is_some_and(|row| now < row.until)
     }
 
-    /// Passes a relay over for a while, for longer each time in a row.
-    pub fn note_failure(&self, peer: &Arc<str>, now: Duration) {
-        let mut rests = self.rests.borrow_mut();
-        let time = rests.get(peer).map_or(PEER_REST, |rest| rest.time * 2).min(REST_LIMIT);
-        rests.insert(Arc::clone(peer), PeerRest { until: now + time, time });
+    /// Notes a failure of a relay: starts its backoff, twice as long as after the failure before.
+    pub fn note_failure(&self, relay: &Arc<str>, now: Duration) {
+        let mut rows = self.rows.borrow_mut();
+        let length = rows.get(relay).map_or(INITIAL_BACKOFF, |row| row.length * 2).min(MAX_BACKOFF);
+        rows.insert(Arc::clone(relay), BackoffRow { until: now + length, length });
     }
 
-    /// Passes a relay over for a stated time.
-    pub fn back_off_for(&self, peer: &Arc<str>, now: Duration, time: Duration) {
-        self.rests.borrow_mut().insert(Arc::clone(peer), PeerRest { until: now + time, time });
+    /// Starts a backoff of a given length.
+    pub fn back_off_for(&self, relay: &Arc<str>, now: Duration, length: Duration) {
+        self.rows
+            .borrow_mut()
+            .insert(Arc::clone(relay), BackoffRow { until: now + length, length });
     }
 
-    /// Notes that a relay answered.
-    pub fn reset(&self, peer: &Arc<str>) {
-        self.rests.borrow_mut().remove(peer);
+    /// Ends a relay's backoff after a successful call.
+    pub fn reset(&self, relay: &Arc<str>) {
+        self.rows.borrow_mut().remove(relay);
     }
 }
 
-/// Tells whether a relay answers on a connection of its own, whatever became of the kept ones.
-pub async fn is_alive(address: SocketAddr, bound: Duration) -> bool {
-    let asking = async {
+/// Probes a relay on a new connection, independent of the state of the pooled ones.
+pub async fn is_alive(address: SocketAddr, timeout: Duration) -> bool {
+    let probing = async {
         let mut channel = BufferedChannel::connect(address).await?;
         calling::call::<_, bool>(&mut channel, ALIVE_PATH, &()).await
     };
-    clocks::within(bound, asking).await.unwrap_or(false)
+    clocks::within(timeout, probing).await.unwrap_or(false)
 }
 
-/// Calls a relay, on a kept connection where there is one.
-pub async fn call_relay<Order, Reply>(
+/// Calls a relay, on a pooled connection if there is one.
+pub async fn call_relay<Message, Reply>(
     gateway: &Gateway,
-    peer: &Arc<str>,
+    relay: &Arc<str>,
     address: SocketAddr,
     path: &str,
-    order: &Order,
-    bound: Duration,
+    message: &Message,
+    timeout: Duration,
 ) -> io::Result<Reply>
 where
-    Order: Serialize,
+    Message: Serialize,
     Reply: DeserializeOwned,
 {
-    let kept = gateway.channels.take(peer, IDLE_BOUND);
-    let mut channel = match kept {
+    let pooled = gateway.channels.take(relay, IDLE_TIMEOUT);
+    let mut channel = match pooled {
         Some(channel) => channel,
-        None => clocks::within(CONNECT_BOUND, BufferedChannel::connect(address)).await?,
+        None => clocks::within(CONNECT_TIMEOUT, BufferedChannel::connect(address)).await?,
     };
-    let reply = clocks::within(bound, calling::call(&mut channel, path, order)).await?;
-    gateway.channels.keep(peer, channel, Some(IDLE_BOUND));
+    let reply = clocks::within(timeout, calling::call(&mut channel, path, message)).await?;
+    gateway.channels.keep(relay, channel, Some(IDLE_TIMEOUT));
     Ok(reply)
 }
--- a/toucanrail-gateway/src/relay_registration.rs
+++ b/toucanrail-gateway/src/relay_registration.rs
@@ -1,4 +1,4 @@
-//! A relay's entry in the store: where it is reached, and the pace of the server beside it.
+//! A relay's registration in the store: its addresses, and the pace of the backend server beside it.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -15,18 +15,20 @@
 use crate::report_client::ReportClient;
 use crate::store_access::RELAY_KIND;
 
-const CONNECT_BOUND: Duration = Duration::from_millis(500);
-/// Longest wait for a call to the store, and the pause before the next try.
-const CALL_BOUND: Duration = Duration::from_secs(1);
-const WRITE_PAUSE: Duration = Duration::from_secs(1);
-/// Time between load reports of the server on the same VM: short against the time between two prompts
-/// under load, while its pace is found; else, to see whether it changes or streams begin.
-const REPORT_PAUSE: Duration = Duration::from_millis(100);
-const CALM_PAUSE: Duration = Duration::from_secs(1);
-/// Least time between two writes of an entry; a server's pace rarely changes.
-const CHANGE_PAUSE: Duration = Duration::from_secs(5);
+/// Connect timeout of the store client.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+/// Timeout of a call to the store, and the pause before the next attempt.
+const CALL_TIMEOUT: Duration = Duration::from_secs(1);
+const RETRY_PAUSE: Duration = Duration::from_secs(1);
+/// Interval between load reports of the server on the same VM. While its pace is being measured, the interval
+/// is short compared with the time between two prompts under load; afterwards it only has to show a change
+/// of pace or the start of streams.
+const MEASURING_INTERVAL: Duration = Duration::from_millis(100);
+const MONITORING_INTERVAL: Duration = Duration::from_secs(1);
+/// Minimum time between two writes of an entry; a server's pace rarely changes.
+const MIN_WRITE_INTERVAL: Duration = Duration::from_secs(5);
 
-/// One relay's registration.
+/// One relay's entry and the version that the next write expects.
 #[derive(Debug)]
 struct Registration {
     client: StoreClient,
@@ -35,7 +37,7 @@
     expect: WriteExpectation,
 }
 
-/// Makes the entry of a relay that passes connections on at `address`.
+/// Creates the entry of a relay that forwards connections to the store at `address`.
 pub fn new_entry(settings: &NodeSettings, address: SocketAddr, hosted: bool) -> RelayEntry {
     RelayEntry {
         address,
@@ -47,13 +49,14 @@
     }
 }
 
-/// Writes the relay's entry until the store has it, and again when the server's pace has changed.
+/// Registers the relay, retrying until the store holds its entry, and updates the entry when the server's
+/// pace has changed.
 pub async fn maintain_entry(
     settings: NodeSettings,
     entry: RelayEntry,
     report_client: Option<Rc<ReportClient>>,
 ) {
-    let client = StoreClient::new(CONNECT_BOUND);
+    let client = StoreClient::new(CONNECT_TIMEOUT);
     let expect = WriteExpectation::Absent;
     let mut registration = Registration { client, settings, entry, expect };
     registration.write().await;
@@ -65,16 +68,16 @@
     let mut meter = PaceMeter::default();
     let mut written = clock.now();
     loop {
-        let pause = if meter.wants_reports() { REPORT_PAUSE } else { CALM_PAUSE };
+        let pause = if meter.wants_reports() { MEASURING_INTERVAL } else { MONITORING_INTERVAL };
         smol::Timer::after(pause).await;
         match report_client.fetch().await {
             Ok(report) => meter.take_report(&report, clock.now()),
-            // A server that is not there has no pace; the entries learn of its end from the store.
+            // A missing server has no pace; entries learn from the store that it is gone.
             Err(failure) => tracing::debug!(event = "report_failed", %server, %failure),
         }
         let known = registration.entry.pace_us.map(Duration::from_micros);
-        let rested = clock.now().saturating_sub(written) > CHANGE_PAUSE || known.is_none();
-        if rested && paces::is_news(known, meter.pace()) {
+        let may_write = clock.now().saturating_sub(written) > MIN_WRITE_INTERVAL || known.is_none();
+        if may_write && paces::is_news(known, meter.pace()) {
             registration.entry.pace_us = meter.pace().map(|pace| pace.as_micros() as u64);
             tracing::info!(event = "server_pace", %server, pace_us = registration.entry.pace_us);
             registration.write().await;
@@ -84,14 +87,14 @@
 }
 
 impl Registration {
-    /// Writes the entry until the store has it.
+    /// Writes the entry, retrying until the store holds it.
     async fn write(&mut self) {
         while !self.try_write().await {
-            smol::Timer::after(WRITE_PAUSE.mul_f64(0.2 + fastrand::f64())).await;
+            smol::Timer::after(RETRY_PAUSE.mul_f64(0.2 + fastrand::f64())).await;
         }
     }
 
-    /// Writes the entry once; false if the store does not have it then.
+    /// Attempts one write of the entry. Returns whether the store holds it afterwards.
     async fn try_write(&mut self) -> bool {
         let path: Arc<str> = Arc::from(format!("{RELAY_KIND}/{}", self.settings.vm));
         let value = storecalls::encode_value(&self.entry);
@@ -114,10 +117,10 @@
         }
     }
 
-    /// Takes the entry of this VM as it stands in the store; false if it says something else.
+    /// Adopts the entry that the store holds for this VM. Returns false if it differs from the own entry.
     ///
-    /// A pace that an earlier run measured holds on while this one has none: a fleet that lost power writes
-    /// nothing then.
+    /// A pace that an earlier run measured stays valid until this run has measured one, so that the relays of
+    /// a fleet that restarts after a power loss do not all write their entries.
     fn adopt(&mut self, known: RelayEntry) -> bool {
         let pace_us = self.entry.pace_us.or(known.pace_us);
         let same = known == RelayEntry { pace_us, ..self.entry.clone() };
@@ -128,6 +131,6 @@
     }
 
     async fn call(&self, call: &StoreCall) -> StoreReply {
-        self.client.call(self.settings.store, call, CALL_BOUND).await
+        self.client.call(self.settings.store, call, CALL_TIMEOUT).await
     }
 }
--- a/toucanrail-gateway/src/store_access.rs
+++ b/toucanrail-gateway/src/store_access.rs
@@ -1,4 +1,4 @@
-//! Calls to the store, on the way that works now.
+//! Calls to the store, through the endpoint that currently works: the store itself, or a relay.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -21,163 +21,164 @@
 
 /// Kind of the relays' entries in the store.
 pub const RELAY_KIND: &str = "relays";
-/// Time between listings of the relays: they change with their VMs. A listing of a stale copy costs a
-/// tenth of a call.
+/// Interval between listings of the relays, which change only with their VMs. A listing from a stale copy
+/// counts as a tenth of a call.
 pub const RELAY_LIST_INTERVAL: Duration = Duration::from_secs(12);
-/// The same for an entry while a server's pace is not known.
+/// The same for an entry while the pace of a backend server is unknown.
 pub const UNMEASURED_LIST_INTERVAL: Duration = Duration::from_secs(2);
-/// Time after the start in which they are listed often. An entry that is started again may be cut off
-/// moments later, and is without relays and lenders until the cut heals; in a fleet that starts, the
-/// relays themselves register in this time.
-const RELAY_FIRST: Duration = Duration::from_secs(4);
-const RELAY_FIRST_REFRESH: Duration = Duration::from_secs(1);
-/// The same time where entries host the relays, which they do once there are no others.
-const HOSTED_FIRST: Duration = Duration::from_secs(10);
-/// Longest wait for a listing of the relays, or for a try of the direct way.
-const PROBE_BOUND: Duration = Duration::from_millis(600);
-const PROBE_STEP: Duration = Duration::from_millis(250);
+/// Time after the start in which relays are listed often, and the interval then. A restarted entry may be cut
+/// off moments later and would have no relays and lenders until the network recovers; in a fleet that
+/// starts, the relays themselves register in this time.
+const STARTUP_TIME: Duration = Duration::from_secs(4);
+const STARTUP_LIST_INTERVAL: Duration = Duration::from_secs(1);
+/// The same time in a fleet with hosted relays only, which start once it is known that there are no others.
+const HOSTED_STARTUP_TIME: Duration = Duration::from_secs(10);
+/// Timeout of a listing of the relays and of a probe of the direct endpoint.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(600);
+/// Interval at which [`maintain_endpoint`] checks what is due.
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// The store and the ways to it.
+/// A process's access to the store, and the endpoints that lead to it.
 #[derive(Debug)]
 pub struct StoreAccess {
     client: StoreClient,
-    patience: Cell<AnswerPatience>,
-    ways: RefCell<DetourTable>,
+    timeout: Cell<AnswerPatience>,
+    endpoints: RefCell<DetourTable>,
     relays_listed: Cell<bool>,
-    moved: Event,
+    /// Notified when another endpoint is used from now on.
+    endpoint_changed: Event,
     clock: ProcessClock,
-    /// Last answer of the store to anything.
-    heard: Cell<Option<Duration>>,
-    /// Uses of the store whose last call had no answer, and since when.
-    silent: RefCell<BTreeMap<&'static str, Duration>>,
+    /// Time of the store's last answer to any call.
+    answered_at: Cell<Option<Duration>>,
+    /// Uses of the store whose last call was not answered, and since when.
+    unanswered: RefCell<BTreeMap<&'static str, Duration>>,
 }
 
 impl StoreAccess {
-    /// Makes the access of one process.
-    pub fn new(client: StoreClient, ways: DetourTable, clock: ProcessClock) -> Self {
-        let patience = Cell::new(AnswerPatience::new());
+    /// Creates the access for one process.
+    pub fn new(client: StoreClient, endpoints: DetourTable, clock: ProcessClock) -> Self {
+        let timeout = Cell::new(AnswerPatience::new());
         Self {
             client,
-            patience,
-            ways: ways.into(),
+            timeout,
+            endpoints: endpoints.into(),
             relays_listed: Cell::new(false),
-            moved: Event::new(),
+            endpoint_changed: Event::new(),
             clock,
-            heard: Cell::new(None),
-            silent: RefCell::default(),
+            answered_at: Cell::new(None),
+            unanswered: RefCell::default(),
         }
     }
 
-    /// Returns the ways, for the dump of the state.
+    /// Returns a copy of the endpoints, for the state dump.
     pub fn endpoints(&self) -> DetourTable {
-        self.ways.borrow().clone()
+        self.endpoints.borrow().clone()
     }
 
-    /// Returns the time since the process's start.
+    /// Returns the time since the process started.
     pub fn now(&self) -> Duration {
         self.clock.now()
     }
 
     /// Returns the time since the store last answered.
     pub fn time_since_answer(&self) -> Duration {
-        self.now().saturating_sub(self.heard.get().unwrap_or_default())
+        self.now().saturating_sub(self.answered_at.get().unwrap_or_default())
     }
 
-    /// Notes whether a call was answered; logs when one of the uses of the store is lost or back.
+    /// Notes whether a call was answered. Logs when a use of the store begins or ceases to be unanswered.
     pub fn note_call(&self, usage: &'static str, answered: bool) {
-        let mut silent = self.silent.borrow_mut();
+        let mut unanswered = self.unanswered.borrow_mut();
         if answered {
             let age = self.time_since_answer().as_millis() as u64;
-            self.heard.set(Some(self.now()));
-            if silent.remove(usage).is_some() {
+            self.answered_at.set(Some(self.now()));
+            if unanswered.remove(usage).is_some() {
                 tracing::info!(event = "store_regained", usage, store_age_ms = age);
             }
-        } else if !silent.contains_key(usage) {
-            silent.insert(usage, self.now());
+        } else if !unanswered.contains_key(usage) {
+            unanswered.insert(usage, self.now());
             tracing::warn!(event = "store_lost", usage);
         }
     }
 
-    /// Tells whether the last call of a use of the store had no answer.
+    /// Tells whether the last call of a use of the store was not answered.
     pub fn is_unanswered(&self, usage: &str) -> bool {
-        self.silent.borrow().contains_key(usage)
+        self.unanswered.borrow().contains_key(usage)
     }
 
-    /// Returns for how long a use of the store has had no answer.
+    /// Returns how long a use of the store has been unanswered; zero if its last call was answered.
     pub fn unanswered_for(&self, usage: &str) -> Duration {
-        let since = self.silent.borrow().get(usage).copied();
+        let since = self.unanswered.borrow().get(usage).copied();
         since.map_or(Duration::ZERO, |since| self.now().saturating_sub(since))
     }
 
-    /// Returns the lenders of this region, or all where it has none.
+    /// Returns the lenders of this region, or of all regions if it has none.
     pub fn lenders(&self) -> Vec<(RelayName, SocketAddr)> {
-        self.ways.borrow().lenders()
+        self.endpoints.borrow().lenders()
     }
 
-    /// Returns the relay on a VM, and where it answers entries.
+    /// Returns the relay on a VM, and the address on which it answers entries.
     pub fn relay_at(&self, vm: IpAddr) -> Option<(RelayName, SocketAddr)> {
-        self.ways.borrow().relay_at(vm)
+        self.endpoints.borrow().relay_at(vm)
     }
 
-    /// Returns the paces of servers that relays measured, by the address of their VM.
+    /// Returns the paces of backend servers as measured by their relays, by VM address.
     pub fn server_paces(&self) -> BTreeMap<IpAddr, Duration> {
-        self.ways.borrow().paces()
+        self.endpoints.borrow().paces()
     }
 
-    /// Tells whether calls go to the store directly.
+    /// Tells whether calls go directly to the store.
     pub fn is_direct(&self) -> bool {
-        self.ways.borrow().way().0 == StoreWay::Direct
+        self.endpoints.borrow().way().0 == StoreWay::Direct
     }
 
-    /// Tells whether the relays were listed, and none stands on a VM of its own.
+    /// Tells whether the relays have been listed and none runs on a VM of its own.
     pub fn has_only_hosted_relays(&self) -> bool {
-        self.relays_listed.get() && self.ways.borrow().is_hosted()
+        self.relays_listed.get() && self.endpoints.borrow().is_hosted()
     }
 
     /// Tells whether the store lists a relay of this name.
     pub fn has_relay(&self, name: &str) -> bool {
-        self.ways.borrow().has_relay(name)
+        self.endpoints.borrow().has_relay(name)
     }
 
-    /// Returns how many relays stand in the store, as last listed.
+    /// Returns the number of relays in the last listing.
     pub fn relay_count(&self) -> usize {
-        self.ways.borrow().count_relays()
+        self.endpoints.borrow().count_relays()
     }
 
     /// Makes one read or conditional write.
     pub async fn call(&self, call: &StoreCall) -> StoreReply {
-        let (way, address) = self.ways.borrow().way();
-        let asked = self.now();
-        let wait = self.patience.get().wait();
+        let (endpoint, address) = self.endpoints.borrow().way();
+        let started = self.now();
+        let wait = self.timeout.get().wait();
         let reply = self.client.call(address, call, wait).await;
-        // Calls run at the same time: what another one learnt meanwhile counts too.
-        let mut patience = self.patience.get();
+        // Reads the timeout again, since concurrent calls may have changed it meanwhile.
+        let mut timeout = self.timeout.get();
         if reply == StoreReply::Unavailable {
-            patience.note_silence(wait);
-            self.note_failure(&way);
+            timeout.note_silence(wait);
+            self.note_failure(&endpoint);
         } else {
-            patience.note_answer(self.now().saturating_sub(asked));
+            timeout.note_answer(self.now().saturating_sub(started));
         }
-        self.patience.set(patience);
+        self.timeout.set(timeout);
         reply
     }
 
-    /// Lists a kind.
+    /// Lists the objects of a kind.
     pub async fn list_kind(
         &self,
         kind: &str,
         freshness: ListFreshness,
-        bound: Duration,
+        timeout: Duration,
     ) -> Result<KindListing, StoreFailure> {
-        let (way, address) = self.ways.borrow().way();
-        let listing = self.client.list_kind(address, kind, freshness, bound).await;
-        self.note_endpoint_result(&way, &listing);
+        let (endpoint, address) = self.endpoints.borrow().way();
+        let listing = self.client.list_kind(address, kind, freshness, timeout).await;
+        self.note_endpoint_result(&endpoint, &listing);
         listing
     }
 
-    /// Waits for changes of a kind; ends early where the way is found broken by another call.
-    ///
-    /// Guards against a watch that waits for its timeout on a way that is known not to work.
+    /// Waits for changes of a kind. Fails early when another call finds the endpoint broken, instead of waiting
+    /// for its own timeout on it.
     pub async fn watch_kind(
         &self,
         kind: &str,
@@ -185,79 +186,86 @@
         wait: Duration,
         slack: Duration,
     ) -> Result<WatchedChanges, StoreFailure> {
-        let moved = self.moved.listen();
-        let (way, address) = self.ways.borrow().way();
+        let changed = self.endpoint_changed.listen();
+        let (endpoint, address) = self.endpoints.borrow().way();
         let watching = self.client.watch_kind(address, kind, after, wait, wait + slack);
-        let moving = async {
-            moved.await;
+        let changing = async {
+            changed.await;
             Err(StoreFailure::NoAnswer(io::ErrorKind::ConnectionAborted.into()))
         };
-        let watched = watching.or(moving).await;
-        self.note_endpoint_result(&way, &watched);
+        let watched = watching.or(changing).await;
+        self.note_endpoint_result(&endpoint, &watched);
         watched
     }
 
-    fn note_endpoint_result<Value>(&self, way: &StoreWay, result: &Result<Value, StoreFailure>) {
+    fn note_endpoint_result<Value>(
+        &self,
+        endpoint: &StoreWay,
+        result: &Result<Value, StoreFailure>,
+    ) {
         if matches!(result, Err(StoreFailure::NoAnswer(_) | StoreFailure::Declined(_))) {
-            self.note_failure(way);
+            self.note_failure(endpoint);
         }
     }
 
-    fn note_failure(&self, way: &StoreWay) {
+    fn note_failure(&self, endpoint: &StoreWay) {
         let now = self.now();
-        let moved = self.ways.borrow_mut().note_failure(way, fastrand::f64(), now);
-        if moved {
-            self.note_moved("failure");
+        let changed = self.endpoints.borrow_mut().note_failure(endpoint, fastrand::f64(), now);
+        if changed {
+            self.note_endpoint_change("failure");
         }
     }
 
-    fn note_moved(&self, reason: &str) {
-        let (way, address) = self.ways.borrow().way();
+    fn note_endpoint_change(&self, reason: &str) {
+        let (way, address) = self.endpoints.borrow().way();
         tracing::info!(event = "store_way", ?way, %address, reason);
-        self.moved.notify(usize::MAX);
+        self.endpoint_changed.notify(usize::MAX);
     }
 
-    /// Tries the direct way.
+    /// Probes the direct endpoint, and returns to it if it works.
     async fn probe_direct(&self, store: SocketAddr) {
         let path = format!("{}/{}", names::CONFIG_KIND, names::CONFIG_NAME);
         let call = StoreCall::Get { path: path.into() };
-        let reply = self.client.call(store, &call, PROBE_BOUND).await;
+        let reply = self.client.call(store, &call, PROBE_TIMEOUT).await;
         if matches!(reply, StoreReply::Found { .. } | StoreReply::Missing) {
-            self.ways.borrow_mut().note_direct();
-            self.note_moved("direct way works again");
+            self.endpoints.borrow_mut().note_direct();
+            self.note_endpoint_change("direct endpoint works again");
         }
     }
 }
 
-/// Keeps the list of relays, and goes back to the direct way when it works.
+/// Keeps the list of relays up to date, and returns to the direct endpoint when it works again.
 ///
-/// An entry that places prompts lists more often (`unmeasured`) while a relay has not stated its
-/// server's pace yet: until it does, a slow server gets the prompts of a fast one.
+/// `unmeasured` is the interval between listings while a relay has not stated its server's pace yet. Entries
+/// that place prompts set a short one: until the pace is known, a slow server gets as many prompts as a fast
+/// one.
 pub async fn maintain_endpoint(store: Rc<StoreAccess>, direct: SocketAddr, unmeasured: Duration) {
-    let mut listed: Option<Duration> = None;
+    let mut listed_at: Option<Duration> = None;
     loop {
         let now = store.now();
         let pause = match now {
-            now if now < RELAY_FIRST => RELAY_FIRST_REFRESH,
-            now if now < HOSTED_FIRST && store.has_only_hosted_relays() => RELAY_FIRST_REFRESH,
-            _ if store.ways.borrow().lacks_paces() => unmeasured,
+            now if now < STARTUP_TIME => STARTUP_LIST_INTERVAL,
+            now if now < HOSTED_STARTUP_TIME && store.has_only_hosted_relays() => {
+                STARTUP_LIST_INTERVAL
+            }
+            _ if store.endpoints.borrow().lacks_paces() => unmeasured,
             _ => RELAY_LIST_INTERVAL,
         };
-        if listed.is_none_or(|at| now.saturating_sub(at) > pause) {
+        if listed_at.is_none_or(|at| now.saturating_sub(at) > pause) {
             let done = list_relays(&store).await;
-            listed = done.then(|| store.now()).or(listed);
+            listed_at = done.then(|| store.now()).or(listed_at);
         }
-        let wants = store.ways.borrow_mut().wants_probe(now);
-        if wants {
+        let due = store.endpoints.borrow_mut().wants_probe(now);
+        if due {
             store.probe_direct(direct).await;
         }
-        smol::Timer::after(PROBE_STEP).await;
+        smol::Timer::after(CHECK_INTERVAL).await;
     }
 }
 
-/// Lists the relays; false if there was no answer.
+/// Lists the relays. Returns false if the store did not answer.
 async fn list_relays(store: &StoreAccess) -> bool {
-    let objects = match store.list_kind(RELAY_KIND, ListFreshness::Stale, PROBE_BOUND).await {
+    let objects = match store.list_kind(RELAY_KIND, ListFreshness::Stale, PROBE_TIMEOUT).await {
         Ok(listing) => listing.objects,
         Err(failure) => {
             tracing::debug!(event = "relays_not_listed", %failure);
@@ -268,7 +276,7 @@
         let entry: Option<RelayEntry> = storecalls::decode_value(&object.value);
         entry.map(|entry| (object.name, entry))
     });
-    store.ways.borrow_mut().take_relays(entries);
+    store.endpoints.borrow_mut().take_relays(entries);
     store.relays_listed.set(true);
     true
 }
--- a/toucanrail-gateway/src/store_watch.rs
+++ b/toucanrail-gateway/src/store_watch.rs
@@ -1,4 +1,6 @@
-//! The loops that follow the store: the configuration, the backend servers and the evacuations.
+//! The loops that keep the configuration, the backend servers and the evacuations up to date from the store.
+//!
+//! Changes come from a board, which is a relay's copy of store objects, or from a watch of the store itself.
 
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -15,72 +17,73 @@
 use crate::relay_client;
 use crate::states::{Gateway, GatewayTables};
 
-/// Wait of one watch. Each watch is a counted call, and a connection that turned silent shows only
-/// when its watch is overdue; both follows change within 2 s then.
+/// Long-poll wait of one watch. Each watch is a counted call, which favours long waits; a connection that went
+/// silent is noticed only when its watch is overdue, and a change must be known within 2 s even then.
 const WATCH_WAIT: Duration = Duration::from_millis(1_500);
-/// Added before a watch or listing counts as unanswered.
+/// Added to the wait before a watch counts as unanswered.
 const ANSWER_SLACK: Duration = Duration::from_millis(500);
-/// Wait of one question to a board, the same for evacuations, and what is added before it counts as
-/// unanswered.
+/// Long-poll wait of a query to a board, the same for evacuations, and the time added to it before the query
+/// counts as unanswered.
 const BOARD_WAIT: Duration = Duration::from_millis(800);
 const EVACUATION_BOARD_WAIT: Duration = Duration::from_millis(1_500);
 const BOARD_SLACK: Duration = Duration::from_millis(400);
-/// Time for which a board that does not hear from the store is passed over.
-const STALE_REST: Duration = Duration::from_secs(1);
-/// Pause after a call that failed, doubled up to the limit.
-const PAUSE_LEAST: Duration = Duration::from_millis(80);
-const PAUSE_LIMIT: Duration = Duration::from_millis(640);
-/// Time after the store's return in which a missing server may come back.
-const LAPSE_WINDOW: Duration = Duration::from_secs(2);
-/// Time without an answer from which entries may have lapsed: three of the servers' heartbeats are
-/// longer.
-const OUTAGE_LEAST: Duration = Duration::from_millis(2_500);
-/// How often servers that did not come back are dropped.
-const SWEEP: Duration = Duration::from_millis(200);
-
-/// Takes the objects of one kind.
-trait KindTaker {
-    /// The kind.
+/// Time for which a board that gets no answers from the store is not queried.
+const STALE_BACKOFF: Duration = Duration::from_secs(1);
+/// Pause after a failed call; it doubles with each consecutive failure, up to the maximum.
+const MIN_RETRY_PAUSE: Duration = Duration::from_millis(80);
+const MAX_RETRY_PAUSE: Duration = Duration::from_millis(640);
+/// Time after an outage of the store in which a server missing from it may still register again.
+const REREGISTRATION_WINDOW: Duration = Duration::from_secs(2);
+/// Time without an answer after which servers' entries may have expired in the store. Three heartbeat
+/// intervals of a server are longer than this.
+const EXPIRY_THRESHOLD: Duration = Duration::from_millis(2_500);
+/// Interval at which expired state is dropped.
+const SWEEP_INTERVAL: Duration = Duration::from_millis(200);
+
+/// Applies the store objects of one kind to the gateway's state.
+trait KindHandler {
+    /// Name of the kind.
     const KIND: &'static str;
-    /// Wait of one question to a board.
+    /// Long-poll wait of a query to a board.
     const BOARD_WAIT: Duration = BOARD_WAIT;
 
-    /// Takes all objects.
-    fn take_all(&mut self, gateway: &Gateway, objects: &[MirrorObject]);
+    /// Applies a listing of all objects.
+    fn apply_listing(&mut self, gateway: &Gateway, objects: &[MirrorObject]);
 
-    /// Takes one change.
-    fn take_change(&mut self, gateway: &Gateway, change: &MirrorChange);
+    /// Applies one change.
+    fn apply_change(&mut self, gateway: &Gateway, change: &MirrorChange);
 
-    /// Notes how long ago what comes now may have happened, and for how long the store was silent before.
-    fn note_return(&mut self, gateway: &Gateway, silence: Duration, age: Duration);
+    /// Called before each update is applied. `silence` is the time since the previous answer, `age` the longest
+    /// time ago that a change in this update can have been made.
+    fn note_answer(&mut self, gateway: &Gateway, silence: Duration, age: Duration);
 }
 
-/// Follows the configuration.
+/// Keeps the configuration up to date.
 pub async fn watch_config(gateway: Rc<Gateway>) {
-    follow(gateway, ConfigTaker).await;
+    watch(gateway, ConfigHandler).await;
 }
 
-/// Follows the servers' registrations.
+/// Keeps the backend servers' registrations up to date.
 pub async fn watch_servers(gateway: Rc<Gateway>) {
-    follow(gateway, ServerTaker { returned: None }).await;
+    watch(gateway, ServerHandler { outage_ended_at: None }).await;
 }
 
-/// Follows the evacuations, where the operator orders any.
+/// Keeps the evacuations up to date, if the settings provide for them.
 pub async fn watch_evacuations(gateway: Rc<Gateway>) {
     if gateway.settings.evacuation_bound.is_some() {
-        follow(gateway, EvacuationTaker { age: Duration::ZERO }).await;
+        watch(gateway, EvacuationHandler { age: Duration::ZERO }).await;
     }
 }
 
-/// Drops servers that did not come back after an outage, and connections that are too old; takes the
-/// servers' paces as relays measured them.
+/// Periodic maintenance: drops servers that did not register again after an outage and connections that are
+/// too old, and applies the paces of servers as measured by relays.
 pub async fn sweep(gateway: Rc<Gateway>) {
-    let mut swept = gateway.now();
+    let mut swept_at = gateway.now();
     loop {
-        smol::Timer::after(SWEEP).await;
+        smol::Timer::after(SWEEP_INTERVAL).await;
         let now = gateway.now();
-        let over = gateway.tables.borrow_mut().backends.drop_lapsed(now);
-        for id in over {
+        let expired = gateway.tables.borrow_mut().backends.drop_lapsed(now);
+        for id in expired {
             tracing::info!(event = "server_gone", server = %id, reason = "lapsed");
             gateway.channels.forget(&id);
         }
@@ -89,76 +92,76 @@
         let tables = gateway.tables.borrow();
         gateway.sights.retain(|server| tables.backends.get(server).is_some());
         drop(tables);
-        gateway.grant_manager.grants.borrow_mut().smooth_burn(now.saturating_sub(swept));
-        swept = now;
+        gateway.grant_manager.grants.borrow_mut().smooth_burn(now.saturating_sub(swept_at));
+        swept_at = now;
     }
 }
 
-/// What one loop knows of its kind.
+/// Progress of one loop.
 #[derive(Debug)]
-struct FollowState {
-    /// The revision up to which every change is known; none before the first listing.
+struct WatchState {
+    /// The revision up to which every change is known; `None` before the first listing.
     revision: Option<Version>,
-    /// The last answer.
-    heard: Duration,
-    /// When the store is asked although no board hears from it.
+    /// Time of the last answer.
+    answered_at: Duration,
+    /// Backoff of direct calls to the store while no board gets answers from it.
     outage: OutageTimer,
 }
 
-async fn follow<Taker>(gateway: Rc<Gateway>, mut taker: Taker)
+async fn watch<Handler>(gateway: Rc<Gateway>, mut handler: Handler)
 where
-    Taker: KindTaker,
+    Handler: KindHandler,
 {
     let outage = OutageTimer::default();
-    let mut state = FollowState { revision: None, heard: gateway.now(), outage };
-    let mut pause = PAUSE_LEAST;
+    let mut state = WatchState { revision: None, answered_at: gateway.now(), outage };
+    let mut pause = MIN_RETRY_PAUSE;
     loop {
-        match step(&gateway, &mut taker, &mut state).await {
+        match step(&gateway, &mut handler, &mut state).await {
             Ok(next) => {
                 state.revision = Some(next);
-                state.heard = gateway.now();
-                pause = PAUSE_LEAST;
-                gateway.store.note_call(Taker::KIND, true);
+                state.answered_at = gateway.now();
+                pause = MIN_RETRY_PAUSE;
+                gateway.store.note_call(Handler::KIND, true);
             }
             Err(StoreFailure::Forgotten) => {
-                tracing::info!(event = "history_gone", kind = Taker::KIND);
+                tracing::info!(event = "history_gone", kind = Handler::KIND);
                 state.revision = None;
             }
             Err(failure) => {
-                tracing::debug!(event = "store_failed", kind = Taker::KIND, %failure);
-                gateway.store.note_call(Taker::KIND, false);
+                tracing::debug!(event = "store_failed", kind = Handler::KIND, %failure);
+                gateway.store.note_call(Handler::KIND, false);
                 smol::Timer::after(pause.mul_f64(0.5 + 0.5 * fastrand::f64())).await;
-                pause = (pause * 2).min(PAUSE_LIMIT);
+                pause = (pause * 2).min(MAX_RETRY_PAUSE);
             }
         }
     }
 }
 
-/// Takes the kind whole, or waits for its next changes; returns the revision to go on from.
-async fn step<Taker>(
+/// Applies a listing of the kind or its next changes. Returns the revision to continue from.
+async fn step<Handler>(
     gateway: &Gateway,
-    taker: &mut Taker,
-    state: &mut FollowState,
+    handler: &mut Handler,
+    state: &mut WatchState,
 ) -> Result<Version, StoreFailure>
 where
-    Taker: KindTaker,
+    Handler: KindHandler,
 {
     let revision = state.revision;
-    let age = gateway.now().saturating_sub(state.heard);
-    let news = match ask_boards::<Taker>(gateway, revision).await {
-        BoardAnswer::News(news) => news,
-        BoardAnswer::Outage => ask_outage(gateway, Taker::KIND, state).await?,
-        BoardAnswer::Silent => ask_store(gateway, Taker::KIND, revision).await?,
+    let age = gateway.now().saturating_sub(state.answered_at);
+    let update = match query_boards::<Handler>(gateway, revision).await {
+        BoardOutcome::Updated(update) => update,
+        BoardOutcome::Stale => query_in_outage(gateway, Handler::KIND, state).await?,
+        BoardOutcome::Unavailable => query_store(gateway, Handler::KIND, revision).await?,
     };
-    taker.note_return(gateway, gateway.now().saturating_sub(state.heard), age);
-    match news {
+    handler.note_answer(gateway, gateway.now().saturating_sub(state.answered_at), age);
+    match update {
         NewsReply::Listing { objects, revision } => {
-            taker.take_all(gateway, &objects);
+            handler.apply_listing(gateway, &objects);
             Ok(revision)
         }
         NewsReply::Changes { changes, revision: seen } => {
             for change in &changes {
-                taker.take_change(gateway, change);
+                handler.apply_change(gateway, change);
             }
             Ok(seen.max(revision.unwrap_or_default()))
         }
@@ -170,23 +173,24 @@
     StoreFailure::NoAnswer(std::io::ErrorKind::TimedOut.into())
 }
 
-/// Asks a store that no board hears from: it may turn the boards' VMs away and serve this one.
-async fn ask_outage(
+/// Queries a store from which no board gets answers: it may reject the boards' VMs and still serve this one.
+async fn query_in_outage(
     gateway: &Gateway,
     kind: &str,
-    state: &mut FollowState,
+    state: &mut WatchState,
 ) -> Result<NewsReply, StoreFailure> {
     if !state.outage.is_over(gateway.now()) {
         return Err(no_answer());
     }
-    let asked = ask_store(gateway, kind, state.revision).await;
-    if asked.is_err() {
+    let result = query_store(gateway, kind, state.revision).await;
+    if result.is_err() {
         state.outage.note_failure(gateway.now(), fastrand::f64());
     }
-    asked
+    result
 }
 
-async fn ask_store(
+/// Lists the kind, or waits for its changes, at the store itself.
+async fn query_store(
     gateway: &Gateway,
     kind: &str,
     revision: Option<Version>,
@@ -200,68 +204,68 @@
     Ok(NewsReply::Changes { changes: watched.changes, revision: watched.revision })
 }
 
-/// What the boards of the region say.
+/// Outcome of a query to the boards of the region.
 #[derive(Debug)]
-enum BoardAnswer {
-    /// What one of them knows.
-    News(NewsReply),
-    /// None of them hears from the store.
-    Outage,
-    /// None of them answers, or there are none.
-    Silent,
+enum BoardOutcome {
+    /// A board answered.
+    Updated(NewsReply),
+    /// The boards answer, but get no answers from the store.
+    Stale,
+    /// A board failed, or there are none.
+    Unavailable,
 }
 
-/// Asks the boards of the region in their order.
+/// Queries the boards of the region in order.
 ///
-/// A board that fails is passed over for a while, and this entry asks the store itself at once: what it
-/// knows is never older than one board's patience and its own together. A stale board says so at once,
-/// and the next one is asked.
-async fn ask_boards<Taker>(gateway: &Gateway, after: Option<Version>) -> BoardAnswer
+/// A board that fails is put in backoff, and this entry queries the store itself immediately, so that its
+/// knowledge is never older than one timeout of a board plus one of its own. A stale board says so
+/// immediately, and the next one is queried.
+async fn query_boards<Handler>(gateway: &Gateway, after: Option<Version>) -> BoardOutcome
 where
-    Taker: KindTaker,
+    Handler: KindHandler,
 {
-    let kind = Taker::KIND;
+    let kind = Handler::KIND;
     let boards = boards::pick_boards(&gateway.store.lenders());
-    let answering =
+    let available =
         boards.iter().filter(|(name, _)| !gateway.boards.is_active(name, gateway.now()));
-    let order = NewsOrder { kind: Arc::from(kind), after, wait: Taker::BOARD_WAIT };
+    let order = NewsOrder { kind: Arc::from(kind), after, wait: Handler::BOARD_WAIT };
     let mut stale = false;
-    for (board, address) in answering {
+    for (board, address) in available {
         if gateway.stale_boards.is_active(board, gateway.now()) {
             stale = true;
             continue;
         }
-        let bound = Taker::BOARD_WAIT + BOARD_SLACK;
-        let asked =
-            relay_client::call_relay(gateway, board, *address, CHANGES_PATH, &order, bound).await;
-        let reason = match asked {
-            // An older listing than what is known would bring servers back that have left.
+        let timeout = Handler::BOARD_WAIT + BOARD_SLACK;
+        let result =
+            relay_client::call_relay(gateway, board, *address, CHANGES_PATH, &order, timeout).await;
+        let reason = match result {
+            // A listing that is older than the known revision would bring back servers that have left.
             Ok(NewsReply::Listing { revision, .. }) if after.is_some_and(|at| revision < at) => {
                 "behind".to_owned()
             }
             Ok(NewsReply::Stale) => {
                 tracing::info!(event = "board_stale", %board, kind);
-                gateway.stale_boards.back_off_for(board, gateway.now(), STALE_REST);
+                gateway.stale_boards.back_off_for(board, gateway.now(), STALE_BACKOFF);
                 stale = true;
                 continue;
             }
             Ok(reply) => {
                 gateway.boards.reset(board);
-                return BoardAnswer::News(reply);
+                return BoardOutcome::Updated(reply);
             }
             Err(error) => error.to_string(),
         };
         tracing::info!(event = "board_failed", %board, kind, reason);
         gateway.boards.note_failure(board, gateway.now());
-        return BoardAnswer::Silent;
+        return BoardOutcome::Unavailable;
     }
-    if stale { BoardAnswer::Outage } else { BoardAnswer::Silent }
+    if stale { BoardOutcome::Stale } else { BoardOutcome::Unavailable }
 }
 
-struct ConfigTaker;
+struct ConfigHandler;
 
-impl ConfigTaker {
-    fn take(gateway: &Gateway, object: &MirrorObject) {
+impl ConfigHandler {
+    fn apply(gateway: &Gateway, object: &MirrorObject) {
         if *object.name != *names::CONFIG_NAME || object.value.is_empty() {
             return;
         }
@@ -273,42 +277,43 @@
             }
         };
         let version = config.version;
-        let (taken, routes) = {
+        let (applied, routes) = {
             let mut tables = gateway.tables.borrow_mut();
             (tables.routes.take_config(config), tables.routes.route_count())
         };
-        if taken {
+        if applied {
             gateway.board.in_force.set(i64::try_from(version).unwrap_or(i64::MAX));
             tracing::info!(event = "config_in_force", version, routes);
         }
     }
 }
 
-impl KindTaker for ConfigTaker {
+impl KindHandler for ConfigHandler {
     const KIND: &'static str = names::CONFIG_KIND;
 
-    fn take_all(&mut self, gateway: &Gateway, objects: &[MirrorObject]) {
+    fn apply_listing(&mut self, gateway: &Gateway, objects: &[MirrorObject]) {
         for object in objects {
-            Self::take(gateway, object);
+            Self::apply(gateway, object);
         }
     }
 
-    fn take_change(&mut self, gateway: &Gateway, change: &MirrorChange) {
+    fn apply_change(&mut self, gateway: &Gateway, change: &MirrorChange) {
         if !change.removed {
-            Self::take(gateway, &change.object);
+            Self::apply(gateway, &change.object);
         }
     }
 
-    fn note_return(&mut self, _: &Gateway, _: Duration, _: Duration) {}
+    fn note_answer(&mut self, _: &Gateway, _: Duration, _: Duration) {}
 }
 
-struct ServerTaker {
-    /// When the store returned after an outage in which entries may have lapsed.
-    returned: Option<Duration>,
+struct ServerHandler {
+    /// When the last outage ended in which servers' entries may have expired.
+    outage_ended_at: Option<Duration>,
 }
 
-impl ServerTaker {
-    fn take(gateway: &Gateway, object: &MirrorObject) -> bool {
+impl ServerHandler {
+    /// Applies a server's entry. Returns false if it cannot be decoded.
+    fn apply(gateway: &Gateway, object: &MirrorObject) -> bool {
         match registrations::decode_server(&object.name, object.version, &object.value) {
             Ok(entry) => {
                 let now = gateway.now();
@@ -320,12 +325,12 @@
                         address = %entry.address, draining = entry.draining,
                         cold_ms = entry.cold.as_millis() as u64, revision = object.version,
                     );
-                    let reborn = known.as_ref().is_some_and(|known| known.born != entry.born);
-                    if reborn || entry.draining {
+                    let restarted = known.as_ref().is_some_and(|known| known.born != entry.born);
+                    if restarted || entry.draining {
                         gateway.channels.forget(&entry.id);
                     }
                 }
-                // A listing repeats what was said some time ago.
+                // The remaining cold time of an entry that a listing repeats was stated some time ago.
                 let cold = if known.as_ref() == Some(&entry) { Duration::ZERO } else { entry.cold };
                 tables.backends.take_entry(entry);
                 if !cold.is_zero() {
@@ -340,10 +345,12 @@
         }
     }
 
+    /// Notes that a known server is missing from the store. After an outage it may have expired there and
+    /// register again, so it is kept for a while.
     fn note_missing(&self, gateway: &Gateway, id: &Arc<str>) {
         let now = gateway.now();
-        let window = |since: &Duration| now.saturating_sub(*since) < LAPSE_WINDOW;
-        let since = self.returned.filter(window);
+        let window = |since: &Duration| now.saturating_sub(*since) < REREGISTRATION_WINDOW;
+        let since = self.outage_ended_at.filter(window);
         let mut tables = gateway.tables.borrow_mut();
         if tables.backends.get(id).is_none() {
             return;
@@ -357,11 +364,11 @@
     }
 }
 
-impl KindTaker for ServerTaker {
+impl KindHandler for ServerHandler {
     const KIND: &'static str = names::SERVER_KIND;
 
-    fn take_all(&mut self, gateway: &Gateway, objects: &[MirrorObject]) {
-        let readable = objects.iter().filter(|object| Self::take(gateway, object));
+    fn apply_listing(&mut self, gateway: &Gateway, objects: &[MirrorObject]) {
+        let readable = objects.iter().filter(|object| Self::apply(gateway, object));
         let listed: BTreeSet<Arc<str>> = readable.map(|object| Arc::clone(&object.name)).collect();
         let known: Vec<Arc<str>> = {
             let tables = gateway.tables.borrow();
@@ -373,26 +380,26 @@
         gateway.tables.borrow_mut().backends.note_listed();
     }
 
-    fn take_change(&mut self, gateway: &Gateway, change: &MirrorChange) {
-        if change.removed || !Self::take(gateway, &change.object) {
+    fn apply_change(&mut self, gateway: &Gateway, change: &MirrorChange) {
+        if change.removed || !Self::apply(gateway, &change.object) {
             self.note_missing(gateway, &change.object.name);
         }
     }
 
-    fn note_return(&mut self, gateway: &Gateway, silence: Duration, _: Duration) {
-        if silence > OUTAGE_LEAST {
-            self.returned = Some(gateway.now());
+    fn note_answer(&mut self, gateway: &Gateway, silence: Duration, _: Duration) {
+        if silence > EXPIRY_THRESHOLD {
+            self.outage_ended_at = Some(gateway.now());
         }
     }
 }
 
-struct EvacuationTaker {
-    /// How long ago what comes now may have happened.
+struct EvacuationHandler {
+    /// Longest time ago that a change in the current update can have been made.
     age: Duration,
 }
 
-impl EvacuationTaker {
-    fn reopen(gateway: &Gateway, data_centre: &str) {
+impl EvacuationHandler {
+    fn end_evacuation(gateway: &Gateway, data_centre: &str) {
         let now = gateway.now();
         let mut tables = gateway.tables.borrow_mut();
         let GatewayTables { routes, backends, .. } = &mut *tables;
@@ -403,24 +410,24 @@
     }
 }
 
-impl KindTaker for EvacuationTaker {
+impl KindHandler for EvacuationHandler {
     const KIND: &'static str = names::EVACUATION_KIND;
     const BOARD_WAIT: Duration = EVACUATION_BOARD_WAIT;
 
-    fn take_all(&mut self, gateway: &Gateway, objects: &[MirrorObject]) {
+    fn apply_listing(&mut self, gateway: &Gateway, objects: &[MirrorObject]) {
         let listed = objects.iter().map(|object| Arc::clone(&object.name)).collect();
         let now = gateway.now();
-        let over = gateway.tables.borrow_mut().backends.evacuations.take_listing(&listed, now);
-        for data_centre in &over {
-            Self::reopen(gateway, data_centre);
+        let ended = gateway.tables.borrow_mut().backends.evacuations.take_listing(&listed, now);
+        for data_centre in &ended {
+            Self::end_evacuation(gateway, data_centre);
         }
         tracing::info!(event = "evacuations_listed", in_force = ?listed);
     }
 
-    fn take_change(&mut self, gateway: &Gateway, change: &MirrorChange) {
+    fn apply_change(&mut self, gateway: &Gateway, change: &MirrorChange) {
         let data_centre = &change.object.name;
         if change.removed {
-            Self::reopen(gateway, data_centre);
+            Self::end_evacuation(gateway, data_centre);
             return;
         }
         let now = gateway.now();
@@ -429,7 +436,7 @@
         tracing::info!(event = "evacuation", %data_centre, age_ms, revision);
     }
 
-    fn note_return(&mut self, _: &Gateway, _: Duration, age: Duration) {
+    fn note_answer(&mut self, _: &Gateway, _: Duration, age: Duration) {
         self.age = age;
     }
 }
