--- a/toucanrail-daemons/src/attempts.rs
+++ b/toucanrail-daemons/src/attempts.rs
@@ -8,7 +8,7 @@
 use smol::future::FutureExt;
 use toucanrail::codes::ResultCode;
 use toucanrail::codetable;
-use toucanrail::frames::FrameScanner;
+use toucanrail::frames::FrameDecoder;
 use toucanrail::ids::{AgentId, RunId, Tokens};
 use toucanrail::messages::{AgentReply, AskMode, AskOrder, HeaderField, KeptAnswer, RunFate};
 use toucanrail::messages::{RunFrame, RunOrder};
@@ -160,7 +160,7 @@
 where
     Sink: AnswerSink,
 {
-    let mut scanner = FrameScanner::new();
+    let mut scanner = FrameDecoder::new();
     let mut received = 0;
     let mut first = true;
     loop {
--- a/toucanrail-daemons/src/fleets.rs
+++ b/toucanrail-daemons/src/fleets.rs
@@ -8,7 +8,7 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use toucanrail::codetable;
-use toucanrail::seals::{self, FleetKey};
+use toucanrail::signatures::{self, FleetKey};
 use toucanrail_wire::clients::OutboundCall;
 use toucanrail_wire::clients::{ClientLimits, ConnectionPool, OpenAnswer, OpenFailure};
 use toucanrail_wire::listeners::ReceivedCall;
@@ -54,8 +54,8 @@
         Message: Serialize,
     {
         let body = rmp_serde_vec(message)?;
-        let seal = self.key.seal(path, &body);
-        Ok(OutboundCall::post(path, body).field(seals::SEAL_HEADER, seal))
+        let seal = self.key.sign(path, &body);
+        Ok(OutboundCall::post(path, body).field(signatures::SIGNATURE_HEADER, seal))
     }
 
     /// Sends a message and reads its reply, all within `bound`.
@@ -107,8 +107,8 @@
     where
         Message: DeserializeOwned,
     {
-        let seal = call.field(seals::SEAL_HEADER).unwrap_or_default();
-        if !self.key.is_authentic(call.path(), &call.body, seal) {
+        let seal = call.field(signatures::SIGNATURE_HEADER).unwrap_or_default();
+        if !self.key.verify(call.path(), &call.body, seal) {
             return Err(refuse(codetable::NOT_AUTHENTIC));
         }
         rmp_serde::from_slice(&call.body).map_err(|_| refuse(codetable::BAD_REQUEST))
--- a/toucanrail-daemons/src/mirroring.rs
+++ b/toucanrail-daemons/src/mirroring.rs
@@ -98,7 +98,7 @@
     /// Takes a listing of the catalogue; true if anything was news.
     pub fn take_catalogue(&self, reply: MirrorReply) -> bool {
         let mut state = self.lock();
-        let news = state.objects.take(reply);
+        let news = state.objects.merge(reply);
         for object in &news {
             state.catalogue.take(object);
         }
@@ -107,7 +107,7 @@
 
     /// Takes a listing of the registrations; true if anything was news.
     pub fn take_nodes(&self, reply: MirrorReply) -> bool {
-        !self.lock().nodes.take(reply).is_empty()
+        !self.lock().nodes.merge(reply).is_empty()
     }
 
     /// Takes a peer's news; true if the registrations changed.
--- a/toucanrail-daemons/src/reclaiming.rs
+++ b/toucanrail-daemons/src/reclaiming.rs
@@ -93,7 +93,7 @@
                 tracing::info!(%dead, %shard, proved, bills, "tenure reclaimed");
                 drop_runs(entry, runs).await;
             }
-            ReclaimOutcome::Nothing => {}
+            ReclaimOutcome::NotNeeded => {}
             ReclaimOutcome::Waiting | ReclaimOutcome::Unavailable => finished = false,
         }
     }
@@ -126,7 +126,7 @@
                 fence(entry, &agent, FenceOrder { shard, epoch }).await
             }
         };
-        machine.take_reply(reply);
+        machine.handle_reply(reply);
     }
     machine.into_outcome()
 }
--- a/toucanrail-daemons/src/recording.rs
+++ b/toucanrail-daemons/src/recording.rs
@@ -38,7 +38,7 @@
                 ask(entry, &agent, AskOrder { run, mode }).await
             }
         };
-        machine.take_reply(reply);
+        machine.handle_reply(reply);
     }
     machine.into_outcome()
 }
--- a/toucanrail-daemons/src/running.rs
+++ b/toucanrail-daemons/src/running.rs
@@ -249,7 +249,7 @@
                 self.fail(codetable::FOREIGN_ANSWER, RunState::Unknown).await
             }
             ReadEvent::Head { status, fields, .. } => {
-                self.meter.take_status(status);
+                self.meter.set_status(status);
                 self.head = Some((status, fields.clone()));
                 let request = Arc::clone(&self.order.request);
                 self.send(&RunFrame::Head { request, status, fields }).await;
@@ -262,9 +262,9 @@
     }
 
     async fn pass_bytes(&mut self, bytes: &[u8]) -> bool {
-        let bytes = self.meter.take_bytes(bytes);
+        let bytes = self.meter.process_bytes(bytes);
         // The agent keeps to the hold even if the engine would not.
-        if self.meter.least_used() > self.order.hold {
+        if self.meter.min_used() > self.order.hold {
             return self.fail(codetable::ANSWER_CUT, RunState::Ran).await;
         }
         if bytes.is_empty() {
@@ -353,7 +353,7 @@
     /// Guards against a cancel that overtakes its request on another connection: an engine that
     /// does not know the request yet may still run it, so it is asked until it knows it.
     async fn settle_usage(&self) -> (Tokens, Tokens) {
-        let least = self.meter.least_used().min(self.order.hold);
+        let least = self.meter.min_used().min(self.order.hold);
         if matches!(self.order.usage, UsageRule::Fixed(_)) {
             return (least, 0);
         }
@@ -372,7 +372,7 @@
     fn note_end(&mut self, whole: bool, used: Tokens, unproved: Tokens) {
         let empty = RunMeter::new(self.order.usage, false, 0);
         let meter = std::mem::replace(&mut self.meter, empty);
-        let kept = meter.into_kept().filter(|_| whole && !self.order.repeatable);
+        let kept = meter.into_body().filter(|_| whole && !self.order.repeatable);
         let answer = kept.zip(self.head.clone()).map(|(body, (status, fields))| KeptAnswer {
             status,
             fields,
--- a/toucanrail-daemons/src/settling.rs
+++ b/toucanrail-daemons/src/settling.rs
@@ -116,7 +116,7 @@
 async fn archive_keys(entry: &Arc<Entry>, shard: &ShardName) {
     let mut machine = ArchiveMachine::new(Arc::clone(shard), RECENT_LIMIT);
     while let Some(call) = machine.next_call() {
-        machine.take_reply(entry.store.call(&call).await);
+        machine.handle_reply(entry.store.call(&call).await);
     }
     if machine.has_moved() {
         entry.board.count_event("archives");
--- a/toucanrail-daemons/src/states.rs
+++ b/toucanrail-daemons/src/states.rs
@@ -11,7 +11,7 @@
 use http_types::Response;
 use toucanrail::grants::GrantTable;
 use toucanrail::ids::{CustomerId, EntryId, ShardName, Tokens};
-use toucanrail::limits::LimitTable;
+use toucanrail::limits::LoadLimiter;
 use toucanrail::members::MemberTable;
 use toucanrail::paths;
 use toucanrail::policies::GrantPolicy;
@@ -108,7 +108,7 @@
     /// The backend servers.
     pub servers: ServerTable,
     /// Requests in flight.
-    pub limits: LimitTable,
+    pub limits: LoadLimiter,
     /// Retries left.
     pub retries: RetryBudget,
     /// The peers and VMs.
@@ -155,7 +155,7 @@
         let tables = EntryTables {
             grants: GrantTable::new(Arc::clone(&id), settings.policy),
             servers: ServerTable::new(),
-            limits: LimitTable::new(),
+            limits: LoadLimiter::new(),
             retries: RetryBudget::new(),
             members: MemberTable::new(),
             replays: ReplayTable::new(),
--- a/toucanrail-daemons/src/watching.rs
+++ b/toucanrail-daemons/src/watching.rs
@@ -204,7 +204,7 @@
         smol::Timer::after(TICK).await;
         let mut tables = entry.lock();
         tables.grants.smooth_burn(TICK);
-        tables.limits.smooth_drain(TICK);
+        tables.limits.update_drain_rates(TICK);
         let now = entry.now();
         tables.exhausted.retain(|_, (until, _)| *until > now);
     }
--- a/toucanrail/src/archives.rs
+++ b/toucanrail/src/archives.rs
@@ -84,7 +84,7 @@
     }
 
     /// Takes the reply to the last call; anything unexpected ends the move, to be begun again.
-    pub fn take_reply(&mut self, reply: StoreReply) {
+    pub fn handle_reply(&mut self, reply: StoreReply) {
         self.stage = match (self.stage, reply) {
             (ArchiveStage::ReadShard, StoreReply::Found { version, value }) => {
                 self.take_shard(version, &value)
--- a/toucanrail/src/frames.rs
+++ b/toucanrail/src/frames.rs
@@ -13,7 +13,7 @@
 /// ```
 /// use toucanrail::{frames, messages::RunFrame};
 /// let frame = RunFrame::Alive { request: "r".into() };
-/// let mut scanner = frames::FrameScanner::new();
+/// let mut scanner = frames::FrameDecoder::new();
 /// scanner.feed(&frames::encode_frame(&frame));
 /// assert_eq!(scanner.next_frame(), Ok(Some(frame)));
 /// ```
@@ -27,15 +27,15 @@
 
 /// The bytes are no frames.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct FrameFault;
+pub struct FrameError;
 
 /// Cuts bytes into frames.
 #[derive(Debug, Default)]
-pub struct FrameScanner {
+pub struct FrameDecoder {
     pending: Vec<u8>,
 }
 
-impl FrameScanner {
+impl FrameDecoder {
     /// Makes a scanner at the start of an answer.
     pub fn new() -> Self {
         Self::default()
@@ -47,13 +47,13 @@
     }
 
     /// Returns the next whole frame, or none yet.
-    pub fn next_frame(&mut self) -> Result<Option<RunFrame>, FrameFault> {
+    pub fn next_frame(&mut self) -> Result<Option<RunFrame>, FrameError> {
         let Some(length) = self.pending.first_chunk::<LENGTH_BYTES>() else {
             return Ok(None);
         };
         let length = u32::from_be_bytes(*length) as usize;
         if length > FRAME_LIMIT {
-            return Err(FrameFault);
+            return Err(FrameError);
         }
         let end = LENGTH_BYTES + length;
         if self.pending.len() < end {
@@ -61,6 +61,6 @@
         }
         let frame = rmp_serde::from_slice(&self.pending[LENGTH_BYTES..end]);
         self.pending.drain(..end);
-        frame.map(Some).map_err(|_| FrameFault)
+        frame.map(Some).map_err(|_| FrameError)
     }
 }
--- a/toucanrail/src/limits.rs
+++ b/toucanrail/src/limits.rs
@@ -52,11 +52,11 @@
 
 /// The requests in flight of one entry, by service and customer.
 #[derive(Debug, Default, Serialize)]
-pub struct LimitTable {
+pub struct LoadLimiter {
     gates: BTreeMap<ServiceName, ServiceGate>,
 }
 
-impl LimitTable {
+impl LoadLimiter {
     /// Makes an empty table.
     pub fn new() -> Self {
         Self::default()
@@ -102,7 +102,7 @@
     }
 
     /// Updates the drain rates; once a tick.
-    pub fn smooth_drain(&mut self, elapsed: Duration) {
+    pub fn update_drain_rates(&mut self, elapsed: Duration) {
         for gate in self.gates.values_mut() {
             let rate = gate.ended as f64 / elapsed.as_secs_f64().max(0.001);
             gate.drain += (rate - gate.drain) * DRAIN_WEIGHT;
--- a/toucanrail/src/meters.rs
+++ b/toucanrail/src/meters.rs
@@ -41,14 +41,14 @@
     }
 
     /// Takes the answer's status; only a good one streams events.
-    pub fn take_status(&mut self, status: u16) {
+    pub fn set_status(&mut self, status: u16) {
         self.status = status;
         self.streamed &= status == 200;
     }
 
     /// Takes bytes and returns those that go on to the caller: of a stream, whole events only, so
     /// that a resumed stream goes on behind the last one.
-    pub fn take_bytes(&mut self, bytes: &[u8]) -> Vec<u8> {
+    pub fn process_bytes(&mut self, bytes: &[u8]) -> Vec<u8> {
         if !self.streamed {
             self.keep(bytes);
             return bytes.to_vec();
@@ -84,7 +84,7 @@
     }
 
     /// Returns the body, if it was small enough to keep.
-    pub fn into_kept(self) -> Option<Vec<u8>> {
+    pub fn into_body(self) -> Option<Vec<u8>> {
         Some(self.kept).filter(|_| !self.overflowed && !self.streamed)
     }
 
@@ -99,7 +99,7 @@
     }
 
     /// Returns the least that a cut answer used.
-    pub fn least_used(&self) -> Tokens {
+    pub fn min_used(&self) -> Tokens {
         match self.rule {
             UsageRule::Fixed(price) => price,
             UsageRule::Reported { .. } => {
--- a/toucanrail/src/mirrors.rs
+++ b/toucanrail/src/mirrors.rs
@@ -38,12 +38,12 @@
     /// let mut table = MirrorTable::new();
     /// let newer = MirrorObject { name: "a".into(), version: 5, value: b"new".to_vec() };
     /// let older = MirrorObject { name: "a".into(), version: 4, value: b"old".to_vec() };
-    /// table.take(MirrorReply { objects: vec![newer], seen: 5 });
-    /// table.take(MirrorReply { objects: vec![older], seen: 4 });
+    /// table.merge(MirrorReply { objects: vec![newer], seen: 5 });
+    /// table.merge(MirrorReply { objects: vec![older], seen: 4 });
     /// assert_eq!(table.get("a"), Some(&b"new"[..]));
     /// assert_eq!(table.seen(), 5);
     /// ```
-    pub fn take(&mut self, reply: MirrorReply) -> Vec<MirrorObject> {
+    pub fn merge(&mut self, reply: MirrorReply) -> Vec<MirrorObject> {
         let mut news = Vec::new();
         for object in reply.objects {
             if self.version(&object.name).is_some_and(|known| known >= object.version) {
--- a/toucanrail/src/reclaims.rs
+++ b/toucanrail/src/reclaims.rs
@@ -60,7 +60,7 @@
     /// Something is not proved yet; try again later.
     Waiting,
     /// There is nothing to reclaim, or another entry does it.
-    Nothing,
+    NotNeeded,
     /// The object API did not answer; try again later.
     Unavailable,
 }
@@ -177,7 +177,7 @@
     }
 
     /// Takes the reply to the last call.
-    pub fn take_reply(&mut self, reply: ReclaimReply) {
+    pub fn handle_reply(&mut self, reply: ReclaimReply) {
         match (self.stage, reply) {
             (_, ReclaimReply::Store(StoreReply::Unavailable)) => {
                 self.end(ReclaimOutcome::Unavailable);
@@ -207,19 +207,19 @@
 
     fn take_shard(&mut self, reply: StoreReply) {
         let StoreReply::Found { version, value } = reply else {
-            return self.end(ReclaimOutcome::Nothing);
+            return self.end(ReclaimOutcome::NotNeeded);
         };
         let Some(shard) = storecalls::decode_value::<BudgetShard>(&value) else {
             return self.end(ReclaimOutcome::Unavailable);
         };
         let Some(row) = shard.holders.get(&self.dead).cloned() else {
-            return self.end(ReclaimOutcome::Nothing);
+            return self.end(ReclaimOutcome::NotNeeded);
         };
         self.version = version;
         self.shard = shard;
         match &row.state {
             HolderState::Revoked { by } if *by == self.by => self.start_fencing(row),
-            HolderState::Revoked { .. } if !self.takeover => self.end(ReclaimOutcome::Nothing),
+            HolderState::Revoked { .. } if !self.takeover => self.end(ReclaimOutcome::NotNeeded),
             _ => self.start_revoke(row),
         }
     }
@@ -242,7 +242,7 @@
         self.shard = std::mem::take(&mut self.written);
         match self.row.take() {
             Some(row) => self.start_fencing(row),
-            None => self.end(ReclaimOutcome::Nothing),
+            None => self.end(ReclaimOutcome::NotNeeded),
         }
     }
 
@@ -294,7 +294,7 @@
     /// perhaps could not apply.
     fn start_bills(&mut self) {
         let Some(row) = &self.row else {
-            return self.end(ReclaimOutcome::Nothing);
+            return self.end(ReclaimOutcome::NotNeeded);
         };
         self.sequences = (row.acked + 1..=row.settled + 1).collect();
         self.batches.clear();
@@ -367,7 +367,7 @@
 
     fn start_write(&mut self) {
         let Some(row) = self.row.clone() else {
-            return self.end(ReclaimOutcome::Nothing);
+            return self.end(ReclaimOutcome::NotNeeded);
         };
         self.shard.decide_rows(&mut self.bills, &self.archived);
         let mut shard = self.shard.clone();
--- a/toucanrail/src/records.rs
+++ b/toucanrail/src/records.rs
@@ -209,7 +209,7 @@
     }
 
     /// Takes the reply to the last call.
-    pub fn take_reply(&mut self, reply: RecordReply) {
+    pub fn handle_reply(&mut self, reply: RecordReply) {
         match (self.stage, reply) {
             (RecordStage::Create | RecordStage::Rewrite, RecordReply::Store(reply)) => {
                 self.take_write(&reply);
--- a/toucanrail/src/seals.rs
+++ b/toucanrail/src/signatures.rs
@@ -6,7 +6,7 @@
 use crate::paths;
 
 /// Header that carries the seal.
-pub const SEAL_HEADER: &str = "toucanrail-seal";
+pub const SIGNATURE_HEADER: &str = "toucanrail-seal";
 
 /// The fleet's key, ready for use.
 #[derive(Clone)]
@@ -32,12 +32,12 @@
     ///
     /// # Examples
     /// ```
-    /// let key = toucanrail::seals::FleetKey::new("secret");
-    /// let seal = key.seal("/run", b"body");
-    /// assert!(key.is_authentic("/run", b"body", &seal));
-    /// assert!(!key.is_authentic("/run", b"other", &seal));
+    /// let key = toucanrail::signatures::FleetKey::new("secret");
+    /// let seal = key.sign("/run", b"body");
+    /// assert!(key.verify("/run", b"body", &seal));
+    /// assert!(!key.verify("/run", b"other", &seal));
     /// ```
-    pub fn seal(&self, path: &str, body: &[u8]) -> String {
+    pub fn sign(&self, path: &str, body: &[u8]) -> String {
         let mut mac = self.mac.clone();
         mac.update(path.as_bytes());
         mac.update(b"\n");
@@ -47,8 +47,8 @@
     }
 
     /// Tells whether a seal is this key's for the message; in constant time.
-    pub fn is_authentic(&self, path: &str, body: &[u8], seal: &str) -> bool {
-        let expected = self.seal(path, body);
+    pub fn verify(&self, path: &str, body: &[u8], seal: &str) -> bool {
+        let expected = self.sign(path, body);
         let same = expected.bytes().zip(seal.bytes()).fold(0, |sum, (a, b)| sum | (a ^ b));
         expected.len() == seal.len() && same == 0
     }
--- a/toucanrail/tests/reclaimed_bills.rs
+++ b/toucanrail/tests/reclaimed_bills.rs
@@ -41,7 +41,7 @@
     let mut machine = ReclaimMachine::new(names.0, names.1, names.2, true);
     let mut bills = Vec::new();
     while let Some(call) = machine.next_call() {
-        machine.take_reply(match call {
+        machine.handle_reply(match call {
             ReclaimCall::Fence { agent, .. } => {
                 let rows = vec![reports[&agent].clone()];
                 ReclaimReply::Fenced(FenceReply { agent, rows, running: 0 })
--- a/toucanrail/tests/run_records.rs
+++ b/toucanrail/tests/run_records.rs
@@ -106,7 +106,7 @@
                 None => RecordReply::Gone,
             },
         };
-        machine.take_reply(reply);
+        machine.handle_reply(reply);
         Try::Opening(Box::new(machine))
     }
 
--- a/toucanrail/tests/server_choice.rs
+++ b/toucanrail/tests/server_choice.rs
@@ -8,7 +8,7 @@
 use toucanrail::catalogue::ServiceClass;
 use toucanrail::codetable;
 use toucanrail::ids::{AgentId, ServiceName};
-use toucanrail::limits::{LimitTable, ServiceLoad};
+use toucanrail::limits::{LoadLimiter, ServiceLoad};
 use toucanrail::messages::LoadReport;
 use toucanrail::routing::{self, RouteQuery, RoutingPolicy};
 use toucanrail::servers::{NodeEntry, NodeRole, ServerTable};
@@ -129,7 +129,7 @@
 
 #[test]
 fn class_bounds() {
-    let mut table = LimitTable::new();
+    let mut table = LoadLimiter::new();
     let known = ServiceLoad { slots: 10, load: 12.0, entries: 1 };
     let mut admit = |class| table.admit(&service(), &Arc::from("c"), class, 1, known);
     assert!(admit(ServiceClass::Urgent).is_ok());
@@ -142,11 +142,11 @@
 /// One customer floods a service; another with a few requests must not be refused for it.
 #[test]
 fn flooding_customer() {
-    let mut table = LimitTable::new();
+    let mut table = LoadLimiter::new();
     let class = ServiceClass::Standard;
     let known = ServiceLoad { slots: 10, load: 9.0, entries: 1 };
     let flood: Arc<str> = Arc::from("flood");
-    let admitted = |table: &mut LimitTable, name: &Arc<str>| {
+    let admitted = |table: &mut LoadLimiter, name: &Arc<str>| {
         table.admit(&service(), name, class, 1, known).is_ok()
     };
     assert!(admitted(&mut table, &Arc::from("quiet")));
--- a/toucanrail/tests/world/mod.rs
+++ b/toucanrail/tests/world/mod.rs
@@ -387,7 +387,7 @@
         let machine = entry.archive.take();
         let mut machine = machine.unwrap_or_else(|| ArchiveMachine::new(shard, RECENT_KEYS));
         if let Some(call) = machine.next_call() {
-            machine.take_reply(self.store.call(&call, mood));
+            machine.handle_reply(self.store.call(&call, mood));
             entry.archive = Some(machine);
         }
     }
@@ -464,7 +464,7 @@
         let shard = Arc::clone(&self.shard);
         let entry = &mut self.entries[by];
         if !entry.alive {
-            return Some(ReclaimOutcome::Nothing);
+            return Some(ReclaimOutcome::NotNeeded);
         }
         let id = Arc::clone(&entry.id);
         let mut machine = match entry.reclaim.take() {
@@ -478,7 +478,7 @@
             ReclaimCall::Store(call) => ReclaimReply::Store(self.store.call(&call, mood)),
             ReclaimCall::Fence { agent, shard, epoch } => self.fence(&agent, &shard, epoch),
         };
-        machine.take_reply(reply);
+        machine.handle_reply(reply);
         self.entries[by].reclaim = Some(machine);
         None
     }
