--- a/toucanrail/src/archives.rs
+++ b/toucanrail/src/archives.rs
@@ -1,8 +1,9 @@
-//! The step machine that moves old keyed requests out of a shard into its archive.
+//! State machine that moves old idempotency keys from a budget shard to its archive.
 //!
-//! The keys are written to their archive bucket first and leave the shard afterwards, in one
-//! conditional update at the version read: at every cut they stand in at least one of the two.
-//! A settlement reads the shard before the archive, so it cannot miss a key on its way.
+//! The keys are written to their archive buckets first and removed from the shard afterwards, in
+//! one conditional update at the version that was read. Wherever the move is interrupted, every
+//! key is in the shard, in the archive, or in both. A settlement reads the shard before the
+//! archive, so it cannot miss a key that is being moved.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -21,7 +22,7 @@
     Done,
 }
 
-/// The step machine of one move; any entry may run it, and several at once do no harm.
+/// State machine of one move. Any entry may run it, also several at the same time.
 #[derive(Debug)]
 pub struct ArchiveMachine {
     shard_name: ShardName,
@@ -31,6 +32,7 @@
     shard: BudgetShard,
     customer: Option<CustomerId>,
     keys: BTreeSet<RequestId>,
+    /// Paths of the buckets still to be written; the last one is next.
     buckets: Vec<ObjectPath>,
     bucket: BTreeSet<RequestId>,
     bucket_expect: WriteExpectation,
@@ -38,7 +40,7 @@
 }
 
 impl ArchiveMachine {
-    /// Starts a move for accounts that remember more than `limit` keyed requests.
+    /// Creates a machine that moves keys of the first account with more than `limit` of them.
     pub fn new(shard: ShardName, limit: usize) -> Self {
         Self {
             shard_name: shard,
@@ -55,12 +57,12 @@
         }
     }
 
-    /// Tells whether keys were moved, once the machine has ended.
+    /// Returns whether keys were moved, once the machine has finished.
     pub fn has_moved(&self) -> bool {
         self.moved
     }
 
-    /// Returns the next call, or none when the move has ended.
+    /// Returns the next call, or `None` once the machine has finished.
     pub fn next_call(&self) -> Option<StoreCall> {
         let shard_path = paths::budget_path(&self.shard_name);
         match self.stage {
@@ -83,15 +85,16 @@
         }
     }
 
-    /// Takes the reply to the last call; anything unexpected ends the move, to be begun again.
+    /// Handles the reply to the last call. An unexpected reply aborts the move, which can then be
+    /// started again.
     pub fn handle_reply(&mut self, reply: StoreReply) {
         self.stage = match (self.stage, reply) {
             (ArchiveStage::ReadShard, StoreReply::Found { version, value }) => {
-                self.take_shard(version, &value)
+                self.handle_shard(version, &value)
             }
             (ArchiveStage::ReadBucket, StoreReply::Found { version, value }) => {
-                let known: Option<BTreeSet<RequestId>> = storecalls::decode_value(&value);
-                self.fill_bucket(known.unwrap_or_default());
+                let archived: Option<BTreeSet<RequestId>> = storecalls::decode_value(&value);
+                self.fill_bucket(archived.unwrap_or_default());
                 self.bucket_expect = WriteExpectation::At(version);
                 ArchiveStage::WriteBucket
             }
@@ -116,15 +119,16 @@
         };
     }
 
-    fn take_shard(&mut self, version: Version, value: &[u8]) -> ArchiveStage {
+    /// Selects the account and the keys to move.
+    fn handle_shard(&mut self, version: Version, value: &[u8]) -> ArchiveStage {
         let Some(shard) = storecalls::decode_value::<BudgetShard>(value) else {
             return ArchiveStage::Done;
         };
-        let crowded = shard.accounts.iter().find_map(|(customer, account)| {
+        let selected = shard.accounts.iter().find_map(|(customer, account)| {
             let keys = account.old_keys(self.limit);
             (!keys.is_empty()).then(|| (Arc::clone(customer), keys))
         });
-        let Some((customer, keys)) = crowded else {
+        let Some((customer, keys)) = selected else {
             return ArchiveStage::Done;
         };
         let buckets: BTreeSet<ObjectPath> =
@@ -137,13 +141,14 @@
         ArchiveStage::ReadBucket
     }
 
-    fn fill_bucket(&mut self, known: BTreeSet<RequestId>) {
+    /// Sets the new content of the current bucket: the keys already archived and those to move.
+    fn fill_bucket(&mut self, archived: BTreeSet<RequestId>) {
         let Some(path) = self.buckets.last() else {
             return;
         };
-        let fitting =
+        let moving =
             self.keys.iter().filter(|key| paths::archive_path(&self.shard_name, key) == *path);
-        self.bucket = fitting.map(Arc::clone).chain(known).collect();
+        self.bucket = moving.map(Arc::clone).chain(archived).collect();
     }
 
     fn trimmed_shard(&self) -> BudgetShard {
--- a/toucanrail/src/frames.rs
+++ b/toucanrail/src/frames.rs
@@ -1,54 +1,59 @@
-//! Frames of an answer between agent and entry: a length of four bytes, then `rmp-serde`.
+//! Framing of responses between an agent and an entry.
+//!
+//! Each frame is a four-byte big-endian length followed by a [`RunFrame`] encoded with `rmp-serde`.
 
 use crate::messages::RunFrame;
 
-/// Bytes of a frame's length.
+/// Size of the length prefix, in bytes.
 const LENGTH_BYTES: usize = 4;
-/// Largest frame; a longer one is no frame of ours.
+/// Maximum length of an encoded frame, in bytes; a larger length is a protocol error.
 const FRAME_LIMIT: usize = 8 * 1024 * 1024;
 
-/// Encodes a frame.
+/// Encodes a frame with its length prefix.
 ///
 /// # Examples
 /// ```
 /// use toucanrail::{frames, messages::RunFrame};
 /// let frame = RunFrame::Alive { request: "r".into() };
-/// let mut scanner = frames::FrameDecoder::new();
-/// scanner.feed(&frames::encode_frame(&frame));
-/// assert_eq!(scanner.next_frame(), Ok(Some(frame)));
+/// let mut decoder = frames::FrameDecoder::new();
+/// decoder.feed(&frames::encode_frame(&frame));
+/// assert_eq!(decoder.next_frame(), Ok(Some(frame)));
 /// ```
 pub fn encode_frame(frame: &RunFrame) -> Vec<u8> {
-    // Encoding into memory fails for no type of a frame.
+    // Serializing a `RunFrame` into memory cannot fail.
     let body = rmp_serde::to_vec_named(frame).unwrap_or_default();
     let mut bytes = (body.len() as u32).to_be_bytes().to_vec();
     bytes.extend_from_slice(&body);
     bytes
 }
 
-/// The bytes are no frames.
+/// The input is not a valid sequence of frames.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FrameError;
 
-/// Cuts bytes into frames.
+/// Incremental decoder that splits a byte stream into frames.
 #[derive(Debug, Default)]
 pub struct FrameDecoder {
-    pending: Vec<u8>,
+    buffer: Vec<u8>,
 }
 
 impl FrameDecoder {
-    /// Makes a scanner at the start of an answer.
+    /// Creates a decoder for a new response.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes bytes as they come.
+    /// Appends received bytes to the buffer.
     pub fn feed(&mut self, bytes: &[u8]) {
-        self.pending.extend_from_slice(bytes);
+        self.buffer.extend_from_slice(bytes);
     }
 
-    /// Returns the next whole frame, or none yet.
+    /// Returns the next frame, or `None` if the buffer does not hold a complete one yet.
+    ///
+    /// # Errors
+    /// [`FrameError`] if the length exceeds the limit of 8 MiB or the body cannot be decoded.
     pub fn next_frame(&mut self) -> Result<Option<RunFrame>, FrameError> {
-        let Some(length) = self.pending.first_chunk::<LENGTH_BYTES>() else {
+        let Some(length) = self.buffer.first_chunk::<LENGTH_BYTES>() else {
             return Ok(None);
         };
         let length = u32::from_be_bytes(*length) as usize;
@@ -56,11 +61,11 @@
             return Err(FrameError);
         }
         let end = LENGTH_BYTES + length;
-        if self.pending.len() < end {
+        if self.buffer.len() < end {
             return Ok(None);
         }
-        let frame = rmp_serde::from_slice(&self.pending[LENGTH_BYTES..end]);
-        self.pending.drain(..end);
+        let frame = rmp_serde::from_slice(&self.buffer[LENGTH_BYTES..end]);
+        self.buffer.drain(..end);
         frame.map(Some).map_err(|_| FrameError)
     }
 }
--- a/toucanrail/src/ledgers.rs
+++ b/toucanrail/src/ledgers.rs
@@ -1,8 +1,9 @@
-//! An agent's ledger: which tries came, what they used, and what is fenced.
+//! The ledger of an agent: the attempts it received, what they used, and which tenures are fenced.
 //!
-//! The agent is the only way to its backend server, so what its ledger refuses did not run, and
-//! what it lists is all that ran. It lives in memory: an order names the agent's incarnation, and a
-//! restarted agent, which has forgotten its fences, refuses every order meant for an earlier one.
+//! All requests reach a backend server through its agent, so an attempt that the ledger rejects
+//! did not run, and the ledger lists every attempt that did. The ledger is kept in memory only. A
+//! restarted agent has lost its fences; it therefore rejects orders for an earlier incarnation,
+//! which every order names.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -14,74 +15,76 @@
 use crate::ids::{AgentId, CustomerId, Epoch, RequestId, RunId, ServiceName, ShardName, Tokens};
 use crate::messages::{AskMode, FenceReply, KeptAnswer, RunFate, RunOrder, UsageRow};
 
-/// Runs remembered after they were dropped, and answers kept for runs that may not be repeated.
-const MEMORY_LIMIT: usize = 20_000;
+/// Number of dropped attempts whose ids, and responses if not repeatable, are retained.
+const DROPPED_LIMIT: usize = 20_000;
 
-/// One try.
+/// One attempt.
 #[derive(Debug, Clone, Serialize)]
 pub struct RunRow {
-    /// Its request.
+    /// The request that the attempt belongs to.
     pub request: RequestId,
-    /// Who pays.
+    /// The customer that is charged.
     pub customer: CustomerId,
     /// The service.
     pub service: ServiceName,
-    /// The shard that holds the money.
+    /// The shard that the hold is charged to.
     pub shard: ShardName,
-    /// The tenure that holds the money.
+    /// The tenure in that shard.
     pub epoch: Epoch,
-    /// Whether the caller gave a key.
+    /// Whether the caller gave an idempotency key.
     pub keyed: bool,
-    /// Whether it goes on behind what the caller has from an earlier try.
+    /// Whether it continues the partial response of an earlier attempt.
     pub resumed: bool,
-    /// The most it may use.
+    /// Maximum usage.
     pub hold: Tokens,
-    /// How far it is.
+    /// Whether it is running or has ended.
     pub state: RunProgress,
 }
 
-/// How far a try is.
+/// Progress of an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 pub enum RunProgress {
-    /// It runs.
+    /// It is running.
     Running,
-    /// It ended.
+    /// It has ended.
     Ended {
-        /// Whether its answer was whole.
+        /// Whether its response was complete.
         whole: bool,
-        /// What it provably used.
+        /// Usage that is proven.
         used: Tokens,
-        /// What it may have used besides.
+        /// Further usage that is possible but not proven.
         unproved: Tokens,
     },
 }
 
-/// All tries that one run of an agent knows of.
+/// The attempts known to one incarnation of an agent.
 #[derive(Debug, Serialize)]
 pub struct UsageLedger {
     agent: AgentId,
     fences: BTreeSet<(ShardName, Epoch)>,
     runs: BTreeMap<RunId, RunRow>,
+    /// Attempts that must never run here.
     voided: BTreeSet<RunId>,
     #[serde(skip)]
-    answers: BTreeMap<RunId, KeptAnswer>,
+    responses: BTreeMap<RunId, KeptAnswer>,
     #[serde(skip)]
     dropped: BTreeSet<RunId>,
+    /// The dropped attempts in order, for eviction.
     #[serde(skip)]
     dropped_order: VecDeque<RunId>,
-    /// Whether no new work is taken.
+    /// Whether the agent is stopping and rejects new attempts.
     pub leaving: bool,
 }
 
 impl UsageLedger {
-    /// Makes the empty ledger of one run of an agent.
+    /// Creates the empty ledger of a new incarnation.
     pub fn new(agent: AgentId) -> Self {
         Self {
             agent,
             fences: BTreeSet::new(),
             runs: BTreeMap::new(),
             voided: BTreeSet::new(),
-            answers: BTreeMap::new(),
+            responses: BTreeMap::new(),
             dropped: BTreeSet::new(),
             dropped_order: VecDeque::new(),
             leaving: false,
@@ -93,12 +96,12 @@
         &self.agent
     }
 
-    /// Takes a try in, or says why it will never run here.
+    /// Admits an attempt.
     ///
     /// # Errors
     /// [`codetable::WRONG_INCARNATION`], [`codetable::STOPPING`], [`codetable::FENCED`],
-    /// [`codetable::VOIDED`] and [`codetable::DEADLINE_PASSED`] prove that it did not run;
-    /// [`codetable::ALREADY_SEEN`] says that this very try came before.
+    /// [`codetable::VOIDED`] and [`codetable::DEADLINE_PASSED`] guarantee that the attempt did not
+    /// run; [`codetable::ALREADY_SEEN`] means that it was received before.
     pub fn admit(&mut self, order: &RunOrder) -> Result<(), ResultCode> {
         if order.agent != self.agent {
             return Err(codetable::WRONG_INCARNATION);
@@ -133,36 +136,39 @@
         Ok(())
     }
 
-    /// Notes how a try ended.
+    /// Records the end of an attempt.
+    ///
+    /// `response` is the complete response of an attempt that may not be repeated.
     pub fn finish(
         &mut self,
         run: &RunId,
         whole: bool,
         used: Tokens,
         unproved: Tokens,
-        answer: Option<KeptAnswer>,
+        response: Option<KeptAnswer>,
     ) {
         if let Some(row) = self.runs.get_mut(run) {
             row.state = RunProgress::Ended { whole, used, unproved };
-            if let Some(answer) = answer {
-                self.answers.insert(Arc::clone(run), answer);
+            if let Some(response) = response {
+                self.responses.insert(Arc::clone(run), response);
             }
         }
     }
 
-    /// Takes a try back that was admitted but provably never reached the backend server.
+    /// Withdraws an admitted attempt that provably never reached the backend server.
     pub fn withdraw(&mut self, run: &RunId) {
         self.runs.remove(run);
         self.voided.insert(Arc::clone(run));
     }
 
-    /// Takes no more work of a tenure, for good, and tells what it used.
+    /// Permanently rejects new attempts of a tenure, and returns the usage of its ended ones.
     pub fn fence(&mut self, shard: &ShardName, epoch: Epoch) -> FenceReply {
         self.fences.insert((Arc::clone(shard), epoch));
         let mut rows = Vec::new();
         let mut running = 0;
-        let owned = self.runs.iter().filter(|(_, row)| row.shard == *shard && row.epoch == epoch);
-        for (run, row) in owned {
+        let in_tenure =
+            self.runs.iter().filter(|(_, row)| row.shard == *shard && row.epoch == epoch);
+        for (run, row) in in_tenure {
             match row.state {
                 RunProgress::Running => running += 1,
                 RunProgress::Ended { whole, used, unproved } => {
@@ -173,32 +179,34 @@
         FenceReply { agent: Arc::clone(&self.agent), rows, running }
     }
 
-    /// Drops runs that are settled.
+    /// Drops settled attempts; those that are still running are kept.
     pub fn acknowledge(&mut self, runs: &[RunId]) {
         for run in runs {
             let ended = self.runs.get(run).is_some_and(|row| row.state != RunProgress::Running);
             if ended {
                 self.runs.remove(run);
-                self.remember(run);
+                self.retain_dropped(run);
             }
         }
     }
 
-    fn remember(&mut self, run: &RunId) {
+    /// Retains the id of a dropped attempt, and evicts the oldest ones beyond the limit together
+    /// with their responses.
+    fn retain_dropped(&mut self, run: &RunId) {
         self.dropped.insert(Arc::clone(run));
         self.dropped_order.push_back(Arc::clone(run));
-        while self.dropped_order.len() > MEMORY_LIMIT {
-            if let Some(old) = self.dropped_order.pop_front() {
-                self.dropped.remove(&old);
-                self.answers.remove(&old);
+        while self.dropped_order.len() > DROPPED_LIMIT {
+            if let Some(oldest) = self.dropped_order.pop_front() {
+                self.dropped.remove(&oldest);
+                self.responses.remove(&oldest);
             }
         }
     }
 
-    /// Tells what became of a try, and with a mode other than `Look` makes sure that one that
-    /// has not come never runs.
+    /// Returns the state of an attempt. Unless `mode` is [`AskMode::Look`], an attempt that was not
+    /// received is voided, so that it never runs here.
     pub fn ask(&mut self, run: &RunId, mode: AskMode) -> RunFate {
-        let answer = self.answers.get(run).cloned();
+        let answer = self.responses.get(run).cloned();
         if let Some(row) = self.runs.get(run) {
             return match row.state {
                 RunProgress::Running => RunFate::Running,
@@ -216,12 +224,12 @@
         RunFate::NeverCame
     }
 
-    /// Returns how many tries run.
+    /// Returns the number of running attempts.
     pub fn running(&self) -> usize {
         self.runs.values().filter(|row| row.state == RunProgress::Running).count()
     }
 
-    /// Returns how many tries ended and are not acknowledged.
+    /// Returns the number of attempts that have ended but are not acknowledged.
     pub fn unsettled(&self) -> usize {
         self.runs.len() - self.running()
     }
--- a/toucanrail/src/limits.rs
+++ b/toucanrail/src/limits.rs
@@ -1,4 +1,4 @@
-//! Admission under load: who is refused, at once, and when to come back.
+//! Load-based admission control: which requests are rejected at once, and when to retry them.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -11,75 +11,84 @@
 use crate::codetable;
 use crate::ids::{CustomerId, ServiceName};
 
-/// Load a slot up to which each class is admitted.
+/// Load per slot below which requests of each class are admitted.
 const BATCH_BOUND: f64 = 0.9;
 const STANDARD_BOUND: f64 = 1.5;
 const URGENT_BOUND: f64 = 2.0;
-/// Load a slot from which a customer is kept to its share.
+/// Load per slot from which each customer is limited to its share.
 const SHARE_BOUND: f64 = 0.8;
-/// Weight of a new second in the smoothed drain rate.
+/// Weight of the latest sample in the exponentially weighted drain rate.
 const DRAIN_WEIGHT: f64 = 0.2;
-const WAIT_LIMIT: Duration = Duration::from_secs(30);
-const LEAST_DRAIN: f64 = 0.1;
+/// Maximum retry delay.
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(30);
+/// Minimum drain rate assumed for a retry delay, in requests per second.
+const MIN_DRAIN_RATE: f64 = 0.1;
 
-/// What is known of a service when a request asks to be admitted.
+/// Load and capacity of a service at the time of an admission decision.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ServiceLoad {
-    /// Requests that the working servers run at once.
+    /// Number of requests that the healthy servers can run concurrently.
     pub slots: u64,
-    /// Requests estimated in flight there.
+    /// Estimated number of requests in flight at these servers.
     pub load: f64,
-    /// Entries that share the service.
+    /// Number of entries that send requests to the service.
     pub entries: u64,
 }
 
-/// A refusal for load.
+/// A request rejected because of load.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LoadRefusal {
-    /// Why.
+    /// The reason.
     pub code: ResultCode,
-    /// When room is expected.
+    /// Delay after which capacity is expected to be available.
     pub retry_after: Duration,
 }
 
 #[derive(Debug, Default, Serialize)]
 struct ServiceGate {
-    /// Requests in flight by customer, with its weight.
+    /// Number of requests in flight and weight, by customer.
     customers: BTreeMap<CustomerId, (u64, u64)>,
+    /// Requests that have ended since the last update of the drain rate.
     ended: u64,
-    drain: f64,
+    /// Smoothed rate at which requests end, per second.
+    #[serde(rename = "drain")]
+    drain_rate: f64,
 }
 
-/// The requests in flight of one entry, by service and customer.
+/// Admits requests at one entry and counts those in flight by service and customer.
 #[derive(Debug, Default, Serialize)]
 pub struct LoadLimiter {
     gates: BTreeMap<ServiceName, ServiceGate>,
 }
 
 impl LoadLimiter {
-    /// Makes an empty table.
+    /// Creates a limiter with no requests in flight.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Admits a request or says why not.
+    /// Admits a request unless its service or its customer has reached its limit.
+    ///
+    /// # Errors
+    /// [`codetable::OVERLOADED`] if the load of the service has reached the bound of `class`, and
+    /// [`codetable::CUSTOMER_LIMIT`] if the service is busy and the customer has reached its share.
     pub fn admit(
         &mut self,
         service: &ServiceName,
         customer: &CustomerId,
         class: ServiceClass,
         weight: u64,
-        known: ServiceLoad,
+        current: ServiceLoad,
     ) -> Result<(), LoadRefusal> {
         let gate = self.gates.entry(Arc::clone(service)).or_default();
-        let slots = known.slots as f64;
+        let slots = current.slots as f64;
         let bound = slots * class_bound(class);
-        if known.load >= bound {
-            return Err(gate.refuse(codetable::OVERLOADED, known.load - bound));
+        if current.load >= bound {
+            return Err(gate.refuse(codetable::OVERLOADED, current.load - bound));
         }
         let own = gate.customers.get(customer).map_or(0, |(count, _)| *count) as f64;
-        let share = gate.share(customer, weight, bound / known.entries.max(1) as f64);
-        if known.load >= slots * SHARE_BOUND && own >= share {
+        let share = gate.share(customer, weight, bound / current.entries.max(1) as f64);
+        if current.load >= slots * SHARE_BOUND && own >= share {
             return Err(gate.refuse(codetable::CUSTOMER_LIMIT, own - share));
         }
         let row = gate.customers.entry(Arc::clone(customer)).or_insert((0, weight));
@@ -87,7 +96,7 @@
         Ok(())
     }
 
-    /// Notes the end of an admitted request.
+    /// Records the end of an admitted request.
     pub fn release(&mut self, service: &ServiceName, customer: &CustomerId) {
         let Some(gate) = self.gates.get_mut(service) else {
             return;
@@ -101,32 +110,35 @@
         }
     }
 
-    /// Updates the drain rates; once a tick.
+    /// Updates the drain rates from the requests that ended within `elapsed`; called once per tick.
     pub fn update_drain_rates(&mut self, elapsed: Duration) {
         for gate in self.gates.values_mut() {
             let rate = gate.ended as f64 / elapsed.as_secs_f64().max(0.001);
-            gate.drain += (rate - gate.drain) * DRAIN_WEIGHT;
+            gate.drain_rate += (rate - gate.drain_rate) * DRAIN_WEIGHT;
             gate.ended = 0;
         }
     }
 
-    /// Returns the requests in flight.
+    /// Returns the total number of requests in flight.
     pub fn in_flight(&self) -> u64 {
         self.gates.values().flat_map(|gate| gate.customers.values()).map(|(count, _)| count).sum()
     }
 }
 
 impl ServiceGate {
-    /// Returns a customer's share of `room` by weight among those with requests in flight.
-    fn share(&self, customer: &CustomerId, weight: u64, room: f64) -> f64 {
+    /// Returns a customer's share of `capacity`, by weight among the customers with requests in
+    /// flight; at least one request.
+    fn share(&self, customer: &CustomerId, weight: u64, capacity: f64) -> f64 {
         let others = self.customers.iter().filter(|(name, _)| *name != customer);
         let others: u64 = others.map(|(_, (_, weight))| *weight).sum();
-        (room * weight as f64 / (weight + others).max(1) as f64).max(1.0)
+        (capacity * weight as f64 / (weight + others).max(1) as f64).max(1.0)
     }
 
+    /// Returns a refusal whose retry delay is the time in which `excess` requests, and one more,
+    /// are expected to end.
     fn refuse(&self, code: ResultCode, excess: f64) -> LoadRefusal {
-        let seconds = (excess + 1.0) / self.drain.max(LEAST_DRAIN);
-        LoadRefusal { code, retry_after: Duration::from_secs_f64(seconds).min(WAIT_LIMIT) }
+        let seconds = (excess + 1.0) / self.drain_rate.max(MIN_DRAIN_RATE);
+        LoadRefusal { code, retry_after: Duration::from_secs_f64(seconds).min(MAX_RETRY_AFTER) }
     }
 }
 
--- a/toucanrail/src/meters.rs
+++ b/toucanrail/src/meters.rs
@@ -1,104 +1,109 @@
-//! Meters one try at its agent: cuts the answer into what goes on, and counts what it used.
+//! Metering of one attempt at its agent: splits the response into the parts to forward, and counts
+//! the tokens that it used.
 
 use crate::ids::Tokens;
 use crate::messages::UsageRule;
-use crate::usages::{self, EventMeaning, EventScanner, UsageReport};
+use crate::usages::{self, EventKind, EventParser, UsageReport};
 
-/// Bytes of a whole answer that are kept to read its usage, or to answer a retry.
-const KEPT_LIMIT: usize = 256 * 1024;
+/// Maximum size of a response body that is buffered to read its usage or to replay it, in bytes.
+const BODY_LIMIT: usize = 256 * 1024;
 
-/// The meter of one try.
+/// Counts the usage of one attempt.
 #[derive(Debug)]
 pub struct RunMeter {
     rule: UsageRule,
     streamed: bool,
     status: u16,
-    scanner: EventScanner,
+    parser: EventParser,
     report: Option<UsageReport>,
-    /// Tokens generated, those of a resumed stream's first part included.
+    /// Tokens generated, including those that a resumed stream continues from.
     pub tokens: Tokens,
     resumed: Tokens,
     ended: bool,
-    kept: Vec<u8>,
+    body: Vec<u8>,
     overflowed: bool,
 }
 
 impl RunMeter {
-    /// Makes the meter of a try.
+    /// Creates a meter; `resumed` is the number of tokens that the caller has from earlier attempts.
     pub fn new(rule: UsageRule, streamed: bool, resumed: Tokens) -> Self {
         Self {
             rule,
             streamed,
             status: 0,
-            scanner: EventScanner::new(),
+            parser: EventParser::new(),
             report: None,
             tokens: resumed,
             resumed,
             ended: false,
-            kept: Vec::new(),
+            body: Vec::new(),
             overflowed: false,
         }
     }
 
-    /// Takes the answer's status; only a good one streams events.
+    /// Sets the response status; only a response with status 200 is parsed as an event stream.
     pub fn set_status(&mut self, status: u16) {
         self.status = status;
         self.streamed &= status == 200;
     }
 
-    /// Takes bytes and returns those that go on to the caller: of a stream, whole events only, so
-    /// that a resumed stream goes on behind the last one.
+    /// Processes received bytes and returns those to forward to the caller.
+    ///
+    /// Of a stream, only complete events are forwarded, so that a resumed stream can continue
+    /// after the last of them.
     pub fn process_bytes(&mut self, bytes: &[u8]) -> Vec<u8> {
         if !self.streamed {
-            self.keep(bytes);
+            self.buffer_body(bytes);
             return bytes.to_vec();
         }
-        self.scanner.feed(bytes);
-        let mut passed = Vec::new();
-        while let Some(event) = self.scanner.next_event() {
-            match event.meaning {
-                EventMeaning::Token => self.tokens += 1,
-                EventMeaning::Usage(report) => self.report = Some(report),
-                EventMeaning::Last => self.ended = true,
-                EventMeaning::Other => {}
+        self.parser.feed(bytes);
+        let mut forwarded = Vec::new();
+        while let Some(event) = self.parser.next_event() {
+            match event.kind {
+                EventKind::Token => self.tokens += 1,
+                EventKind::Usage(report) => self.report = Some(report),
+                EventKind::Done => self.ended = true,
+                EventKind::Other => {}
             }
             let hidden = matches!(self.rule, UsageRule::Reported { hidden: true });
-            if !(hidden && matches!(event.meaning, EventMeaning::Usage(_))) {
-                passed.extend_from_slice(&event.bytes);
+            if !(hidden && matches!(event.kind, EventKind::Usage(_))) {
+                forwarded.extend_from_slice(&event.bytes);
             }
         }
-        passed
+        forwarded
     }
 
-    fn keep(&mut self, bytes: &[u8]) {
-        self.overflowed |= self.kept.len() + bytes.len() > KEPT_LIMIT;
+    fn buffer_body(&mut self, bytes: &[u8]) {
+        self.overflowed |= self.body.len() + bytes.len() > BODY_LIMIT;
         if !self.overflowed {
-            self.kept.extend_from_slice(bytes);
+            self.body.extend_from_slice(bytes);
         }
     }
 
-    /// Tells whether the answer is whole, its body having ended: of a stream, the last event must
-    /// have come.
+    /// Returns whether the response is complete once its body has ended; a stream must have
+    /// delivered its last event.
     pub fn is_whole(&self) -> bool {
-        !self.streamed || (self.ended && !self.scanner.is_partial())
+        !self.streamed || (self.ended && !self.parser.has_partial_event())
     }
 
-    /// Returns the body, if it was small enough to keep.
+    /// Returns the buffered body, or `None` if the response was streamed or exceeded the limit.
     pub fn into_body(self) -> Option<Vec<u8>> {
-        Some(self.kept).filter(|_| !self.overflowed && !self.streamed)
+        Some(self.body).filter(|_| !self.overflowed && !self.streamed)
     }
 
-    /// Returns what a whole answer used, if the answer tells.
+    /// Returns the usage of a complete response, or `None` if the response does not report it.
     pub fn used(&self) -> Option<Tokens> {
         match self.rule {
             UsageRule::Fixed(price) => Some(if self.status < 500 { price } else { 0 }),
             UsageRule::Reported { .. } if self.status != 200 => Some(0),
             UsageRule::Reported { .. } if self.streamed => self.report.map(|usage| usage.total()),
-            UsageRule::Reported { .. } => usages::scan_usage(&self.kept).map(|usage| usage.total()),
+            UsageRule::Reported { .. } => {
+                usages::parse_usage(&self.body).map(|usage| usage.total())
+            }
         }
     }
 
-    /// Returns the least that a cut answer used.
+    /// Returns a lower bound on the usage of an incomplete response.
     pub fn min_used(&self) -> Tokens {
         match self.rule {
             UsageRule::Fixed(price) => price,
@@ -109,7 +114,7 @@
         }
     }
 
-    /// Returns the tokens that this try generated.
+    /// Returns the number of tokens that this attempt generated.
     pub fn generated(&self) -> Tokens {
         self.tokens - self.resumed
     }
--- a/toucanrail/src/mirrors.rs
+++ b/toucanrail/src/mirrors.rs
@@ -1,4 +1,4 @@
-//! A node's copy of one kind of objects; versions in it only go up.
+//! A process's local replica of one kind of objects, in which versions never go back.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -8,10 +8,11 @@
 use crate::ids::Version;
 use crate::messages::{MirrorObject, MirrorReply};
 
-/// All objects of one kind that a node knows, the deleted ones included.
+/// All known objects of one kind, including tombstones of deleted ones.
 ///
-/// Guards against a configuration that reverts: an object is replaced only by a higher version of
-/// it, whichever way it came: a slow peer, a late answer or a read begun before a restart.
+/// Guards against a configuration that reverts to an older state: an object is replaced only by a
+/// higher version of itself, whether the update comes from a peer that lags behind, in a delayed
+/// response or from a read that was started before a restart.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct MirrorTable {
     objects: BTreeMap<Arc<str>, (Version, Arc<[u8]>)>,
@@ -19,7 +20,7 @@
 }
 
 impl MirrorTable {
-    /// Makes an empty table.
+    /// Creates an empty table.
     pub fn new() -> Self {
         Self::default()
     }
@@ -29,8 +30,8 @@
         self.seen
     }
 
-    /// Takes what a peer or the object API knows beyond [`MirrorTable::seen`]; returns the objects
-    /// that were news.
+    /// Merges what a peer or the object API knows beyond [`MirrorTable::seen`], and returns the
+    /// objects that changed.
     ///
     /// # Examples
     /// ```
@@ -44,38 +45,40 @@
     /// assert_eq!(table.seen(), 5);
     /// ```
     pub fn merge(&mut self, reply: MirrorReply) -> Vec<MirrorObject> {
-        let mut news = Vec::new();
+        let mut changed = Vec::new();
         for object in reply.objects {
             if self.version(&object.name).is_some_and(|known| known >= object.version) {
                 continue;
             }
             let value = Arc::from(object.value.as_slice());
             self.objects.insert(Arc::clone(&object.name), (object.version, value));
-            news.push(object);
+            changed.push(object);
         }
         self.seen = self.seen.max(reply.seen);
-        news
+        changed
     }
 
-    /// Returns an object's value; none where it was deleted.
+    /// Returns an object's value, or `None` if the object is unknown or deleted.
     pub fn get(&self, name: &str) -> Option<&[u8]> {
         let (_, value) = self.objects.get(name)?;
+        // An empty value is a tombstone.
         Some(&**value).filter(|value| !value.is_empty())
     }
 
-    /// Returns an object's version, deleted or not.
+    /// Returns the version of an object, deleted or not.
     pub fn version(&self, name: &str) -> Option<Version> {
         self.objects.get(name).map(|(version, _)| *version)
     }
 
-    /// Returns the objects that are not deleted.
+    /// Iterates over the names, versions and values of the objects that are not deleted.
     pub fn live(&self) -> impl Iterator<Item = (&Arc<str>, Version, &[u8])> {
         let rows = self.objects.iter();
         rows.filter(|(_, (_, value))| !value.is_empty())
             .map(|(name, (version, value))| (name, *version, &**value))
     }
 
-    /// Returns all that a peer which has seen `after` does not know.
+    /// Returns every object newer than version `after`, tombstones included, to bring a peer up to
+    /// date.
     pub fn newer_than(&self, after: Version) -> MirrorReply {
         let newer = self.objects.iter().filter(|(_, (version, _))| *version > after);
         let objects = newer.map(|(name, (version, value))| MirrorObject {
--- a/toucanrail/src/reclaims.rs
+++ b/toucanrail/src/reclaims.rs
@@ -1,8 +1,9 @@
-//! The step machine that brings a dead holder's grants back.
+//! State machine that reclaims the grants of a dead holder.
 //!
-//! It revokes the tenure in the shard, has every agent that may have served it fence the epoch and
-//! tell what it used, settles that, and returns what is provably unspent. No clock decides: a
-//! holder that wakes up late finds its epoch refused by the agents and by the shard.
+//! It revokes the tenure in the shard, has every agent that may have served the holder fence the
+//! epoch and report its usage, settles that usage, and returns the tokens that are provably
+//! unspent. Safety does not depend on clocks: the agents and the shard reject the epoch of a holder
+//! that resumes after its tenure was revoked.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -14,9 +15,10 @@
 use crate::paths;
 use crate::storecalls::{self, ObjectPath, StoreCall, StoreReply, WriteExpectation};
 
+/// Number of conflicting writes after which the reclaim is abandoned.
 const CONFLICT_LIMIT: u32 = 24;
 
-/// What the machine wants done next.
+/// A call that the driver of the machine has to make.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ReclaimCall {
     /// A call to the object API.
@@ -32,36 +34,36 @@
     },
 }
 
-/// What came of a call.
+/// The result of a call.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ReclaimReply {
-    /// The object API's reply.
+    /// The reply of the object API.
     Store(StoreReply),
-    /// The agent has fenced the epoch.
+    /// The agent has fenced the epoch and reports its usage.
     Fenced(FenceReply),
-    /// This incarnation of the agent is provably gone, and its ledger with it.
+    /// This incarnation of the agent has provably ended, and its ledger is lost.
     Gone,
-    /// The agent does not answer; it may still serve the holder.
+    /// The agent did not reply; it may still serve the holder.
     Unreachable,
 }
 
-/// How a reclaim ended.
+/// The outcome of a reclaim.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ReclaimOutcome {
     /// The tenure is closed.
     Closed {
-        /// Whether all of it was proved; if not, the rest is frozen.
+        /// Whether all usage is proven; if not, the unsettled rest of the grants is frozen.
         proved: bool,
-        /// Bills settled for the dead holder.
+        /// Number of bills settled for the dead holder.
         bills: usize,
-        /// The agents' runs that may be dropped.
+        /// The settled attempts that each agent may drop.
         runs: BTreeMap<AgentId, Vec<RunId>>,
     },
-    /// Something is not proved yet; try again later.
+    /// An agent is unreachable or still runs attempts of the tenure; retry later.
     Waiting,
-    /// There is nothing to reclaim, or another entry does it.
+    /// There is nothing to reclaim, or another entry is reclaiming it.
     NotNeeded,
-    /// The object API did not answer; try again later.
+    /// The object API was unavailable or the shard was too contended; retry later.
     Unavailable,
 }
 
@@ -78,26 +80,34 @@
     Done,
 }
 
-/// The step machine of one reclaim.
+/// State machine of one reclaim.
 #[derive(Debug)]
 pub struct ReclaimMachine {
     shard_name: ShardName,
     dead: EntryId,
-    by: EntryId,
+    reclaimer: EntryId,
     takeover: bool,
     stage: ReclaimStage,
     version: Version,
     shard: BudgetShard,
-    written: BudgetShard,
-    row: Option<HolderRow>,
+    /// The shard as the pending write leaves it.
+    new_shard: BudgetShard,
+    holder_row: Option<HolderRow>,
+    /// Agents still to be fenced; the last one is next.
     agents: Vec<AgentId>,
+    /// Ended attempts that the fenced agents have reported.
     reports: BTreeMap<AgentId, Vec<UsageRow>>,
-    gone: bool,
+    /// Whether an agent has ended without reporting its usage.
+    ledger_lost: bool,
+    /// Whether an agent still runs attempts of the tenure.
     running: bool,
+    /// Settlement batches still to be read; the last one is next.
     sequences: Vec<Sequence>,
     batches: Vec<BillBatch>,
+    /// Archive buckets still to be read; the last one is next.
     archives: Vec<ObjectPath>,
     archived: BTreeSet<RequestId>,
+    /// Bills that the reclaim settles.
     bills: Vec<BillRow>,
     bill_version: Option<Version>,
     conflicts: u32,
@@ -105,23 +115,23 @@
 }
 
 impl ReclaimMachine {
-    /// Starts the reclaim of `dead`'s tenure by `by`.
+    /// Creates a machine with which the entry `reclaimer` reclaims the tenure of `dead`.
     ///
-    /// With `takeover`, also if another entry has begun it and is gone itself.
-    pub fn new(shard: ShardName, dead: EntryId, by: EntryId, takeover: bool) -> Self {
+    /// With `takeover`, it also continues a reclaim that another entry has started and not finished.
+    pub fn new(shard: ShardName, dead: EntryId, reclaimer: EntryId, takeover: bool) -> Self {
         Self {
             shard_name: shard,
             dead,
-            by,
+            reclaimer,
             takeover,
             stage: ReclaimStage::ReadShard,
             version: 0,
             shard: BudgetShard::default(),
-            written: BudgetShard::default(),
-            row: None,
+            new_shard: BudgetShard::default(),
+            holder_row: None,
             agents: Vec::new(),
             reports: BTreeMap::new(),
-            gone: false,
+            ledger_lost: false,
             running: false,
             sequences: Vec::new(),
             batches: Vec::new(),
@@ -134,12 +144,12 @@
         }
     }
 
-    /// Returns the outcome.
+    /// Returns the outcome; [`ReclaimOutcome::Unavailable`] if the machine has not finished.
     pub fn into_outcome(self) -> ReclaimOutcome {
         self.outcome.unwrap_or(ReclaimOutcome::Unavailable)
     }
 
-    /// Returns the next call, or none when the reclaim has ended.
+    /// Returns the next call, or `None` once the machine has finished.
     pub fn next_call(&self) -> Option<ReclaimCall> {
         let shard_path = paths::budget_path(&self.shard_name);
         let epoch = self.epoch();
@@ -156,7 +166,7 @@
             ReclaimStage::Revoke | ReclaimStage::WriteShard => StoreCall::Put {
                 path: shard_path,
                 expect: WriteExpectation::At(self.version),
-                value: storecalls::encode_value(&self.written),
+                value: storecalls::encode_value(&self.new_shard),
             },
             ReclaimStage::ReadBills => StoreCall::Get {
                 path: paths::bill_path(&self.shard_name, epoch, *self.sequences.last()?),
@@ -164,11 +174,11 @@
             ReclaimStage::ReadArchives => {
                 StoreCall::Get { path: Arc::clone(self.archives.last()?) }
             }
-            ReclaimStage::ReadBill => {
-                StoreCall::Get { path: paths::reclaim_path(&self.shard_name, epoch, &self.by) }
-            }
+            ReclaimStage::ReadBill => StoreCall::Get {
+                path: paths::reclaim_path(&self.shard_name, epoch, &self.reclaimer),
+            },
             ReclaimStage::WriteBill => StoreCall::Put {
-                path: paths::reclaim_path(&self.shard_name, epoch, &self.by),
+                path: paths::reclaim_path(&self.shard_name, epoch, &self.reclaimer),
                 expect: self.bill_version.map_or(WriteExpectation::Absent, WriteExpectation::At),
                 value: self.encode_bill(),
             },
@@ -176,28 +186,28 @@
         Some(ReclaimCall::Store(call))
     }
 
-    /// Takes the reply to the last call.
+    /// Handles the reply to the last call.
     pub fn handle_reply(&mut self, reply: ReclaimReply) {
         match (self.stage, reply) {
             (_, ReclaimReply::Store(StoreReply::Unavailable)) => {
                 self.end(ReclaimOutcome::Unavailable);
             }
-            (ReclaimStage::ReadShard, ReclaimReply::Store(reply)) => self.take_shard(reply),
-            (ReclaimStage::Revoke, ReclaimReply::Store(reply)) => self.take_revoke(&reply),
-            (ReclaimStage::Fence, reply) => self.take_fence(reply),
-            (ReclaimStage::ReadBills, ReclaimReply::Store(reply)) => self.take_bill(reply),
-            (ReclaimStage::ReadArchives, ReclaimReply::Store(reply)) => self.take_archive(reply),
-            (ReclaimStage::WriteBill, ReclaimReply::Store(reply)) => self.take_bill_write(&reply),
-            (ReclaimStage::ReadBill, ReclaimReply::Store(reply)) => self.take_own_bill(&reply),
+            (ReclaimStage::ReadShard, ReclaimReply::Store(reply)) => self.handle_shard(reply),
+            (ReclaimStage::Revoke, ReclaimReply::Store(reply)) => self.handle_revoke_write(&reply),
+            (ReclaimStage::Fence, reply) => self.handle_fence(reply),
+            (ReclaimStage::ReadBills, ReclaimReply::Store(reply)) => self.handle_batch(reply),
+            (ReclaimStage::ReadArchives, ReclaimReply::Store(reply)) => self.handle_archive(reply),
+            (ReclaimStage::WriteBill, ReclaimReply::Store(reply)) => self.handle_bill_write(&reply),
+            (ReclaimStage::ReadBill, ReclaimReply::Store(reply)) => self.handle_own_bill(&reply),
             (ReclaimStage::WriteShard, ReclaimReply::Store(reply)) => {
-                self.take_shard_write(&reply);
+                self.handle_shard_write(&reply);
             }
             _ => self.end(ReclaimOutcome::Unavailable),
         }
     }
 
     fn epoch(&self) -> Epoch {
-        self.row.as_ref().map_or(0, |row| row.epoch)
+        self.holder_row.as_ref().map_or(0, |row| row.epoch)
     }
 
     fn end(&mut self, outcome: ReclaimOutcome) {
@@ -205,7 +215,7 @@
         self.outcome = Some(outcome);
     }
 
-    fn take_shard(&mut self, reply: StoreReply) {
+    fn handle_shard(&mut self, reply: StoreReply) {
         let StoreReply::Found { version, value } = reply else {
             return self.end(ReclaimOutcome::NotNeeded);
         };
@@ -218,7 +228,7 @@
         self.version = version;
         self.shard = shard;
         match &row.state {
-            HolderState::Revoked { by } if *by == self.by => self.start_fencing(row),
+            HolderState::Revoked { by } if *by == self.reclaimer => self.start_fencing(row),
             HolderState::Revoked { .. } if !self.takeover => self.end(ReclaimOutcome::NotNeeded),
             _ => self.start_revoke(row),
         }
@@ -227,27 +237,27 @@
     fn start_revoke(&mut self, row: HolderRow) {
         let mut shard = self.shard.clone();
         if let Some(holder) = shard.holders.get_mut(&self.dead) {
-            holder.state = HolderState::Revoked { by: Arc::clone(&self.by) };
+            holder.state = HolderState::Revoked { by: Arc::clone(&self.reclaimer) };
         }
-        self.row = Some(row);
-        self.written = shard;
+        self.holder_row = Some(row);
+        self.new_shard = shard;
         self.stage = ReclaimStage::Revoke;
     }
 
-    fn take_revoke(&mut self, reply: &StoreReply) {
+    fn handle_revoke_write(&mut self, reply: &StoreReply) {
         let StoreReply::Written { version } = reply else {
-            return self.note_conflict();
+            return self.handle_conflict();
         };
         self.version = *version;
-        self.shard = std::mem::take(&mut self.written);
-        match self.row.take() {
+        self.shard = std::mem::take(&mut self.new_shard);
+        match self.holder_row.take() {
             Some(row) => self.start_fencing(row),
             None => self.end(ReclaimOutcome::NotNeeded),
         }
     }
 
-    /// Anything found stale starts the reclaim again from the shard.
-    fn note_conflict(&mut self) {
+    /// Restarts the reclaim from reading the shard, up to the conflict limit.
+    fn handle_conflict(&mut self) {
         self.conflicts += 1;
         self.stage = ReclaimStage::ReadShard;
         if self.conflicts > CONFLICT_LIMIT {
@@ -257,17 +267,17 @@
 
     fn start_fencing(&mut self, row: HolderRow) {
         self.agents = row.agents.iter().map(Arc::clone).collect();
-        self.row = Some(row);
+        self.holder_row = Some(row);
         self.reports.clear();
-        self.gone = false;
+        self.ledger_lost = false;
         self.running = false;
         self.stage = ReclaimStage::Fence;
         if self.agents.is_empty() {
-            self.start_bills();
+            self.start_reading_bills();
         }
     }
 
-    fn take_fence(&mut self, reply: ReclaimReply) {
+    fn handle_fence(&mut self, reply: ReclaimReply) {
         let Some(agent) = self.agents.pop() else {
             return;
         };
@@ -276,8 +286,8 @@
                 self.running |= reply.running > 0;
                 self.reports.insert(agent, reply.rows);
             }
-            // Another incarnation answered: the one that served the holder is gone.
-            ReclaimReply::Fenced(_) | ReclaimReply::Gone => self.gone = true,
+            // Another incarnation replied, so the one that served the holder has ended.
+            ReclaimReply::Fenced(_) | ReclaimReply::Gone => self.ledger_lost = true,
             _ => return self.end(ReclaimOutcome::Waiting),
         }
         if !self.agents.is_empty() {
@@ -286,14 +296,14 @@
         if self.running {
             self.end(ReclaimOutcome::Waiting);
         } else {
-            self.start_bills();
+            self.start_reading_bills();
         }
     }
 
-    /// Bills that the holder applied but agents still list, and the batch that it wrote last and
-    /// perhaps could not apply.
-    fn start_bills(&mut self) {
-        let Some(row) = &self.row else {
+    /// Reads the batches that the holder applied but agents may still list, and the one after them,
+    /// which the holder may have written without applying it to the shard.
+    fn start_reading_bills(&mut self) {
+        let Some(row) = &self.holder_row else {
             return self.end(ReclaimOutcome::NotNeeded);
         };
         self.sequences = (row.acked + 1..=row.settled + 1).collect();
@@ -301,7 +311,7 @@
         self.stage = ReclaimStage::ReadBills;
     }
 
-    fn take_bill(&mut self, reply: StoreReply) {
+    fn handle_batch(&mut self, reply: StoreReply) {
         self.sequences.pop();
         if let StoreReply::Found { value, .. } = reply
             && let Some(batch) = storecalls::decode_value::<BillBatch>(&value)
@@ -313,9 +323,11 @@
         }
     }
 
+    /// Collects the bills of the batches that were not applied, and builds bills for the reported
+    /// attempts that no batch contains.
     fn merge_bills(&mut self) {
-        let settled = self.row.as_ref().map_or(0, |row| row.settled);
-        let known: BTreeSet<&RunId> = self
+        let settled = self.holder_row.as_ref().map_or(0, |row| row.settled);
+        let billed: BTreeSet<&RunId> = self
             .batches
             .iter()
             .flat_map(|batch| &batch.rows)
@@ -324,58 +336,58 @@
             .collect();
         let pending = self.batches.iter().filter(|batch| batch.sequence > settled);
         let mut bills: Vec<BillRow> = pending.flat_map(|batch| batch.rows.clone()).collect();
-        let mut found: BTreeMap<&RequestId, Vec<(&AgentId, &UsageRow)>> = BTreeMap::new();
+        let mut unbilled: BTreeMap<&RequestId, Vec<(&AgentId, &UsageRow)>> = BTreeMap::new();
         for (agent, rows) in &self.reports {
-            for row in rows.iter().filter(|row| !known.contains(&row.run)) {
-                found.entry(&row.request).or_default().push((agent, row));
+            for row in rows.iter().filter(|row| !billed.contains(&row.run)) {
+                unbilled.entry(&row.request).or_default().push((agent, row));
             }
         }
         let epoch = self.epoch();
-        bills.extend(found.values().filter_map(|rows| make_bill(rows, epoch)));
+        bills.extend(unbilled.values().filter_map(|rows| build_bill(rows, epoch)));
         self.bills = bills;
-        self.start_archives();
+        self.start_reading_archives();
     }
 
-    fn start_archives(&mut self) {
-        let archived = |row: &&BillRow| {
+    fn start_reading_archives(&mut self) {
+        let has_archive = |row: &&BillRow| {
             let account = self.shard.accounts.get(&row.customer);
             row.keyed && account.is_some_and(|account| account.archived)
         };
         let buckets: BTreeSet<ObjectPath> = self
             .bills
             .iter()
-            .filter(archived)
+            .filter(has_archive)
             .map(|row| paths::archive_path(&self.shard_name, &row.request))
             .collect();
         self.archives = buckets.into_iter().collect();
         self.stage = ReclaimStage::ReadArchives;
         if self.archives.is_empty() {
-            self.start_write();
+            self.start_writing();
         }
     }
 
-    fn take_archive(&mut self, reply: StoreReply) {
+    fn handle_archive(&mut self, reply: StoreReply) {
         self.archives.pop();
         if let StoreReply::Found { value, .. } = reply {
             let keys: Option<BTreeSet<RequestId>> = storecalls::decode_value(&value);
             self.archived.extend(keys.unwrap_or_default());
         }
         if self.archives.is_empty() {
-            self.start_write();
+            self.start_writing();
         }
     }
 
-    fn start_write(&mut self) {
-        let Some(row) = self.row.clone() else {
+    fn start_writing(&mut self) {
+        let Some(row) = self.holder_row.clone() else {
             return self.end(ReclaimOutcome::NotNeeded);
         };
         self.shard.decide_rows(&mut self.bills, &self.archived);
         let mut shard = self.shard.clone();
         shard.settle_rows(&self.dead, row.epoch, &self.bills);
-        shard.close_tenure(&self.dead, !self.gone);
-        let closed = ClosedTenure { settled: row.settled, by: Arc::clone(&self.by) };
+        shard.close_tenure(&self.dead, !self.ledger_lost);
+        let closed = ClosedTenure { settled: row.settled, by: Arc::clone(&self.reclaimer) };
         shard.closed.insert(row.epoch, closed);
-        self.written = shard;
+        self.new_shard = shard;
         self.stage = ReclaimStage::WriteBill;
     }
 
@@ -383,23 +395,23 @@
         storecalls::encode_value(&BillBatch {
             shard: Arc::clone(&self.shard_name),
             epoch: self.epoch(),
-            sequence: self.row.as_ref().map_or(0, |row| row.settled) + 1,
+            sequence: self.holder_row.as_ref().map_or(0, |row| row.settled) + 1,
             rows: self.bills.clone(),
         })
     }
 
-    fn take_bill_write(&mut self, reply: &StoreReply) {
+    fn handle_bill_write(&mut self, reply: &StoreReply) {
         match reply {
             StoreReply::Written { version } => {
                 self.bill_version = Some(*version);
                 self.stage = ReclaimStage::WriteShard;
             }
-            // An earlier try of this entry, cut off behind it, has written it.
+            // An earlier, interrupted reclaim by this entry has already written the batch.
             _ => self.stage = ReclaimStage::ReadBill,
         }
     }
 
-    fn take_own_bill(&mut self, reply: &StoreReply) {
+    fn handle_own_bill(&mut self, reply: &StoreReply) {
         self.bill_version = match reply {
             StoreReply::Found { version, .. } => Some(*version),
             _ => None,
@@ -407,15 +419,15 @@
         self.stage = ReclaimStage::WriteBill;
     }
 
-    fn take_shard_write(&mut self, reply: &StoreReply) {
+    fn handle_shard_write(&mut self, reply: &StoreReply) {
         if !matches!(reply, StoreReply::Written { .. }) {
-            return self.note_conflict();
+            return self.handle_conflict();
         }
         let runs = self.reports.iter().map(|(agent, rows)| {
             (Arc::clone(agent), rows.iter().map(|row| Arc::clone(&row.run)).collect())
         });
         let outcome = ReclaimOutcome::Closed {
-            proved: !self.gone,
+            proved: !self.ledger_lost,
             bills: self.bills.len(),
             runs: runs.collect(),
         };
@@ -423,11 +435,12 @@
     }
 }
 
-/// Makes one request's bill of its tries.
+/// Builds the bill of one request from its attempts.
 ///
-/// The caller has what a resumed try went on behind, so that both are charged; of tries that began
-/// anew only one answer counts: the whole one, or the largest part.
-fn make_bill(rows: &[(&AgentId, &UsageRow)], epoch: Epoch) -> Option<BillRow> {
+/// A resumed attempt continues output that the caller already has, so all attempts of such a
+/// request are charged. Attempts that start over produce separate responses, of which only one is
+/// charged: the complete one or, without any, the one with the largest usage.
+fn build_bill(rows: &[(&AgentId, &UsageRow)], epoch: Epoch) -> Option<BillRow> {
     let (_, first) = rows.first()?;
     let total: Tokens = rows.iter().map(|(_, row)| row.used).sum();
     let whole = rows.iter().find(|(_, row)| row.whole).map(|(_, row)| row.used);
--- a/toucanrail/src/records.rs
+++ b/toucanrail/src/records.rs
@@ -1,7 +1,9 @@
-//! Records of runs that may not be repeated: at most one run a key, the same answer to each retry.
+//! Durable records of requests that may not be repeated: at most one run for each idempotency key,
+//! and the same response to every retry.
 //!
-//! The record is created before anything is sent, create-if-absent, with the writer's nonce, so
-//! that a lost answer of the object API can be told from a lost race.
+//! A record is created, if absent, before anything is sent to an agent. It carries a nonce of its
+//! writer, so that a writer that got no reply from the object API can tell whether its own write
+//! took effect or another entry's came first.
 
 use std::sync::Arc;
 
@@ -14,65 +16,66 @@
 use crate::paths;
 use crate::storecalls::{self, StoreCall, StoreReply, WriteExpectation};
 
+/// Number of failed writes after which the request is refused.
 const CONFLICT_LIMIT: u32 = 8;
 
-/// The record of one key.
+/// The record of one idempotency key.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunRecord {
-    /// The request, derived from the customer and the key.
+    /// The request id, derived from the customer and the key.
     pub request: RequestId,
     /// The customer.
     pub customer: CustomerId,
-    /// Digest of method, path and body: the same key with another request is refused.
+    /// Digest of method, path and body; the same key with a different request is refused.
     pub digest: Arc<str>,
-    /// The entry that wrote the last try.
+    /// The entry that started the last attempt.
     pub writer: EntryId,
-    /// Random for each opening; tells the writer its own record.
+    /// Random number by which a writer recognizes its own record.
     pub nonce: u64,
-    /// The number of the last try.
+    /// The number of the last attempt.
     pub attempt: u32,
-    /// The only agent that the last try may go to.
+    /// The only agent that the last attempt may be sent to.
     pub agent: AgentId,
-    /// How far the request is.
+    /// The state of the request.
     pub state: RecordState,
 }
 
-/// How far a recorded request is.
+/// State of a recorded request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RecordState {
-    /// The last try may have been sent.
+    /// The last attempt may have been sent.
     Started,
-    /// The last try provably did not run; another may.
+    /// The last attempt provably did not run; another one may.
     NotRun,
-    /// It ran; every retry gets this answer.
+    /// The request ran; every retry gets this response.
     Finished {
-        /// The status number.
+        /// The status code.
         status: u16,
-        /// The fields.
+        /// The header fields.
         fields: Vec<HeaderField>,
-        /// The body, as text where it is text.
+        /// The body.
         body: RecordBody,
     },
-    /// How it ended cannot be known; it is never run again.
+    /// The end of the last attempt cannot be determined; the request never runs again.
     Unknown,
 }
 
-/// A recorded body.
+/// A recorded response body, stored as text if possible.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RecordBody {
     /// Valid UTF-8.
     Text(String),
-    /// Other bytes.
+    /// Bytes that are not valid UTF-8.
     Bytes(Vec<u8>),
 }
 
 impl RecordBody {
-    /// Makes a body of bytes.
+    /// Creates a body from bytes.
     pub fn new(bytes: Vec<u8>) -> Self {
         String::from_utf8(bytes).map_or_else(|error| Self::Bytes(error.into_bytes()), Self::Text)
     }
 
-    /// Returns the bytes.
+    /// Converts the body into bytes.
     pub fn into_bytes(self) -> Vec<u8> {
         match self {
             Self::Text(text) => text.into_bytes(),
@@ -82,13 +85,13 @@
 }
 
 impl RunRecord {
-    /// Returns the id of the last try.
+    /// Returns the id of the last attempt.
     pub fn run(&self) -> RunId {
         run_id(&self.request, self.attempt)
     }
 }
 
-/// Returns the id of a try.
+/// Returns the id of an attempt.
 ///
 /// # Examples
 /// ```
@@ -98,46 +101,46 @@
     Arc::from(format!("{request}.{attempt}"))
 }
 
-/// What the machine wants done next.
+/// A call that the driver of the machine has to make.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RecordCall {
     /// A call to the object API.
     Store(StoreCall),
-    /// Ask an agent what became of a try.
+    /// Ask an agent for the state of an attempt.
     Ask {
         /// The agent's incarnation.
         agent: AgentId,
-        /// The try.
+        /// The attempt.
         run: RunId,
-        /// What to do about it.
+        /// What the agent does about an attempt that has not arrived or is running.
         mode: AskMode,
     },
 }
 
-/// What came of a call.
+/// The result of a call.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RecordReply {
-    /// The object API's reply.
+    /// The reply of the object API.
     Store(StoreReply),
-    /// The agent's answer.
+    /// The state of the attempt at the agent.
     Fate(RunFate),
-    /// That incarnation of the agent is provably gone.
+    /// This incarnation of the agent has provably ended.
     Gone,
-    /// The agent does not answer.
+    /// The agent did not reply.
     Unreachable,
 }
 
-/// What to do with the request.
+/// How to proceed with the request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RecordOutcome {
-    /// Run this try, once, at the agent named in the record.
+    /// Run this attempt once, at the agent named in the record.
     Run {
-        /// The record as written.
+        /// The record as stored.
         record: RunRecord,
         /// Its version.
         version: Version,
     },
-    /// Answer with this, as the first time.
+    /// Reply with the recorded response.
     Replay(KeptAnswer),
     /// Refuse with this code.
     Refuse(ResultCode),
@@ -152,23 +155,26 @@
     Done,
 }
 
-/// The step machine that opens a record or finds what became of it.
+/// State machine that creates a record, or determines the state of an existing one.
 #[derive(Debug)]
 pub struct RecordMachine {
-    wanted: RunRecord,
+    /// The record of a first attempt.
+    initial: RunRecord,
+    /// The record of the pending or last write.
     written: RunRecord,
     stage: RecordStage,
+    /// The record that was read, with its version.
     found: Option<(Version, RunRecord)>,
     conflicts: u32,
     outcome: Option<RecordOutcome>,
 }
 
 impl RecordMachine {
-    /// Starts with the record that the first try would write.
-    pub fn new(wanted: RunRecord) -> Self {
+    /// Creates a machine from the record that a first attempt would write.
+    pub fn new(initial: RunRecord) -> Self {
         Self {
-            written: wanted.clone(),
-            wanted,
+            written: initial.clone(),
+            initial,
             stage: RecordStage::Create,
             found: None,
             conflicts: 0,
@@ -176,14 +182,14 @@
         }
     }
 
-    /// Returns the outcome.
+    /// Returns the outcome; [`codetable::STORE_UNAVAILABLE`] if the machine has not finished.
     pub fn into_outcome(self) -> RecordOutcome {
         self.outcome.unwrap_or(RecordOutcome::Refuse(codetable::STORE_UNAVAILABLE))
     }
 
-    /// Returns the next call, or none when it has ended.
+    /// Returns the next call, or `None` once the machine has finished.
     pub fn next_call(&self) -> Option<RecordCall> {
-        let path = paths::record_path(&self.wanted.request);
+        let path = paths::record_path(&self.initial.request);
         let found = self.found.as_ref();
         match self.stage {
             RecordStage::Done => None,
@@ -208,14 +214,14 @@
         }
     }
 
-    /// Takes the reply to the last call.
+    /// Handles the reply to the last call.
     pub fn handle_reply(&mut self, reply: RecordReply) {
         match (self.stage, reply) {
             (RecordStage::Create | RecordStage::Rewrite, RecordReply::Store(reply)) => {
-                self.take_write(&reply);
+                self.handle_write(&reply);
             }
-            (RecordStage::Read, RecordReply::Store(reply)) => self.take_read(reply),
-            (RecordStage::Ask, reply) => self.take_fate(reply),
+            (RecordStage::Read, RecordReply::Store(reply)) => self.handle_read(reply),
+            (RecordStage::Ask, reply) => self.handle_fate(reply),
             _ => self.refuse(codetable::STORE_UNAVAILABLE),
         }
     }
@@ -229,11 +235,11 @@
         self.end(RecordOutcome::Refuse(code));
     }
 
-    fn take_write(&mut self, reply: &StoreReply) {
+    fn handle_write(&mut self, reply: &StoreReply) {
         if let StoreReply::Written { version } = reply {
-            return self.settle_written(*version);
+            return self.end_with_record(*version);
         }
-        // Lost answer or lost race: only reading tells.
+        // Either the reply was lost or another entry wrote first; reading the record tells which.
         self.conflicts += 1;
         self.stage = RecordStage::Read;
         if self.conflicts > CONFLICT_LIMIT {
@@ -241,7 +247,8 @@
         }
     }
 
-    fn settle_written(&mut self, version: Version) {
+    /// Ends with the outcome that follows from the stored record.
+    fn end_with_record(&mut self, version: Version) {
         let record = self.written.clone();
         self.end(match record.state {
             RecordState::Started => RecordOutcome::Run { record, version },
@@ -254,11 +261,11 @@
         });
     }
 
-    fn take_read(&mut self, reply: StoreReply) {
+    fn handle_read(&mut self, reply: StoreReply) {
         let StoreReply::Found { version, value } = reply else {
             return match reply {
                 StoreReply::Missing => {
-                    self.written = self.wanted.clone();
+                    self.written = self.initial.clone();
                     self.stage = RecordStage::Create;
                 }
                 _ => self.refuse(codetable::STORE_UNAVAILABLE),
@@ -267,13 +274,13 @@
         let Some(record) = storecalls::decode_value::<RunRecord>(&value) else {
             return self.refuse(codetable::END_UNKNOWN);
         };
-        if record.digest != self.wanted.digest {
+        if record.digest != self.initial.digest {
             return self.refuse(codetable::KEY_REUSED);
         }
-        // Written by this very call, its answer lost: nothing has been sent yet.
-        if record.nonce == self.wanted.nonce && record.state == RecordState::Started {
+        // This machine wrote the record and the reply was lost; nothing has been sent to an agent yet.
+        if record.nonce == self.initial.nonce && record.state == RecordState::Started {
             self.written = record;
-            return self.settle_written(version);
+            return self.end_with_record(version);
         }
         self.found = Some((version, record.clone()));
         match record.state {
@@ -281,22 +288,22 @@
             RecordState::NotRun => self.start_attempt(&record),
             RecordState::Finished { .. } | RecordState::Unknown => {
                 self.written = record;
-                self.settle_written(version);
+                self.end_with_record(version);
             }
         }
     }
 
     fn start_attempt(&mut self, last: &RunRecord) {
-        self.written = RunRecord { attempt: last.attempt + 1, ..self.wanted.clone() };
+        self.written = RunRecord { attempt: last.attempt + 1, ..self.initial.clone() };
         self.stage = RecordStage::Rewrite;
     }
 
-    fn take_fate(&mut self, reply: RecordReply) {
+    fn handle_fate(&mut self, reply: RecordReply) {
         let Some((_, record)) = self.found.clone() else {
             return self.refuse(codetable::END_UNKNOWN);
         };
         match reply {
-            // Voided at the only agent that the try may go to: a new one may run.
+            // The only agent that the attempt may be sent to has voided it, so a new attempt may run.
             RecordReply::Fate(RunFate::NeverCame) => self.start_attempt(&record),
             RecordReply::Fate(RunFate::Ended { answer: Some(answer), .. }) => {
                 self.rewrite(&record, finished_state(answer));
@@ -314,7 +321,7 @@
     }
 }
 
-/// Returns the state of a request that has its answer.
+/// Returns the state of a request that completed with a response.
 pub fn finished_state(answer: KeptAnswer) -> RecordState {
     RecordState::Finished {
         status: answer.status,
--- a/toucanrail/src/replays.rs
+++ b/toucanrail/src/replays.rs
@@ -1,5 +1,7 @@
-//! Keyed requests at one entry: a retry of one in flight is told so, a late retry gets the same
-//! answer without another run.
+//! Idempotent replay of keyed requests at one entry.
+//!
+//! A retry of a request in flight is rejected; a retry of a completed one gets the same response
+//! without another run.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -11,36 +13,37 @@
 use crate::ids::RequestId;
 use crate::messages::KeptAnswer;
 
-/// Bytes of all answers kept; the oldest go first.
-const KEPT_BYTES: usize = 16 * 1024 * 1024;
+/// Maximum total size of the cached response bodies, in bytes; the oldest are evicted first.
+const CACHE_BYTES: usize = 16 * 1024 * 1024;
 
 #[derive(Debug, Clone, Serialize)]
 struct KeyedRow {
     digest: Arc<str>,
     #[serde(skip)]
-    answer: Option<KeptAnswer>,
+    response: Option<KeptAnswer>,
 }
 
-/// The keyed requests that an entry has seen.
+/// The keyed requests that an entry has received, with the cached responses.
 #[derive(Debug, Default, Serialize)]
 pub struct ReplayTable {
     rows: BTreeMap<RequestId, KeyedRow>,
+    /// Completed requests with the sizes of their bodies, in order of completion.
     #[serde(skip)]
     order: VecDeque<(RequestId, usize)>,
     bytes: usize,
 }
 
 impl ReplayTable {
-    /// Makes an empty table.
+    /// Creates an empty table.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Begins a keyed request; gives the answer of an earlier one with this key, if it is kept.
+    /// Starts a keyed request, or returns the cached response to an earlier one with the same key.
     ///
     /// # Errors
-    /// [`codetable::KEY_REUSED`] where the key came with another request, and
-    /// [`codetable::IN_FLIGHT`] where it is running.
+    /// [`codetable::KEY_REUSED`] if the key was used with a different request, and
+    /// [`codetable::IN_FLIGHT`] if the request is still running.
     ///
     /// # Examples
     /// ```
@@ -58,31 +61,31 @@
             if row.digest != *digest {
                 return Err(codetable::KEY_REUSED);
             }
-            return row.answer.clone().map(Some).ok_or(codetable::IN_FLIGHT);
+            return row.response.clone().map(Some).ok_or(codetable::IN_FLIGHT);
         }
-        let row = KeyedRow { digest: Arc::clone(digest), answer: None };
+        let row = KeyedRow { digest: Arc::clone(digest), response: None };
         self.rows.insert(Arc::clone(request), row);
         Ok(None)
     }
 
-    /// Ends a keyed request; without an answer, a retry runs again.
-    pub fn end(&mut self, request: &RequestId, answer: Option<KeptAnswer>) {
-        let Some(answer) = answer else {
+    /// Completes a keyed request and caches its response; without one, a retry runs again.
+    pub fn end(&mut self, request: &RequestId, response: Option<KeptAnswer>) {
+        let Some(response) = response else {
             self.rows.remove(request);
             return;
         };
         if let Some(row) = self.rows.get_mut(request) {
-            let size = answer.body.len();
-            row.answer = Some(answer);
+            let size = response.body.len();
+            row.response = Some(response);
             self.order.push_back((Arc::clone(request), size));
             self.bytes += size;
         }
-        while self.bytes > KEPT_BYTES {
-            let Some((old, size)) = self.order.pop_front() else {
+        while self.bytes > CACHE_BYTES {
+            let Some((oldest, size)) = self.order.pop_front() else {
                 break;
             };
             self.bytes -= size;
-            self.rows.remove(&old);
+            self.rows.remove(&oldest);
         }
     }
 }
--- a/toucanrail/src/signatures.rs
+++ b/toucanrail/src/signatures.rs
@@ -1,19 +1,20 @@
-//! Authentication between the system's own processes: a keyed digest over each message.
+//! Message authentication between the fleet's own processes: HMAC-SHA256 with a shared key.
 
 use hmac::{Hmac, Mac};
 use sha2::Sha256;
 
 use crate::paths;
 
-/// Header that carries the seal.
+/// HTTP header that carries the signature.
 pub const SIGNATURE_HEADER: &str = "toucanrail-seal";
 
-/// The fleet's key, ready for use.
+/// The fleet's shared key, initialized for signing and verifying.
 #[derive(Clone)]
 pub struct FleetKey {
     mac: Hmac<Sha256>,
 }
 
+// Keeps the key out of debug output.
 impl std::fmt::Debug for FleetKey {
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         formatter.write_str("FleetKey(..)")
@@ -21,35 +22,36 @@
 }
 
 impl FleetKey {
-    /// Makes a key of the secret that all processes of the fleet share.
+    /// Derives the key from the secret that all processes of the fleet share.
     pub fn new(secret: &str) -> Self {
         let mac = Hmac::new_from_slice(secret.as_bytes());
-        // HMAC takes keys of any length.
+        // HMAC accepts keys of any length.
         Self { mac: mac.unwrap_or_else(|_| unreachable!()) }
     }
 
-    /// Returns the seal of a message, in hexadecimal.
+    /// Returns the signature of a request path and body, in hexadecimal.
     ///
     /// # Examples
     /// ```
     /// let key = toucanrail::signatures::FleetKey::new("secret");
-    /// let seal = key.sign("/run", b"body");
-    /// assert!(key.verify("/run", b"body", &seal));
-    /// assert!(!key.verify("/run", b"other", &seal));
+    /// let signature = key.sign("/run", b"body");
+    /// assert!(key.verify("/run", b"body", &signature));
+    /// assert!(!key.verify("/run", b"other", &signature));
     /// ```
     pub fn sign(&self, path: &str, body: &[u8]) -> String {
         let mut mac = self.mac.clone();
         mac.update(path.as_bytes());
         mac.update(b"\n");
         mac.update(body);
-        let digits = mac.finalize().into_bytes();
-        paths::hex_digits(&digits)
+        let digest = mac.finalize().into_bytes();
+        paths::hex_digits(&digest)
     }
 
-    /// Tells whether a seal is this key's for the message; in constant time.
-    pub fn verify(&self, path: &str, body: &[u8], seal: &str) -> bool {
+    /// Returns whether a signature matches the path and body; compares in constant time.
+    pub fn verify(&self, path: &str, body: &[u8], signature: &str) -> bool {
         let expected = self.sign(path, body);
-        let same = expected.bytes().zip(seal.bytes()).fold(0, |sum, (a, b)| sum | (a ^ b));
-        expected.len() == seal.len() && same == 0
+        let difference =
+            expected.bytes().zip(signature.bytes()).fold(0, |sum, (a, b)| sum | (a ^ b));
+        expected.len() == signature.len() && difference == 0
     }
 }
--- a/toucanrail/src/usages.rs
+++ b/toucanrail/src/usages.rs
@@ -1,4 +1,4 @@
-//! Reads usage out of model engines' answers: whole ones and server-sent events.
+//! Parses token usage from the responses of model engines: JSON bodies and server-sent events.
 
 use serde::Deserialize;
 use serde_json::Value;
@@ -7,34 +7,34 @@
 
 const EVENT_END: &[u8] = b"\n\n";
 const DATA_FIELD: &str = "data: ";
-const LAST_EVENT: &str = "[DONE]";
+const DONE_DATA: &str = "[DONE]";
 
-/// What an engine reports as used.
+/// Token usage as reported by an engine.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Deserialize)]
 pub struct UsageReport {
-    /// Tokens of the prompt.
+    /// Number of prompt tokens.
     #[serde(default)]
     pub prompt_tokens: Tokens,
-    /// Tokens generated.
+    /// Number of generated tokens.
     #[serde(default)]
     pub completion_tokens: Tokens,
 }
 
 impl UsageReport {
-    /// Returns what the report costs.
+    /// Returns the number of tokens to charge.
     pub fn total(&self) -> Tokens {
         self.prompt_tokens + self.completion_tokens
     }
 }
 
-/// Reads the usage of a whole answer.
+/// Parses the usage of a complete JSON response body.
 ///
 /// # Examples
 /// ```
 /// let body = br#"{"usage":{"prompt_tokens":2,"completion_tokens":3}}"#;
-/// assert_eq!(toucanrail::usages::scan_usage(body).map(|usage| usage.total()), Some(5));
+/// assert_eq!(toucanrail::usages::parse_usage(body).map(|usage| usage.total()), Some(5));
 /// ```
-pub fn scan_usage(body: &[u8]) -> Option<UsageReport> {
+pub fn parse_usage(body: &[u8]) -> Option<UsageReport> {
     let value: Value = serde_json::from_slice(body).ok()?;
     serde_json::from_value(value.get("usage")?.clone()).ok()
 }
@@ -42,64 +42,64 @@
 /// One server-sent event of an engine's stream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StreamEvent {
-    /// Its bytes, the empty line included.
+    /// The raw bytes, including the terminating empty line.
     pub bytes: Vec<u8>,
-    /// What it means.
-    pub meaning: EventMeaning,
+    /// What the event carries.
+    pub kind: EventKind,
 }
 
-/// What an event of a stream means.
+/// What an event of a stream carries.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum EventMeaning {
-    /// It carries a generated token.
+pub enum EventKind {
+    /// A generated token.
     Token,
-    /// It carries only the usage.
+    /// Only the usage.
     Usage(UsageReport),
-    /// It ends the stream.
-    Last,
+    /// The end-of-stream marker, `[DONE]`.
+    Done,
     /// Anything else.
     Other,
 }
 
-/// Cuts a stream into whole events; part of an event is kept back.
+/// Incremental parser that splits a stream into complete events and buffers a partial one.
 #[derive(Debug, Default)]
-pub struct EventScanner {
-    pending: Vec<u8>,
+pub struct EventParser {
+    buffer: Vec<u8>,
 }
 
-impl EventScanner {
-    /// Makes a scanner at the start of a stream.
+impl EventParser {
+    /// Creates a parser for a new stream.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes bytes as they come.
+    /// Appends received bytes to the buffer.
     pub fn feed(&mut self, bytes: &[u8]) {
-        self.pending.extend_from_slice(bytes);
+        self.buffer.extend_from_slice(bytes);
     }
 
-    /// Returns the next whole event, if there is one.
+    /// Returns the next complete event, if there is one.
     ///
     /// # Examples
     /// ```
-    /// use toucanrail::usages::{EventMeaning, EventScanner};
-    /// let mut scanner = EventScanner::new();
-    /// scanner.feed(b"data: [DONE]\n");
-    /// assert!(scanner.next_event().is_none());
-    /// scanner.feed(b"\n");
-    /// assert_eq!(scanner.next_event().map(|event| event.meaning), Some(EventMeaning::Last));
+    /// use toucanrail::usages::{EventKind, EventParser};
+    /// let mut parser = EventParser::new();
+    /// parser.feed(b"data: [DONE]\n");
+    /// assert!(parser.next_event().is_none());
+    /// parser.feed(b"\n");
+    /// assert_eq!(parser.next_event().map(|event| event.kind), Some(EventKind::Done));
     /// ```
     pub fn next_event(&mut self) -> Option<StreamEvent> {
-        let found = self.pending.windows(EVENT_END.len()).position(|window| window == EVENT_END)?;
-        let rest = self.pending.split_off(found + EVENT_END.len());
-        let bytes = std::mem::replace(&mut self.pending, rest);
-        let meaning = scan_event(&bytes);
-        Some(StreamEvent { bytes, meaning })
+        let end = self.buffer.windows(EVENT_END.len()).position(|window| window == EVENT_END)?;
+        let rest = self.buffer.split_off(end + EVENT_END.len());
+        let bytes = std::mem::replace(&mut self.buffer, rest);
+        let kind = parse_event(&bytes);
+        Some(StreamEvent { bytes, kind })
     }
 
-    /// Tells whether part of an event is left.
-    pub fn is_partial(&self) -> bool {
-        !self.pending.is_empty()
+    /// Returns whether the buffer holds part of an event.
+    pub fn has_partial_event(&self) -> bool {
+        !self.buffer.is_empty()
     }
 }
 
@@ -125,21 +125,21 @@
     content: Option<String>,
 }
 
-fn scan_event(bytes: &[u8]) -> EventMeaning {
+fn parse_event(bytes: &[u8]) -> EventKind {
     let text = std::str::from_utf8(bytes).unwrap_or_default();
     let data = text.lines().find_map(|line| line.strip_prefix(DATA_FIELD)).unwrap_or_default();
-    if data == LAST_EVENT {
-        return EventMeaning::Last;
+    if data == DONE_DATA {
+        return EventKind::Done;
     }
     let Ok(body) = serde_json::from_str::<EventBody>(data) else {
-        return EventMeaning::Other;
+        return EventKind::Other;
     };
     if let (true, Some(usage)) = (body.choices.is_empty(), body.usage) {
-        return EventMeaning::Usage(usage);
+        return EventKind::Usage(usage);
     }
-    let carries = body.choices.iter().any(|choice| {
+    let has_token = body.choices.iter().any(|choice| {
         let delta = choice.delta.as_ref().and_then(|delta| delta.content.as_ref());
         choice.text.as_ref().or(delta).is_some_and(|text| !text.is_empty())
     });
-    if carries { EventMeaning::Token } else { EventMeaning::Other }
+    if has_token { EventKind::Token } else { EventKind::Other }
 }
--- a/toucanrail/tests/agent_ledger.rs
+++ b/toucanrail/tests/agent_ledger.rs
@@ -1,6 +1,6 @@
-//! What an agent's ledger takes and refuses.
+//! Which attempts an agent's ledger admits and which it rejects.
 
-// The world stops at the first thing that is not as it should be.
+// Tests may panic on an unexpected result.
 #![allow(clippy::unwrap_used)]
 
 mod world;
@@ -20,15 +20,16 @@
     UsageLedger::new(Arc::from("agent-1.first"))
 }
 
-/// An agent is fenced against a revoked holder, then restarted, with its fences forgotten. The
-/// holder wakes up and sends an order meant for the first run of the agent: it must be refused.
+/// A restarted agent has lost its fences. An order that a revoked holder sends to the agent's earlier
+/// incarnation must be rejected.
 #[test]
 fn restarted_agent() {
     let mut ledger = UsageLedger::new(Arc::from("agent-1.second"));
     assert_eq!(ledger.admit(&order("r.1", 1)), Err(codetable::WRONG_INCARNATION));
 }
 
-/// A holder's tenure is fenced; its next one, with a higher epoch, is not.
+/// Fencing a tenure must reject its new attempts and report its ended ones, but not affect the
+/// holder's next tenure, which has a higher epoch.
 #[test]
 fn fenced_epoch() {
     let mut ledger = ledger();
@@ -41,22 +42,22 @@
     assert_eq!((reply.running, reply.rows.len(), reply.rows[0].used), (0, 1, 5));
 }
 
-/// The same order comes twice, also after it was settled and dropped.
+/// An order that is delivered again must be rejected, even after its attempt was settled and dropped.
 #[test]
 fn second_delivery() {
     let mut ledger = ledger();
     assert!(ledger.admit(&order("r.1", 1)).is_ok());
     assert_eq!(ledger.admit(&order("r.1", 1)), Err(codetable::ALREADY_SEEN));
     ledger.acknowledge(&[Arc::from("r.1")]);
-    assert_eq!(ledger.running(), 1, "what runs is not dropped");
+    assert_eq!(ledger.running(), 1, "a running attempt must not be dropped");
     ledger.finish(&Arc::from("r.1"), true, 5, 0, None);
     ledger.acknowledge(&[Arc::from("r.1")]);
     assert_eq!(ledger.unsettled(), 0);
     assert_eq!(ledger.admit(&order("r.1", 1)), Err(codetable::ALREADY_SEEN));
 }
 
-/// An entry asks about an order that is still on its way: once told that it never came, it must
-/// never run.
+/// An entry may ask about an order that is still in transit. An attempt that the agent has reported as
+/// never received must not run when the order arrives.
 #[test]
 fn late_order() {
     let mut ledger = ledger();
@@ -64,7 +65,7 @@
     assert_eq!(ledger.ask(&run, AskMode::Void), RunFate::NeverCame);
     assert_eq!(ledger.admit(&order("r.1", 1)), Err(codetable::VOIDED));
     assert_eq!(ledger.ask(&Arc::from("r.2"), AskMode::Look), RunFate::NeverCame);
-    assert!(ledger.admit(&order("r.2", 1)).is_ok(), "looking promises nothing");
+    assert!(ledger.admit(&order("r.2", 1)).is_ok(), "`Look` must not void the attempt");
 }
 
 #[test]
--- a/toucanrail/tests/reclaimed_bills.rs
+++ b/toucanrail/tests/reclaimed_bills.rs
@@ -1,6 +1,6 @@
-//! The bills that a reclaim makes of what agents tell.
+//! The bills that a reclaim builds from the usage that agents report.
 
-// A test stops at the first thing that is not as it should be.
+// Tests may panic on an unexpected result.
 #![allow(clippy::unwrap_used)]
 
 use std::collections::BTreeMap;
@@ -26,11 +26,12 @@
     }
 }
 
-/// Reclaims a dead entry's tenure with these tries at one agent each, and returns the only bill.
-fn reclaim(tries: Vec<UsageRow>) -> BillRow {
+/// Reclaims the tenure of a dead entry that made these attempts, each at its own agent, and returns
+/// the only bill.
+fn reclaim(attempts: Vec<UsageRow>) -> BillRow {
     let mut reports: BTreeMap<AgentId, UsageRow> = BTreeMap::new();
-    for (at, row) in tries.into_iter().enumerate() {
-        reports.insert(Arc::from(format!("agent-{at}")), row);
+    for (number, row) in attempts.into_iter().enumerate() {
+        reports.insert(Arc::from(format!("agent-{number}")), row);
     }
     let mut shard = BudgetShard::default();
     shard.accounts.entry(Arc::from("bottler")).or_default().top_up(1_000).unwrap();
@@ -64,23 +65,24 @@
     bills.remove(0)
 }
 
-/// A stream was cut behind its last token and resumed elsewhere, where nothing was left to
-/// generate; then its entry was taken for dead. The caller has the whole answer and must be
-/// billed for it: the second try's use of 0 must not displace the first one's.
+/// A stream broke after its last token and was resumed at another agent, which had nothing left to
+/// generate; its entry was then presumed dead. The caller has the complete response and must be
+/// billed for it, so the zero usage of the second attempt must not replace that of the first.
 #[test]
 fn resumed_answer() {
     let bill = reclaim(vec![usage("r.1", false, false, 50), usage("r.2", true, true, 0)]);
     assert_eq!((bill.billed, bill.written_off), (50, 0));
 }
 
-/// A try was lost before the caller had anything, and another brought the whole answer.
+/// The first attempt was lost before the caller received anything, and another one produced the
+/// complete response: only the latter is charged.
 #[test]
 fn repeated_answer() {
     let bill = reclaim(vec![usage("r.1", false, false, 70), usage("r.2", false, true, 30)]);
     assert_eq!((bill.billed, bill.written_off), (30, 70));
 }
 
-/// The entry died with the stream open.
+/// The entry died while the stream was open: the partial response is charged.
 #[test]
 fn open_stream() {
     let bill = reclaim(vec![usage("r.1", false, false, 40)]);
--- a/toucanrail/tests/run_records.rs
+++ b/toucanrail/tests/run_records.rs
@@ -1,6 +1,6 @@
-//! Records of requests that may not be repeated, under random schedules of faults.
+//! Records of requests that may not be repeated, under random schedules with faults.
 
-// A test stops at the first thing that is not as it should be.
+// Tests may panic on an unexpected result.
 #![allow(clippy::unwrap_used)]
 
 mod world;
@@ -24,27 +24,27 @@
 const CASES: u32 = 1_500;
 const CALLERS: usize = 4;
 
-/// What one caller's try is doing at its entry.
+/// State of one caller's request at its entry.
 #[derive(Debug)]
-enum Try {
+enum CallerState {
     Idle,
     Opening(Box<RecordMachine>),
-    /// The order is on its way to the agent.
+    /// The order is in transit to the agent.
     Sent(RunRecord, Version),
-    /// The run has ended; the record is to be closed.
+    /// The attempt has ended, but its record has not been updated yet.
     Ended(RunRecord, Version, RecordState),
 }
 
 #[derive(Debug)]
-struct Desk {
+struct FleetSim {
     store: FakeStore,
     agents: Vec<UsageLedger>,
     running: Vec<RunOrder>,
-    tries: Vec<Try>,
-    /// How often the service truly ran.
+    callers: Vec<CallerState>,
+    /// Number of times that the service ran.
     runs: u64,
-    /// Answers that callers got.
-    answers: Vec<Vec<u8>>,
+    /// Responses that callers received.
+    responses: Vec<Vec<u8>>,
     lost_agents: bool,
     nonce: u64,
 }
@@ -53,28 +53,28 @@
     Arc::from("deposit")
 }
 
-impl Desk {
+impl FleetSim {
     fn new() -> Self {
         let agents = (0..2).map(|number| UsageLedger::new(Arc::from(format!("agent-{number}"))));
         Self {
             store: FakeStore::default(),
             agents: agents.collect(),
             running: Vec::new(),
-            tries: (0..CALLERS).map(|_| Try::Idle).collect(),
+            callers: (0..CALLERS).map(|_| CallerState::Idle).collect(),
             runs: 0,
-            answers: Vec::new(),
+            responses: Vec::new(),
             lost_agents: false,
             nonce: 0,
         }
     }
 
-    fn open(&mut self, at: usize, agent: usize) {
-        if !matches!(self.tries[at], Try::Idle) {
+    fn open(&mut self, caller: usize, agent: usize) {
+        if !matches!(self.callers[caller], CallerState::Idle) {
             return;
         }
         self.nonce += 1;
-        let writer: EntryId = Arc::from(format!("entry-{at}"));
-        self.tries[at] = Try::Opening(Box::new(RecordMachine::new(RunRecord {
+        let writer: EntryId = Arc::from(format!("entry-{caller}"));
+        self.callers[caller] = CallerState::Opening(Box::new(RecordMachine::new(RunRecord {
             request: request(),
             customer: Arc::from("donor"),
             digest: Arc::from("same"),
@@ -86,60 +86,62 @@
         })));
     }
 
-    fn step(&mut self, at: usize, mood: StoreMood) {
-        self.tries[at] = match std::mem::replace(&mut self.tries[at], Try::Idle) {
-            Try::Opening(machine) => self.step_opening(*machine, mood),
-            Try::Ended(record, version, state) => self.close(record, version, state, mood),
+    fn step(&mut self, caller: usize, mood: StoreMood) {
+        self.callers[caller] = match std::mem::replace(&mut self.callers[caller], CallerState::Idle)
+        {
+            CallerState::Opening(machine) => self.step_opening(*machine, mood),
+            CallerState::Ended(record, version, state) => self.close(record, version, state, mood),
             other => other,
         };
     }
 
-    fn step_opening(&mut self, mut machine: RecordMachine, mood: StoreMood) -> Try {
+    fn step_opening(&mut self, mut machine: RecordMachine, mood: StoreMood) -> CallerState {
         let Some(call) = machine.next_call() else {
-            return self.take_outcome(machine.into_outcome());
+            return self.handle_outcome(machine.into_outcome());
         };
         let reply = match call {
             RecordCall::Store(call) => RecordReply::Store(self.store.call(&call, mood)),
             RecordCall::Ask { .. } if mood == StoreMood::Down => RecordReply::Unreachable,
             RecordCall::Ask { agent, run, mode } => match self.agent(&agent) {
-                Some(at) => RecordReply::Fate(self.agents[at].ask(&run, mode)),
+                Some(agent) => RecordReply::Fate(self.agents[agent].ask(&run, mode)),
                 None => RecordReply::Gone,
             },
         };
         machine.handle_reply(reply);
-        Try::Opening(Box::new(machine))
+        CallerState::Opening(Box::new(machine))
     }
 
+    /// Returns the index of an agent's incarnation, or `None` if it was killed.
     fn agent(&self, id: &AgentId) -> Option<usize> {
         self.agents.iter().position(|ledger| ledger.agent() == id)
     }
 
-    fn take_outcome(&mut self, outcome: RecordOutcome) -> Try {
+    fn handle_outcome(&mut self, outcome: RecordOutcome) -> CallerState {
         match outcome {
-            RecordOutcome::Run { record, version } => Try::Sent(record, version),
+            RecordOutcome::Run { record, version } => CallerState::Sent(record, version),
             RecordOutcome::Replay(answer) => {
-                self.answers.push(answer.body);
-                Try::Idle
+                self.responses.push(answer.body);
+                CallerState::Idle
             }
-            RecordOutcome::Refuse(_) => Try::Idle,
+            RecordOutcome::Refuse(_) => CallerState::Idle,
         }
     }
 
-    fn deliver(&mut self, at: usize) {
-        let Try::Sent(record, version) = &self.tries[at] else {
+    fn deliver(&mut self, caller: usize) {
+        let CallerState::Sent(record, version) = &self.callers[caller] else {
             return;
         };
         let (record, version) = (record.clone(), *version);
-        let order = order_of(&record);
-        let admitted = self.agent(&record.agent).map(|at| self.agents[at].admit(&order));
+        let order = run_order(&record);
+        let admitted = self.agent(&record.agent).map(|agent| self.agents[agent].admit(&order));
         match admitted {
             Some(Ok(())) => {
                 self.runs += 1;
                 self.running.push(order);
             }
-            // It did not run and never will; so the caller is told.
+            // The attempt did not run and never will, so its record is closed as not run.
             Some(Err(code)) if code != codetable::ALREADY_SEEN => {
-                self.tries[at] = Try::Ended(record, version, RecordState::NotRun);
+                self.callers[caller] = CallerState::Ended(record, version, RecordState::NotRun);
             }
             _ => {}
         }
@@ -151,16 +153,16 @@
         };
         let body = format!("filed {}", self.runs).into_bytes();
         let answer = KeptAnswer { status: 200, fields: Vec::new(), body };
-        if let Some(at) = self.agent(&order.agent) {
-            self.agents[at].finish(&order.run, true, 5, 0, Some(answer.clone()));
+        if let Some(agent) = self.agent(&order.agent) {
+            self.agents[agent].finish(&order.run, true, 5, 0, Some(answer.clone()));
         }
-        for task in &mut self.tries {
-            if let Try::Sent(record, version) = task
+        for caller in &mut self.callers {
+            if let CallerState::Sent(record, version) = caller
                 && record.run() == order.run
             {
-                self.answers.push(answer.body.clone());
+                self.responses.push(answer.body.clone());
                 let state = records::finished_state(answer.clone());
-                *task = Try::Ended(record.clone(), *version, state);
+                *caller = CallerState::Ended(record.clone(), *version, state);
             }
         }
     }
@@ -171,7 +173,7 @@
         version: Version,
         state: RecordState,
         mood: StoreMood,
-    ) -> Try {
+    ) -> CallerState {
         let closed = RunRecord { state: state.clone(), ..record.clone() };
         let put = StoreCall::Put {
             path: paths::record_path(&record.request),
@@ -179,29 +181,31 @@
             value: storecalls::encode_value(&closed),
         };
         match self.store.call(&put, mood) {
-            toucanrail::storecalls::StoreReply::Unavailable => Try::Ended(record, version, state),
-            _ => Try::Idle,
+            toucanrail::storecalls::StoreReply::Unavailable => {
+                CallerState::Ended(record, version, state)
+            }
+            _ => CallerState::Idle,
         }
     }
 
-    fn kill_agent(&mut self, at: usize) {
-        let id = Arc::clone(self.agents[at].agent());
+    fn kill_agent(&mut self, agent: usize) {
+        let id = Arc::clone(self.agents[agent].agent());
         self.nonce += 1;
-        self.agents[at] = UsageLedger::new(Arc::from(format!("agent-{at}.{}", self.nonce)));
+        self.agents[agent] = UsageLedger::new(Arc::from(format!("agent-{agent}.{}", self.nonce)));
         self.running.retain(|order| order.agent != id);
         self.lost_agents = true;
-        // The entry finds out that it cannot know.
-        for task in &mut self.tries {
-            if let Try::Sent(record, version) = task
+        // The entry finds that the end of the attempt cannot be determined.
+        for caller in &mut self.callers {
+            if let CallerState::Sent(record, version) = caller
                 && record.agent == id
             {
-                *task = Try::Ended(record.clone(), *version, RecordState::Unknown);
+                *caller = CallerState::Ended(record.clone(), *version, RecordState::Unknown);
             }
         }
     }
 }
 
-fn order_of(record: &RunRecord) -> RunOrder {
+fn run_order(record: &RunRecord) -> RunOrder {
     RunOrder {
         request: Arc::clone(&record.request),
         entry: Arc::clone(&record.writer),
@@ -215,15 +219,15 @@
 #[derive(Debug, Clone)]
 enum Step {
     Open(usize, usize),
-    Calls(usize, usize, StoreMood),
+    StoreCalls(usize, usize, StoreMood),
     Deliver(usize),
     Finish,
     KillEntry(usize),
     KillAgent(usize),
-    LandLate,
+    ApplyLateWrites,
 }
 
-fn any_step() -> impl Strategy<Value = Step> {
+fn step_strategy() -> impl Strategy<Value = Step> {
     let mood = prop_oneof![
         6 => Just(StoreMood::Well),
         1 => Just(StoreMood::Down),
@@ -232,52 +236,52 @@
     ];
     prop_oneof![
         6 => (0..CALLERS, 0..2usize).prop_map(|(a, b)| Step::Open(a, b)),
-        12 => (0..CALLERS, 1..7usize, mood).prop_map(|(a, b, c)| Step::Calls(a, b, c)),
+        12 => (0..CALLERS, 1..7usize, mood).prop_map(|(a, b, c)| Step::StoreCalls(a, b, c)),
         5 => (0..CALLERS).prop_map(Step::Deliver),
         4 => Just(Step::Finish),
         2 => (0..CALLERS).prop_map(Step::KillEntry),
         1 => (0..2usize).prop_map(Step::KillAgent),
-        2 => Just(Step::LandLate),
+        2 => Just(Step::ApplyLateWrites),
     ]
 }
 
-fn take_step(desk: &mut Desk, step: &Step) {
+fn apply_step(sim: &mut FleetSim, step: &Step) {
     match *step {
-        Step::Open(at, agent) => desk.open(at, agent),
-        Step::Calls(at, count, mood) => {
-            (1..count).for_each(|_| desk.step(at, StoreMood::Well));
-            desk.step(at, mood);
+        Step::Open(caller, agent) => sim.open(caller, agent),
+        Step::StoreCalls(caller, count, mood) => {
+            (1..count).for_each(|_| sim.step(caller, StoreMood::Well));
+            sim.step(caller, mood);
         }
-        Step::Deliver(at) => desk.deliver(at),
-        Step::Finish => desk.finish(),
-        Step::KillEntry(at) => {
-            // An order that was sent is still on its way; one of a dead entry may arrive late.
-            if !matches!(desk.tries[at], Try::Sent(..)) {
-                desk.tries[at] = Try::Idle;
+        Step::Deliver(caller) => sim.deliver(caller),
+        Step::Finish => sim.finish(),
+        Step::KillEntry(caller) => {
+            // An order in transit may still arrive after its entry has died.
+            if !matches!(sim.callers[caller], CallerState::Sent(..)) {
+                sim.callers[caller] = CallerState::Idle;
             }
         }
-        Step::KillAgent(at) => desk.kill_agent(at),
-        Step::LandLate => desk.store.land_late(),
+        Step::KillAgent(agent) => sim.kill_agent(agent),
+        Step::ApplyLateWrites => sim.store.land_late(),
     }
 }
 
-/// A deposit is recorded by a donor whose tries go through four entries at once, while the object
-/// API loses and delays answers, entries die between any two steps, and agents die with what they
-/// know. It must run at most once, and everybody who gets an answer must get the same one.
+/// Four entries handle the same keyed request concurrently while the object API loses and delays
+/// replies, entries die between any two steps, and agents die with their ledgers. The request must
+/// run at most once, and all callers that receive a response must receive the same one.
 #[test]
 fn random_schedules() {
     let config = Config { cases: CASES, failure_persistence: None, ..Config::default() };
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[11; 32]);
     let mut runner = TestRunner::new_with_rng(config, rng);
-    let steps = prop::collection::vec(any_step(), 1..80);
+    let steps = prop::collection::vec(step_strategy(), 1..80);
     let run = runner.run(&steps, |steps| {
-        let mut desk = Desk::new();
+        let mut sim = FleetSim::new();
         for step in &steps {
-            take_step(&mut desk, step);
-            prop_assert!(desk.runs <= 1, "it ran {} times", desk.runs);
-            let mut answers = desk.answers.iter();
-            let first = answers.next();
-            prop_assert!(answers.all(|answer| Some(answer) == first), "answers differ");
+            apply_step(&mut sim, step);
+            prop_assert!(sim.runs <= 1, "the request ran {} times", sim.runs);
+            let mut responses = sim.responses.iter();
+            let first = responses.next();
+            prop_assert!(responses.all(|response| Some(response) == first), "responses differ");
         }
         Ok(())
     });
@@ -286,17 +290,18 @@
     }
 }
 
-/// Without faults a retry after the end gets the first answer, as from a naive table of answers.
+/// Without faults, each retry after completion must get the first response, as from a plain map of
+/// responses.
 #[test]
-fn naive_difference() {
-    let mut desk = Desk::new();
+fn retries_without_faults() {
+    let mut sim = FleetSim::new();
     for caller in 0..CALLERS {
-        desk.open(caller, caller % 2);
-        (0..8).for_each(|_| desk.step(caller, StoreMood::Well));
-        desk.deliver(caller);
-        desk.finish();
-        (0..8).for_each(|_| desk.step(caller, StoreMood::Well));
+        sim.open(caller, caller % 2);
+        (0..8).for_each(|_| sim.step(caller, StoreMood::Well));
+        sim.deliver(caller);
+        sim.finish();
+        (0..8).for_each(|_| sim.step(caller, StoreMood::Well));
     }
-    assert_eq!(desk.runs, 1);
-    assert_eq!(desk.answers, vec![b"filed 1".to_vec(); CALLERS]);
+    assert_eq!(sim.runs, 1);
+    assert_eq!(sim.responses, vec![b"filed 1".to_vec(); CALLERS]);
 }
