--- a/toucanrail-daemons/src/agents.rs
+++ b/toucanrail-daemons/src/agents.rs
@@ -263,7 +263,7 @@
             Ok(order) => order,
             Err(refusal) => return *refusal,
         };
-        let fate = self.lock_ledger().ask(&order.run, order.mode);
+        let fate = self.lock_ledger().query(&order.run, order.mode);
         if fate == toucanrail::messages::RunFate::Running && order.mode == AskMode::Cancel {
             let call = OutboundCall::get(format!("/engine/cancel/{}", order.run)).on_fresh();
             // The run's own task sees its stream end and notes what was used.
--- a/toucanrail-daemons/src/recording.rs
+++ b/toucanrail-daemons/src/recording.rs
@@ -34,7 +34,7 @@
     while let Some(call) = machine.next_call() {
         let reply = match call {
             RecordCall::Store(call) => RecordReply::Store(entry.store.call(&call).await),
-            RecordCall::Ask { agent, run, mode } => {
+            RecordCall::Query { agent, run, mode } => {
                 ask(entry, &agent, AskOrder { run, mode }).await
             }
         };
@@ -55,7 +55,7 @@
         entry.client.send(address, routes::ASK, &order, ASK_BOUND).await;
     match reply {
         Ok(reply) if reply.agent != *agent => RecordReply::Gone,
-        Ok(AgentReply { fate: Some(fate), .. }) => RecordReply::Fate(fate),
+        Ok(AgentReply { fate: Some(fate), .. }) => RecordReply::Report(fate),
         _ => RecordReply::Unreachable,
     }
 }
--- a/toucanrail-daemons/src/running.rs
+++ b/toucanrail-daemons/src/running.rs
@@ -256,7 +256,7 @@
                 true
             }
             ReadEvent::Bytes(bytes) => self.pass_bytes(&bytes).await,
-            ReadEvent::End if self.meter.is_whole() => self.end().await,
+            ReadEvent::End if self.meter.is_complete() => self.end().await,
             ReadEvent::End => self.fail(codetable::ANSWER_CUT, RunState::Ran).await,
         }
     }
--- a/toucanrail/src/ledgers.rs
+++ b/toucanrail/src/ledgers.rs
@@ -205,7 +205,7 @@
 
     /// Returns the state of an attempt. Unless `mode` is [`AskMode::Look`], an attempt that was not
     /// received is voided, so that it never runs here.
-    pub fn ask(&mut self, run: &RunId, mode: AskMode) -> RunFate {
+    pub fn query(&mut self, run: &RunId, mode: AskMode) -> RunFate {
         let answer = self.responses.get(run).cloned();
         if let Some(row) = self.runs.get(run) {
             return match row.state {
--- a/toucanrail/src/meters.rs
+++ b/toucanrail/src/meters.rs
@@ -82,7 +82,7 @@
 
     /// Returns whether the response is complete once its body has ended; a stream must have
     /// delivered its last event.
-    pub fn is_whole(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         !self.streamed || (self.ended && !self.parser.has_partial_event())
     }
 
--- a/toucanrail/src/mirrors.rs
+++ b/toucanrail/src/mirrors.rs
@@ -44,9 +44,9 @@
     /// assert_eq!(table.get("a"), Some(&b"new"[..]));
     /// assert_eq!(table.seen(), 5);
     /// ```
-    pub fn merge(&mut self, reply: MirrorReply) -> Vec<MirrorObject> {
+    pub fn merge(&mut self, delta: MirrorReply) -> Vec<MirrorObject> {
         let mut changed = Vec::new();
-        for object in reply.objects {
+        for object in delta.objects {
             if self.version(&object.name).is_some_and(|known| known >= object.version) {
                 continue;
             }
@@ -54,7 +54,7 @@
             self.objects.insert(Arc::clone(&object.name), (object.version, value));
             changed.push(object);
         }
-        self.seen = self.seen.max(reply.seen);
+        self.seen = self.seen.max(delta.seen);
         changed
     }
 
--- a/toucanrail/src/records.rs
+++ b/toucanrail/src/records.rs
@@ -106,8 +106,8 @@
 pub enum RecordCall {
     /// A call to the object API.
     Store(StoreCall),
-    /// Ask an agent for the state of an attempt.
-    Ask {
+    /// Query an agent for the state of an attempt.
+    Query {
         /// The agent's incarnation.
         agent: AgentId,
         /// The attempt.
@@ -123,7 +123,7 @@
     /// The reply of the object API.
     Store(StoreReply),
     /// The state of the attempt at the agent.
-    Fate(RunFate),
+    Report(RunFate),
     /// This incarnation of the agent has provably ended.
     Gone,
     /// The agent did not reply.
@@ -150,7 +150,7 @@
 enum RecordStage {
     Create,
     Read,
-    Ask,
+    Query,
     Rewrite,
     Done,
 }
@@ -199,7 +199,7 @@
                 value: storecalls::encode_value(&self.written),
             })),
             RecordStage::Read => Some(RecordCall::Store(StoreCall::Get { path })),
-            RecordStage::Ask => found.map(|(_, record)| RecordCall::Ask {
+            RecordStage::Query => found.map(|(_, record)| RecordCall::Query {
                 agent: Arc::clone(&record.agent),
                 run: record.run(),
                 mode: AskMode::Void,
@@ -221,7 +221,7 @@
                 self.handle_write(&reply);
             }
             (RecordStage::Read, RecordReply::Store(reply)) => self.handle_read(reply),
-            (RecordStage::Ask, reply) => self.handle_fate(reply),
+            (RecordStage::Query, reply) => self.handle_report(reply),
             _ => self.refuse(codetable::STORE_UNAVAILABLE),
         }
     }
@@ -284,7 +284,7 @@
         }
         self.found = Some((version, record.clone()));
         match record.state {
-            RecordState::Started => self.stage = RecordStage::Ask,
+            RecordState::Started => self.stage = RecordStage::Query,
             RecordState::NotRun => self.start_attempt(&record),
             RecordState::Finished { .. } | RecordState::Unknown => {
                 self.written = record;
@@ -298,17 +298,17 @@
         self.stage = RecordStage::Rewrite;
     }
 
-    fn handle_fate(&mut self, reply: RecordReply) {
+    fn handle_report(&mut self, reply: RecordReply) {
         let Some((_, record)) = self.found.clone() else {
             return self.refuse(codetable::END_UNKNOWN);
         };
         match reply {
             // The only agent that the attempt may be sent to has voided it, so a new attempt may run.
-            RecordReply::Fate(RunFate::NeverCame) => self.start_attempt(&record),
-            RecordReply::Fate(RunFate::Ended { answer: Some(answer), .. }) => {
-                self.rewrite(&record, finished_state(answer));
+            RecordReply::Report(RunFate::NeverCame) => self.start_attempt(&record),
+            RecordReply::Report(RunFate::Ended { answer: Some(response), .. }) => {
+                self.rewrite(&record, finished_state(response));
             }
-            RecordReply::Fate(RunFate::Ended { .. }) | RecordReply::Gone => {
+            RecordReply::Report(RunFate::Ended { .. }) | RecordReply::Gone => {
                 self.rewrite(&record, RecordState::Unknown);
             }
             _ => self.refuse(codetable::IN_FLIGHT),
@@ -322,10 +322,10 @@
 }
 
 /// Returns the state of a request that completed with a response.
-pub fn finished_state(answer: KeptAnswer) -> RecordState {
+pub fn finished_state(response: KeptAnswer) -> RecordState {
     RecordState::Finished {
-        status: answer.status,
-        fields: answer.fields,
-        body: RecordBody::new(answer.body),
+        status: response.status,
+        fields: response.fields,
+        body: RecordBody::new(response.body),
     }
 }
--- a/toucanrail/tests/agent_ledger.rs
+++ b/toucanrail/tests/agent_ledger.rs
@@ -62,9 +62,9 @@
 fn late_order() {
     let mut ledger = ledger();
     let run = Arc::from("r.1");
-    assert_eq!(ledger.ask(&run, AskMode::Void), RunFate::NeverCame);
+    assert_eq!(ledger.query(&run, AskMode::Void), RunFate::NeverCame);
     assert_eq!(ledger.admit(&order("r.1", 1)), Err(codetable::VOIDED));
-    assert_eq!(ledger.ask(&Arc::from("r.2"), AskMode::Look), RunFate::NeverCame);
+    assert_eq!(ledger.query(&Arc::from("r.2"), AskMode::Look), RunFate::NeverCame);
     assert!(ledger.admit(&order("r.2", 1)).is_ok(), "`Look` must not void the attempt");
 }
 
--- a/toucanrail/tests/run_records.rs
+++ b/toucanrail/tests/run_records.rs
@@ -101,9 +101,9 @@
         };
         let reply = match call {
             RecordCall::Store(call) => RecordReply::Store(self.store.call(&call, mood)),
-            RecordCall::Ask { .. } if mood == StoreMood::Down => RecordReply::Unreachable,
-            RecordCall::Ask { agent, run, mode } => match self.agent(&agent) {
-                Some(agent) => RecordReply::Fate(self.agents[agent].ask(&run, mode)),
+            RecordCall::Query { .. } if mood == StoreMood::Down => RecordReply::Unreachable,
+            RecordCall::Query { agent, run, mode } => match self.agent(&agent) {
+                Some(agent) => RecordReply::Report(self.agents[agent].query(&run, mode)),
                 None => RecordReply::Gone,
             },
         };
@@ -119,8 +119,8 @@
     fn handle_outcome(&mut self, outcome: RecordOutcome) -> CallerState {
         match outcome {
             RecordOutcome::Run { record, version } => CallerState::Sent(record, version),
-            RecordOutcome::Replay(answer) => {
-                self.responses.push(answer.body);
+            RecordOutcome::Replay(response) => {
+                self.responses.push(response.body);
                 CallerState::Idle
             }
             RecordOutcome::Refuse(_) => CallerState::Idle,
@@ -152,16 +152,16 @@
             return;
         };
         let body = format!("filed {}", self.runs).into_bytes();
-        let answer = KeptAnswer { status: 200, fields: Vec::new(), body };
+        let response = KeptAnswer { status: 200, fields: Vec::new(), body };
         if let Some(agent) = self.agent(&order.agent) {
-            self.agents[agent].finish(&order.run, true, 5, 0, Some(answer.clone()));
+            self.agents[agent].finish(&order.run, true, 5, 0, Some(response.clone()));
         }
         for caller in &mut self.callers {
             if let CallerState::Sent(record, version) = caller
                 && record.run() == order.run
             {
-                self.responses.push(answer.body.clone());
-                let state = records::finished_state(answer.clone());
+                self.responses.push(response.body.clone());
+                let state = records::finished_state(response.clone());
                 *caller = CallerState::Ended(record.clone(), *version, state);
             }
         }
