--- a/toucanrail/src/ledgers.rs
+++ b/toucanrail/src/ledgers.rs
@@ -15,12 +15,13 @@
 use crate::ids::{AgentId, CustomerId, Epoch, RequestId, RunId, ServiceName, ShardName, Tokens};
 use crate::messages::{AskMode, FenceReply, KeptAnswer, RunFate, RunOrder, UsageRow};
 
-/// Number of dropped attempts whose ids, and responses if not repeatable, are retained.
+/// Number of dropped attempts whose ids are retained, with the responses of those that may not be
+/// repeated.
 const DROPPED_LIMIT: usize = 20_000;
 
-/// One attempt.
+/// One attempt, as the ledger records it.
 #[derive(Debug, Clone, Serialize)]
-pub struct RunRow {
+pub struct LedgerRow {
     /// The request that the attempt belongs to.
     pub request: RequestId,
     /// The customer that is charged.
@@ -38,12 +39,12 @@
     /// Maximum usage.
     pub hold: Tokens,
     /// Whether it is running or has ended.
-    pub state: RunProgress,
+    pub state: RunPhase,
 }
 
-/// Progress of an attempt.
+/// Phase of an attempt at its agent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
-pub enum RunProgress {
+pub enum RunPhase {
     /// It is running.
     Running,
     /// It has ended.
@@ -62,11 +63,13 @@
 pub struct UsageLedger {
     agent: AgentId,
     fences: BTreeSet<(ShardName, Epoch)>,
-    runs: BTreeMap<RunId, RunRow>,
+    runs: BTreeMap<RunId, LedgerRow>,
     /// Attempts that must never run here.
     voided: BTreeSet<RunId>,
+    /// Complete responses of attempts that may not be repeated.
     #[serde(skip)]
     responses: BTreeMap<RunId, KeptAnswer>,
+    /// Attempts that were settled and removed from `runs`.
     #[serde(skip)]
     dropped: BTreeSet<RunId>,
     /// The dropped attempts in order, for eviction.
@@ -121,7 +124,7 @@
         if order.time_left == 0 {
             return Err(codetable::DEADLINE_PASSED);
         }
-        let row = RunRow {
+        let row = LedgerRow {
             request: Arc::clone(&order.request),
             customer: Arc::clone(&order.customer),
             service: Arc::clone(&order.service),
@@ -130,7 +133,7 @@
             keyed: order.keyed,
             resumed: order.resume_from > 0,
             hold: order.hold,
-            state: RunProgress::Running,
+            state: RunPhase::Running,
         };
         self.runs.insert(Arc::clone(&order.run), row);
         Ok(())
@@ -148,7 +151,7 @@
         response: Option<KeptAnswer>,
     ) {
         if let Some(row) = self.runs.get_mut(run) {
-            row.state = RunProgress::Ended { whole, used, unproved };
+            row.state = RunPhase::Ended { whole, used, unproved };
             if let Some(response) = response {
                 self.responses.insert(Arc::clone(run), response);
             }
@@ -170,8 +173,8 @@
             self.runs.iter().filter(|(_, row)| row.shard == *shard && row.epoch == epoch);
         for (run, row) in in_tenure {
             match row.state {
-                RunProgress::Running => running += 1,
-                RunProgress::Ended { whole, used, unproved } => {
+                RunPhase::Running => running += 1,
+                RunPhase::Ended { whole, used, unproved } => {
                     rows.push(usage_row(run, row, whole, used, unproved));
                 }
             }
@@ -182,7 +185,7 @@
     /// Drops settled attempts; those that are still running are kept.
     pub fn acknowledge(&mut self, runs: &[RunId]) {
         for run in runs {
-            let ended = self.runs.get(run).is_some_and(|row| row.state != RunProgress::Running);
+            let ended = self.runs.get(run).is_some_and(|row| row.state != RunPhase::Running);
             if ended {
                 self.runs.remove(run);
                 self.retain_dropped(run);
@@ -209,8 +212,8 @@
         let answer = self.responses.get(run).cloned();
         if let Some(row) = self.runs.get(run) {
             return match row.state {
-                RunProgress::Running => RunFate::Running,
-                RunProgress::Ended { whole, used, unproved } => {
+                RunPhase::Running => RunFate::Running,
+                RunPhase::Ended { whole, used, unproved } => {
                     RunFate::Ended { whole, used, unproved, answer }
                 }
             };
@@ -226,7 +229,7 @@
 
     /// Returns the number of running attempts.
     pub fn running(&self) -> usize {
-        self.runs.values().filter(|row| row.state == RunProgress::Running).count()
+        self.runs.values().filter(|row| row.state == RunPhase::Running).count()
     }
 
     /// Returns the number of attempts that have ended but are not acknowledged.
@@ -235,7 +238,13 @@
     }
 }
 
-fn usage_row(run: &RunId, row: &RunRow, whole: bool, used: Tokens, unproved: Tokens) -> UsageRow {
+fn usage_row(
+    run: &RunId,
+    row: &LedgerRow,
+    whole: bool,
+    used: Tokens,
+    unproved: Tokens,
+) -> UsageRow {
     UsageRow {
         run: Arc::clone(run),
         request: Arc::clone(&row.request),
--- a/toucanrail/src/meters.rs
+++ b/toucanrail/src/meters.rs
@@ -65,6 +65,7 @@
                 EventKind::Done => self.ended = true,
                 EventKind::Other => {}
             }
+            // A hidden usage event was requested by the fleet, not by the caller.
             let hidden = matches!(self.rule, UsageRule::Reported { hidden: true });
             if !(hidden && matches!(event.kind, EventKind::Usage(_))) {
                 forwarded.extend_from_slice(&event.bytes);
--- a/toucanrail/src/replays.rs
+++ b/toucanrail/src/replays.rs
@@ -27,9 +27,9 @@
 #[derive(Debug, Default, Serialize)]
 pub struct ReplayTable {
     rows: BTreeMap<RequestId, KeyedRow>,
-    /// Completed requests with the sizes of their bodies, in order of completion.
+    /// Completed requests with the sizes of their response bodies, oldest first.
     #[serde(skip)]
-    order: VecDeque<(RequestId, usize)>,
+    eviction_order: VecDeque<(RequestId, usize)>,
     bytes: usize,
 }
 
@@ -77,11 +77,11 @@
         if let Some(row) = self.rows.get_mut(request) {
             let size = response.body.len();
             row.response = Some(response);
-            self.order.push_back((Arc::clone(request), size));
+            self.eviction_order.push_back((Arc::clone(request), size));
             self.bytes += size;
         }
         while self.bytes > CACHE_BYTES {
-            let Some((oldest, size)) = self.order.pop_front() else {
+            let Some((oldest, size)) = self.eviction_order.pop_front() else {
                 break;
             };
             self.bytes -= size;
--- a/toucanrail/tests/reclaimed_bills.rs
+++ b/toucanrail/tests/reclaimed_bills.rs
@@ -69,7 +69,7 @@
 /// generate; its entry was then presumed dead. The caller has the complete response and must be
 /// billed for it, so the zero usage of the second attempt must not replace that of the first.
 #[test]
-fn resumed_answer() {
+fn resumed_response() {
     let bill = reclaim(vec![usage("r.1", false, false, 50), usage("r.2", true, true, 0)]);
     assert_eq!((bill.billed, bill.written_off), (50, 0));
 }
@@ -77,7 +77,7 @@
 /// The first attempt was lost before the caller received anything, and another one produced the
 /// complete response: only the latter is charged.
 #[test]
-fn repeated_answer() {
+fn repeated_response() {
     let bill = reclaim(vec![usage("r.1", false, false, 70), usage("r.2", false, true, 30)]);
     assert_eq!((bill.billed, bill.written_off), (30, 70));
 }
--- a/toucanrail/tests/run_records.rs
+++ b/toucanrail/tests/run_records.rs
@@ -36,7 +36,7 @@
 }
 
 #[derive(Debug)]
-struct FleetSim {
+struct RecordSim {
     store: FakeStore,
     agents: Vec<UsageLedger>,
     running: Vec<RunOrder>,
@@ -53,7 +53,7 @@
     Arc::from("deposit")
 }
 
-impl FleetSim {
+impl RecordSim {
     fn new() -> Self {
         let agents = (0..2).map(|number| UsageLedger::new(Arc::from(format!("agent-{number}"))));
         Self {
@@ -245,7 +245,7 @@
     ]
 }
 
-fn apply_step(sim: &mut FleetSim, step: &Step) {
+fn apply_step(sim: &mut RecordSim, step: &Step) {
     match *step {
         Step::Open(caller, agent) => sim.open(caller, agent),
         Step::StoreCalls(caller, count, mood) => {
@@ -275,7 +275,7 @@
     let mut runner = TestRunner::new_with_rng(config, rng);
     let steps = prop::collection::vec(step_strategy(), 1..80);
     let run = runner.run(&steps, |steps| {
-        let mut sim = FleetSim::new();
+        let mut sim = RecordSim::new();
         for step in &steps {
             apply_step(&mut sim, step);
             prop_assert!(sim.runs <= 1, "the request ran {} times", sim.runs);
@@ -294,7 +294,7 @@
 /// responses.
 #[test]
 fn retries_without_faults() {
-    let mut sim = FleetSim::new();
+    let mut sim = RecordSim::new();
     for caller in 0..CALLERS {
         sim.open(caller, caller % 2);
         (0..8).for_each(|_| sim.step(caller, StoreMood::Well));
