--- a/toucanrail/src/meters.rs
+++ b/toucanrail/src/meters.rs
@@ -25,7 +25,7 @@
 }
 
 impl RunMeter {
-    /// Creates a meter; `resumed` is the number of tokens that the caller has from earlier attempts.
+    /// Creates a meter; `resumed` counts the tokens that the caller has from earlier attempts.
     pub fn new(rule: UsageRule, streamed: bool, resumed: Tokens) -> Self {
         Self {
             rule,
--- a/toucanrail/src/signatures.rs
+++ b/toucanrail/src/signatures.rs
@@ -22,7 +22,7 @@
 }
 
 impl FleetKey {
-    /// Derives the key from the secret that all processes of the fleet share.
+    /// Creates the key from the secret that all processes of the fleet share.
     pub fn new(secret: &str) -> Self {
         let mac = Hmac::new_from_slice(secret.as_bytes());
         // HMAC accepts keys of any length.
