--- a/toucanrail-gateway/src/accepting.rs
+++ b/toucanrail-gateway/src/accepting.rs
@@ -19,7 +19,7 @@
 use crate::admitting;
 use crate::answering::{self, CallerSide};
 use crate::listening;
-use crate::states::{Gateway, RequestGuard};
+use crate::state::{Gateway, RequestGuard};
 
 /// Most callers' connections at once; leaves descriptors for servers, the store and files.
 const CONNECTION_LIMIT: usize = 3_000;
@@ -65,8 +65,9 @@
         async move { serve_connection(&gateway, socket).await }
     };
     // Closed unread: the caller may go to another entry with the same request.
-    let refuse = || gateway.board.count_event("connections_refused");
-    listening::serve_each(&gateway.executor, listener, CONNECTION_LIMIT, serve, refuse).await;
+    let refuse = || gateway.metrics.count_event("connections_refused");
+    listening::serve_connections(&gateway.executor, listener, CONNECTION_LIMIT, serve, refuse)
+        .await;
 }
 
 async fn serve_connection(gateway: &Rc<Gateway>, socket: Async<TcpStream>) -> io::Result<()> {
@@ -86,7 +87,7 @@
             Err(ReadFault::Gone) => return Ok(()),
             Err(ReadFault::Refused(code)) => return refuse(gateway, channel, code).await,
         };
-        let close = head.close || gateway.stopping.get().is_some();
+        let close = head.close || gateway.stop_requested.get().is_some();
         let mut caller = CallerSide::new(channel.writer(), close);
         let answering = async {
             admitting::answer_request(gateway, &head, &body, &mut caller, arrived).await;
@@ -96,7 +97,7 @@
         let answered = watch_departure(&mut channel).or(answering).await;
         drop(guard);
         if !answered {
-            gateway.board.count_result(codetable::CANCELLED);
+            gateway.metrics.count_result(codetable::CANCELLED);
             tracing::info!(
                 event = "caller_gone", request = %requests::read_request(&head).id,
                 begun = caller.begun, took_ms = arrived.elapsed().as_millis() as u64,
@@ -169,7 +170,7 @@
 }
 
 async fn refuse(gateway: &Gateway, channel: BufferedChannel, code: ResultCode) -> io::Result<()> {
-    gateway.board.count_result(code);
+    gateway.metrics.count_result(code);
     tracing::info!(event = "refused_unread", code = code.number());
     let note = answering::make_note(code, RunState::NotRun, None);
     channel.writer().write_all(&answering::encode_refusal(&note, true)).await?;
--- a/toucanrail-gateway/src/admitting.rs
+++ b/toucanrail-gateway/src/admitting.rs
@@ -17,7 +17,7 @@
 use crate::budgeting::HoldFailure;
 use crate::calls::{CallPlan, DEADLINE_MARGIN};
 use crate::dispatching;
-use crate::states::Gateway;
+use crate::state::Gateway;
 
 /// Age of the last contact with the store from which an unknown key or route may be a new one that
 /// has not arrived: the caller is then sent elsewhere instead of away. Twice a watch's wait.
@@ -68,7 +68,7 @@
                 reason = refusal.code.row().name, path = head.path(), config = version,
                 store_age_ms = age.as_millis() as u64,
             );
-            gateway.board.count_result(refusal.code);
+            gateway.metrics.count_result(refusal.code);
             // On a kept connection the caller's next request would come here too.
             caller.close |= gateway.is_cut_off();
             let note = answering::make_note(refusal.code, RunState::NotRun, refusal.retry_after);
@@ -111,7 +111,7 @@
 
 /// Refuses what may not end within the grace period of a stop that has begun.
 fn check_stop(gateway: &Gateway, timeout: Duration) -> Result<(), EntryRefusal> {
-    let Some(since) = gateway.stopping.get() else {
+    let Some(since) = gateway.stop_requested.get() else {
         return Ok(());
     };
     let grace = gateway.settings.grace.saturating_sub(since.elapsed());
--- a/toucanrail-gateway/src/bin/toucanrail-relay.rs
+++ b/toucanrail-gateway/src/bin/toucanrail-relay.rs
@@ -2,11 +2,9 @@
 
 use std::process::ExitCode;
 
-use toucanrail_gateway::{launching, tunnelling};
+use toucanrail_gateway::{launching, relay};
 
 fn main() -> ExitCode {
     let about = "passes entries' calls to the store on, and lends them budget";
-    launching::launch("toucanrail-relay", about, |settings, tuning| {
-        tunnelling::run(&settings, tuning)
-    })
+    launching::launch("toucanrail-relay", about, |settings, tuning| relay::run(&settings, tuning))
 }
--- a/toucanrail-gateway/src/borrowing.rs
+++ b/toucanrail-gateway/src/borrowing.rs
@@ -16,7 +16,7 @@
 use crate::budgeting::HoldFailure;
 use crate::lending::{DRAW_PATH, END_PATH};
 use crate::peering::{self, PeerRests};
-use crate::states::Gateway;
+use crate::state::Gateway;
 
 /// Longest wait for a lender's answer: one that has to ask the store first answers within about
 /// half of it, one that is cut off or frozen not at all.
@@ -155,7 +155,7 @@
             }
             Err(error) => {
                 tracing::info!(event = "lender_failed", %lender, %error, customer = %need.customer);
-                gateway.board.count_event("lenders_failed");
+                gateway.metrics.count_event("lenders_failed");
                 gateway.desk.unanswered.set(true);
                 gateway.desk.rests.rest(&lender, gateway.now());
             }
--- a/toucanrail-gateway/src/calls.rs
+++ b/toucanrail-gateway/src/calls.rs
@@ -18,7 +18,7 @@
 
 use crate::borrowing::BudgetGuard;
 use crate::permitting::SendPermit;
-use crate::states::Gateway;
+use crate::state::Gateway;
 
 /// Taken off the time that a caller waits: its answer must be there before it gives up by itself. What goes on
 /// at a server behind a caller that has left is in vain, and a server that stands still cannot be told.
--- a/toucanrail-gateway/src/dispatching.rs
+++ b/toucanrail-gateway/src/dispatching.rs
@@ -22,7 +22,7 @@
 use crate::permitting::{self, SendPermit};
 use crate::sending;
 use crate::sighting;
-use crate::states::Gateway;
+use crate::state::Gateway;
 
 /// Longest wait for the load of servers: most relays answer within some milliseconds.
 const PROBE_BOUND: Duration = Duration::from_millis(40);
@@ -140,7 +140,7 @@
     fn may_try_again(&self) -> bool {
         let allowed = self.tally.sent == 0 || self.gateway.try_retry(&self.plan.service);
         if !allowed {
-            self.gateway.board.count_event("retries_refused");
+            self.gateway.metrics.count_event("retries_refused");
         }
         allowed
     }
@@ -316,9 +316,9 @@
             RequestEnd::Cut => codetable::ANSWER_CUT,
             RequestEnd::CallerGone => codetable::CANCELLED,
         };
-        self.gateway.board.count_result(code);
+        self.gateway.metrics.count_result(code);
         if let Some(first) = self.first_wait() {
-            self.gateway.board.first_byte.observe(first.as_secs_f64());
+            self.gateway.metrics.first_byte.observe(first.as_secs_f64());
         }
     }
 
--- a/toucanrail-gateway/src/following.rs
+++ b/toucanrail-gateway/src/following.rs
@@ -13,7 +13,7 @@
 
 use crate::mirroring::NEWS_PATH;
 use crate::peering;
-use crate::states::{Gateway, GatewayTables};
+use crate::state::{Gateway, GatewayTables};
 
 /// Wait of one watch. Each watch is a counted call, and a connection that turned silent shows only
 /// when its watch is overdue; both follows change within 2 s then.
@@ -87,7 +87,7 @@
         gateway.tables.borrow_mut().backends.take_paces(&gateway.store.paces());
         gateway.channels.sweep();
         let tables = gateway.tables.borrow();
-        gateway.sights.retain(|server| tables.backends.get(server).is_some());
+        gateway.load_reports.retain(|server| tables.backends.get(server).is_some());
         drop(tables);
         gateway.keeper.grants.borrow_mut().smooth_burn(now.saturating_sub(swept));
         swept = now;
@@ -223,7 +223,7 @@
     let kind = Taker::KIND;
     let boards = boards::pick_boards(&gateway.store.lenders());
     let answering =
-        boards.iter().filter(|(name, _)| !gateway.boards.is_resting(name, gateway.now()));
+        boards.iter().filter(|(name, _)| !gateway.failed_boards.is_resting(name, gateway.now()));
     let order = NewsOrder { kind: Arc::from(kind), after, wait: Taker::BOARD_WAIT };
     let mut stale = false;
     for (board, address) in answering {
@@ -245,13 +245,13 @@
                 continue;
             }
             Ok(reply) => {
-                gateway.boards.forget_rest(board);
+                gateway.failed_boards.forget_rest(board);
                 return BoardAnswer::News(reply);
             }
             Err(error) => error.to_string(),
         };
         tracing::info!(event = "board_failed", %board, kind, reason);
-        gateway.boards.rest(board, gateway.now());
+        gateway.failed_boards.rest(board, gateway.now());
         return BoardAnswer::Silent;
     }
     if stale { BoardAnswer::Outage } else { BoardAnswer::Silent }
@@ -277,7 +277,7 @@
             (tables.routes.take_config(config), tables.routes.route_count())
         };
         if taken {
-            gateway.board.in_force.set(i64::try_from(version).unwrap_or(i64::MAX));
+            gateway.metrics.in_force.set(i64::try_from(version).unwrap_or(i64::MAX));
             tracing::info!(event = "config_in_force", version, routes);
         }
     }
--- a/toucanrail-gateway/src/hosting.rs
+++ b/toucanrail-gateway/src/hosting.rs
@@ -16,8 +16,8 @@
 use crate::lending::{self, LoanOffice};
 use crate::mirroring::NewsOffice;
 use crate::registering;
-use crate::states::Gateway;
-use crate::tunnelling;
+use crate::relay;
+use crate::state::Gateway;
 
 /// Time in which relays on VMs of their own register in a fleet that starts.
 const RELAY_TIME: Duration = Duration::from_secs(4);
@@ -31,7 +31,7 @@
     }
     match start(&gateway) {
         Ok(office) => {
-            gateway.hosted.borrow_mut().replace(office);
+            gateway.hosted_relay.borrow_mut().replace(office);
             tracing::info!(event = "relay_hosted", lending = %gateway.settings.lending);
         }
         // The entry goes on with grants of its own.
@@ -43,7 +43,7 @@
 fn is_wanted(gateway: &Gateway) -> bool {
     let store = &gateway.store;
     let waited = store.has_relay(&gateway.settings.vm) || gateway.now() > RELAY_TIME;
-    waited && store.lacks_relays() && gateway.stopping.get().is_none()
+    waited && store.lacks_relays() && gateway.stop_requested.get().is_none()
 }
 
 fn start(gateway: &Rc<Gateway>) -> io::Result<Rc<LoanOffice>> {
@@ -53,8 +53,7 @@
     let entries = Async::<TcpListener>::bind(settings.lending)?;
     let store = Rc::clone(&gateway.store);
     let reaches = move || store.is_direct();
-    let passing =
-        tunnelling::pass_connections(Rc::clone(executor), passed, settings.store, reaches);
+    let passing = relay::forward_connections(Rc::clone(executor), passed, settings.store, reaches);
     executor.spawn(passing).detach();
     let office = Rc::new(LoanOffice {
         keeper: Rc::clone(&gateway.keeper),
--- a/toucanrail-gateway/src/inspecting.rs
+++ b/toucanrail-gateway/src/inspecting.rs
@@ -19,7 +19,7 @@
 use toucanrail_wire::heads::RequestHead;
 
 use crate::listening;
-use crate::states::Gateway;
+use crate::state::Gateway;
 
 const HEAD_LIMIT: usize = 8 * 1024;
 const IDLE_BOUND: Duration = Duration::from_secs(30);
@@ -44,7 +44,7 @@
         let gateway = Rc::clone(&gateway);
         async move { answer_questions(&gateway, socket).await }
     };
-    listening::serve_each(&gateway.executor, listener, usize::MAX, serve, || ()).await;
+    listening::serve_connections(&gateway.executor, listener, usize::MAX, serve, || ()).await;
 }
 
 async fn answer_questions(gateway: &Gateway, socket: Async<TcpStream>) -> io::Result<()> {
@@ -68,7 +68,7 @@
     match path {
         names::READY_PATH if gateway.is_ready() => ("200 OK", Vec::new()),
         names::READY_PATH => ("503 Not Ready", Vec::new()),
-        "/metrics" => ("200 OK", gateway.board.encode().unwrap_or_default()),
+        "/metrics" => ("200 OK", gateway.metrics.encode().unwrap_or_default()),
         "/state" => ("200 OK", dump_state(gateway)),
         _ => ("404 Not Found", Vec::new()),
     }
@@ -81,7 +81,7 @@
         id: &gateway.id,
         data_centre: &gateway.settings.data_centre,
         config_version: tables.routes.version(),
-        stopping: gateway.stopping.get().is_some(),
+        stopping: gateway.stop_requested.get().is_some(),
         in_flight: gateway.in_flight.get(),
         store_age_ms: gateway.store.age().as_millis() as u64,
         store_ways: gateway.store.ways(),
--- a/toucanrail-gateway/src/lending.rs
+++ b/toucanrail-gateway/src/lending.rs
@@ -65,7 +65,7 @@
         let office = Rc::clone(&office);
         async move { serve_entry(&office, socket).await }
     };
-    listening::serve_each(&executor, listener, usize::MAX, serve, || ()).await;
+    listening::serve_connections(&executor, listener, usize::MAX, serve, || ()).await;
 }
 
 async fn serve_entry(office: &LoanOffice, socket: Async<TcpStream>) -> io::Result<()> {
--- a/toucanrail-gateway/src/listening.rs
+++ b/toucanrail-gateway/src/listening.rs
@@ -14,7 +14,7 @@
 /// and the connection closed unread.
 ///
 /// How a connection ends is no news here: a broken one has nobody left to tell.
-pub async fn serve_each<Serve, Serving, Refuse>(
+pub async fn serve_connections<Serve, Serving, Refuse>(
     executor: &LocalExecutor<'static>,
     listener: Async<TcpListener>,
     limit: usize,
--- a/toucanrail-gateway/src/peering.rs
+++ b/toucanrail-gateway/src/peering.rs
@@ -14,7 +14,7 @@
 use toucanrail_wire::clocks;
 
 use crate::lending::ALIVE_PATH;
-use crate::states::Gateway;
+use crate::state::Gateway;
 
 /// Longest wait for a connection: relays are some milliseconds away, a dead one answers nothing.
 const CONNECT_BOUND: Duration = Duration::from_millis(120);
--- a/toucanrail-gateway/src/permitting.rs
+++ b/toucanrail-gateway/src/permitting.rs
@@ -11,7 +11,7 @@
 
 use crate::lending::PERMIT_PATH;
 use crate::peering;
-use crate::states::Gateway;
+use crate::state::Gateway;
 
 /// Longest wait for a relay.
 const PERMIT_BOUND: Duration = Duration::from_millis(80);
@@ -51,7 +51,7 @@
     };
     let until = gateway.now() + wait;
     gateway.tables.borrow_mut().backends.note_no_permit(&target.id, until);
-    gateway.board.count_event("permits_denied");
+    gateway.metrics.count_event("permits_denied");
     tracing::info!(
         event = "permit_denied", server = %target.id, limit, wait_ms = wait.as_millis() as u64,
     );
--- a/toucanrail-gateway/src/tunnelling.rs
+++ b/toucanrail-gateway/src/relay.rs
@@ -47,7 +47,7 @@
     let executor = Rc::new(LocalExecutor::new());
     let listener = Async::<TcpListener>::bind(settings.inner)?;
     tracing::info!(event = "start", role = "relay", vm = %settings.vm, inner = %settings.inner);
-    let passing = pass_connections(Rc::clone(&executor), listener, settings.store, || true);
+    let passing = forward_connections(Rc::clone(&executor), listener, settings.store, || true);
     executor.spawn(passing).detach();
     let office = Rc::new(make_office(settings, tuning, &executor)?);
     let entries = Async::<TcpListener>::bind(settings.lending)?;
@@ -113,7 +113,7 @@
 ///
 /// While the store is not in reach of this process itself they are closed at once: the entry tries another
 /// relay.
-pub async fn pass_connections<Reach>(
+pub async fn forward_connections<Reach>(
     executor: Rc<LocalExecutor<'static>>,
     listener: Async<TcpListener>,
     store: SocketAddr,
@@ -125,7 +125,7 @@
         let passes = reaches();
         async move { if passes { pass_connection(socket, store).await } else { Ok(()) } }
     };
-    listening::serve_each(&executor, listener, CONNECTION_LIMIT, serve, || ()).await;
+    listening::serve_connections(&executor, listener, CONNECTION_LIMIT, serve, || ()).await;
 }
 
 async fn pass_connection(socket: Async<TcpStream>, store: SocketAddr) -> io::Result<()> {
--- a/toucanrail-gateway/src/relaying.rs
+++ b/toucanrail-gateway/src/relaying.rs
@@ -13,7 +13,7 @@
 use crate::answering::CallerSide;
 use crate::calls::{AttemptContext, AttemptEnd, FailedAnswer, OpenExchange, StreamState};
 use crate::sighting;
-use crate::states::FlightGuard;
+use crate::state::FlightGuard;
 
 /// How often a stream's deadline and its pauses are looked at; one timer a stream, since a timer a
 /// read costs two system calls an event.
--- a/toucanrail-gateway/src/sending.rs
+++ b/toucanrail-gateway/src/sending.rs
@@ -20,7 +20,7 @@
 use crate::calls::{AttemptContext, AttemptEnd, CallPlan, OpenExchange, StreamState};
 use crate::relaying;
 use crate::sighting;
-use crate::states::{FlightGuard, Gateway};
+use crate::state::{FlightGuard, Gateway};
 
 /// Longest wait for a connection. A live server answers within some milliseconds, one that is full
 /// drops the first packet and would be reached only seconds later.
@@ -144,7 +144,7 @@
     if let Some(channel) = gateway.channels.take(&target.id, idle) {
         return Ok(channel);
     }
-    gateway.board.count_event("connections_opened");
+    gateway.metrics.count_event("connections_opened");
     let bound = CONNECT_BOUND.min(plan.left());
     let opened = clocks::within(bound, BufferedChannel::connect(target.address)).await;
     opened.map_err(|error| {
--- a/toucanrail-gateway/src/sighting.rs
+++ b/toucanrail-gateway/src/sighting.rs
@@ -14,7 +14,7 @@
 use crate::calls::AttemptContext;
 use crate::lending::REPORT_PATH;
 use crate::peering;
-use crate::states::Gateway;
+use crate::state::Gateway;
 
 /// Longest wait for a relay, which asks the server beside it.
 const SIGHT_BOUND: Duration = Duration::from_millis(600);
@@ -53,7 +53,7 @@
 /// Returns a server's load as its relay tells it, some tenths of a second old at most; none where either
 /// of them does not answer.
 pub async fn see_load(gateway: &Gateway, target: &BackendEntry) -> Option<LoadReport> {
-    let row = gateway.sights.row(&target.id);
+    let row = gateway.load_reports.row(&target.id);
     // Held through the look: who comes meanwhile waits for this one.
     let mut row = row.lock().await;
     let now = gateway.now();
--- a/toucanrail-gateway/src/starting.rs
+++ b/toucanrail-gateway/src/starting.rs
@@ -28,7 +28,7 @@
 use crate::inspecting;
 use crate::peering::PeerRests;
 use crate::sighting::SightBoard;
-use crate::states::{Gateway, GatewayTables};
+use crate::state::{Gateway, GatewayTables};
 use crate::stopping;
 use crate::storing::{self, StoreAccess, UNMEASURED_REFRESH};
 use crate::tuning::GatewayTuning;
@@ -68,14 +68,14 @@
 
 fn make_gateway(settings: NodeSettings, tuning: GatewayTuning) -> io::Result<Gateway> {
     let id = starting::new_incarnation(&settings.vm);
-    let board = MetricBoard::new("gateway").map_err(io::Error::other)?;
+    let metrics = MetricBoard::new("gateway").map_err(io::Error::other)?;
     let clock = ProcessClock::start();
     let executor = Rc::new(LocalExecutor::new());
     let data_centre = Arc::clone(&settings.data_centre);
     let ways = DetourTable::new(settings.store, data_centre, Arc::clone(&settings.region));
     let store = Rc::new(StoreAccess::new(StoreClient::new(STORE_CONNECT), ways, clock));
     let keeper =
-        BudgetKeeper::new(&id, Rc::clone(&store), tuning, board.clone(), Rc::clone(&executor));
+        BudgetKeeper::new(&id, Rc::clone(&store), tuning, metrics.clone(), Rc::clone(&executor));
     let evacuations = settings.evacuation_bound.map(EvacuationTable::awaiting).unwrap_or_default();
     let tables = GatewayTables {
         routes: RouteTable::new(),
@@ -90,16 +90,16 @@
         store,
         keeper: Rc::new(keeper),
         desk: LoanDesk::default(),
-        boards: PeerRests::default(),
+        failed_boards: PeerRests::default(),
         stale_boards: PeerRests::default(),
-        hosted: RefCell::new(None),
-        sights: SightBoard::default(),
-        board,
+        hosted_relay: RefCell::new(None),
+        load_reports: SightBoard::default(),
+        metrics,
         executor,
         tables: RefCell::new(tables),
         channels: ChannelPool::new(),
         clock,
-        stopping: Cell::new(None),
+        stop_requested: Cell::new(None),
         closed: Cell::new(false),
         closes_idle: Cell::new(false),
         in_flight: Cell::new(0),
--- a/toucanrail-gateway/src/states.rs
+++ b/toucanrail-gateway/src/state.rs
@@ -63,7 +63,7 @@
     /// The platform's store.
     pub store: Rc<StoreAccess>,
     /// Its metrics.
-    pub board: MetricBoard,
+    pub metrics: MetricBoard,
     /// Runs everything on one thread.
     pub executor: Rc<LocalExecutor<'static>>,
     /// The tables.
@@ -73,7 +73,7 @@
     /// The time since the start.
     pub clock: ProcessClock,
     /// When it was told to stop.
-    pub stopping: Cell<Option<Instant>>,
+    pub stop_requested: Cell<Option<Instant>>,
     /// Whether it admits no request any more.
     pub closed: Cell<bool>,
     /// Whether idle callers' connections are closed.
@@ -87,13 +87,13 @@
     /// What it knows of lenders.
     pub desk: LoanDesk,
     /// Boards that failed and are passed over.
-    pub boards: PeerRests,
+    pub failed_boards: PeerRests,
     /// Boards that did not hear from the store a moment ago.
     pub stale_boards: PeerRests,
     /// The relay that this entry hosts.
-    pub hosted: RefCell<Option<Rc<LoanOffice>>>,
+    pub hosted_relay: RefCell<Option<Rc<LoanOffice>>>,
     /// Reports of servers that did not answer.
-    pub sights: SightBoard,
+    pub load_reports: SightBoard,
 }
 
 impl Gateway {
@@ -111,7 +111,7 @@
         let informed = tables.routes.version() > 0
             && tables.backends.is_listed()
             && tables.backends.evacuations.is_known();
-        informed && self.stopping.get().is_none() && !self.is_cut_off()
+        informed && self.stop_requested.get().is_none() && !self.is_cut_off()
     }
 
     /// Tells whether this entry reaches neither lenders nor, on any way, the store.
@@ -214,7 +214,7 @@
     /// Counts a request.
     pub fn new(gateway: &Rc<Gateway>) -> Self {
         gateway.in_flight.set(gateway.in_flight.get() + 1);
-        gateway.board.in_flight.inc();
+        gateway.metrics.in_flight.inc();
         Self { gateway: Rc::clone(gateway) }
     }
 }
@@ -222,7 +222,7 @@
 impl Drop for RequestGuard {
     fn drop(&mut self) {
         self.gateway.in_flight.set(self.gateway.in_flight.get() - 1);
-        self.gateway.board.in_flight.dec();
+        self.gateway.metrics.in_flight.dec();
     }
 }
 
--- a/toucanrail-gateway/src/stopping.rs
+++ b/toucanrail-gateway/src/stopping.rs
@@ -11,7 +11,7 @@
 use crate::borrowing;
 use crate::budgeting;
 use crate::lending::{self, LoanOffice};
-use crate::states::Gateway;
+use crate::state::Gateway;
 
 /// Time after SIGTERM for which idle connections stay open: the balancer learns in this time that
 /// the entry is not ready, and a request under way still finds it.
@@ -56,9 +56,9 @@
 
 async fn drain(gateway: &Rc<Gateway>) {
     let since = Instant::now();
-    gateway.stopping.set(Some(since));
+    gateway.stop_requested.set(Some(since));
     tracing::info!(event = "stop", in_flight = gateway.in_flight.get());
-    let lending = gateway.hosted.borrow().as_ref().map(|office| {
+    let lending = gateway.hosted_relay.borrow().as_ref().map(|office| {
         let bound = gateway.settings.grace.saturating_sub(LOANS_MARGIN);
         gateway.executor.spawn(drain_loans(Rc::clone(office), bound))
     });
