--- a/toucanrail-gateway/src/accepting.rs
+++ b/toucanrail-gateway/src/accepting.rs
@@ -1,4 +1,4 @@
-//! Callers' connections: requests read whole, answered one after the other.
+//! Accepts callers' connections, reads requests in full and handles them one at a time.
 
 use std::io;
 use std::net::{TcpListener, TcpStream};
@@ -17,57 +17,57 @@
 use toucanrail_wire::heads::{HeadFault, RequestHead};
 
 use crate::admitting;
-use crate::answering::{self, CallerSide};
 use crate::listening;
+use crate::responding::{self, ResponseWriter};
 use crate::state::{Gateway, RequestGuard};
 
-/// Most callers' connections at once; leaves descriptors for servers, the store and files.
-const CONNECTION_LIMIT: usize = 3_000;
-/// Longest arrival of a body behind its head.
-const BODY_BOUND: Duration = Duration::from_secs(10);
-/// Longest wait for the first request of a connection while the process stops.
-const FIRST_BOUND: Duration = Duration::from_secs(1);
-/// Bytes of a next request that are read while one is answered.
-const EARLY_LIMIT: usize = 64 * 1024;
-/// Time for which a refused caller's bytes are still read: closing with unread bytes resets the
-/// connection, and the caller would lose the answer.
-const LINGER: Duration = Duration::from_millis(200);
+/// Maximum number of open caller connections. Leaves file descriptors for backend servers, the
+/// store and files.
+const MAX_CONNECTIONS: usize = 3_000;
+/// Maximum time for a body to arrive after its head.
+const BODY_TIMEOUT: Duration = Duration::from_secs(10);
+/// How long a new connection may take to send its first request while the process is stopping.
+const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_secs(1);
+/// Maximum number of bytes of a pipelined request to buffer while the current request is handled.
+const MAX_PIPELINED_BYTES: usize = 64 * 1024;
+/// How long to keep reading from a caller after its response: closing a socket with unread bytes
+/// resets the connection, and the caller could lose the response.
+const LINGER_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Why a request was not read.
+/// Reason why no request could be read.
 #[derive(Debug)]
-enum ReadFault {
-    /// The caller is to be told.
+enum ReadError {
+    /// The request was invalid or too slow; the caller receives this code.
     Refused(ResultCode),
-    /// There is nobody to tell.
-    Gone,
+    /// The connection is gone and nobody can be notified.
+    Disconnected,
 }
 
-impl From<io::Error> for ReadFault {
+impl From<io::Error> for ReadError {
     fn from(error: io::Error) -> Self {
         match error.kind() {
             io::ErrorKind::FileTooLarge => Self::Refused(codetable::HEAD_TOO_LARGE),
             io::ErrorKind::TimedOut => Self::Refused(codetable::SLOW_SENDER),
-            _ => Self::Gone,
+            _ => Self::Disconnected,
         }
     }
 }
 
-impl From<HeadFault> for ReadFault {
+impl From<HeadFault> for ReadError {
     fn from(HeadFault::Malformed(code): HeadFault) -> Self {
         Self::Refused(code)
     }
 }
 
-/// Takes callers' connections until the process ends.
+/// Accepts callers' connections until the process exits.
 pub async fn serve_callers(gateway: Rc<Gateway>, listener: Async<TcpListener>) {
     let serve = |socket| {
         let gateway = Rc::clone(&gateway);
         async move { serve_connection(&gateway, socket).await }
     };
-    // Closed unread: the caller may go to another entry with the same request.
+    // The connection is closed unread, so the caller can safely retry the request at another entry.
     let refuse = || gateway.metrics.count_event("connections_refused");
-    listening::serve_connections(&gateway.executor, listener, CONNECTION_LIMIT, serve, refuse)
-        .await;
+    listening::serve_connections(&gateway.executor, listener, MAX_CONNECTIONS, serve, refuse).await;
 }
 
 async fn serve_connection(gateway: &Rc<Gateway>, socket: Async<TcpStream>) -> io::Result<()> {
@@ -75,8 +75,8 @@
     let mut served = false;
     loop {
         let bounds = gateway.tables.borrow().routes.bounds();
-        let waits = channel.buffer.is_empty();
-        if waits && !wait_request(gateway, &mut channel, bounds.idle, served).await? {
+        let is_idle = channel.buffer.is_empty();
+        if is_idle && !wait_for_request(gateway, &mut channel, bounds.idle, served).await? {
             return Ok(());
         }
         served = true;
@@ -84,62 +84,64 @@
         let guard = RequestGuard::new(gateway);
         let (head, body) = match read_request(&mut channel, bounds).await {
             Ok(request) => request,
-            Err(ReadFault::Gone) => return Ok(()),
-            Err(ReadFault::Refused(code)) => return refuse(gateway, channel, code).await,
+            Err(ReadError::Disconnected) => return Ok(()),
+            Err(ReadError::Refused(code)) => return refuse(gateway, channel, code).await,
         };
         let close = head.close || gateway.stop_requested.get().is_some();
-        let mut caller = CallerSide::new(channel.writer(), close);
-        let answering = async {
-            admitting::answer_request(gateway, &head, &body, &mut caller, arrived).await;
+        let mut writer = ResponseWriter::new(channel.writer(), close);
+        let responding = async {
+            admitting::handle_request(gateway, &head, &body, &mut writer, arrived).await;
             true
         };
-        // First: a step of the answer would send on a request whose caller is known to have left.
-        let answered = watch_departure(&mut channel).or(answering).await;
+        // Polled first: once the caller is known to have disconnected, no further step of its
+        // request may run, because that step could forward the request to a server.
+        let completed = wait_for_disconnect(&mut channel).or(responding).await;
         drop(guard);
-        if !answered {
+        if !completed {
             gateway.metrics.count_result(codetable::CANCELLED);
             tracing::info!(
                 event = "caller_gone", request = %requests::read_request(&head).id,
-                begun = caller.begun, took_ms = arrived.elapsed().as_millis() as u64,
+                begun = writer.started, took_ms = arrived.elapsed().as_millis() as u64,
             );
             return Ok(());
         }
-        if caller.close || !caller.whole {
-            return close_channel(channel, caller.whole).await;
+        if writer.close || !writer.complete {
+            return close_connection(channel, writer.complete).await;
         }
     }
 }
 
-/// Waits for a request's first bytes; false where the connection ends before them.
+/// Waits for the first bytes of a request. Returns false if the connection ends before any arrive.
 ///
-/// A stopping entry closes connections that have had an answer. A new one may have a request under
-/// way: closed unread, its caller would come back at once, and again, where it could be served.
-async fn wait_request(
+/// A stopping entry closes idle connections that have already served a request. A connection that
+/// has not may have a request on its way: if it were closed unread, its caller would reconnect at
+/// once, repeatedly, although the request could have been served here.
+async fn wait_for_request(
     gateway: &Gateway,
     channel: &mut BufferedChannel,
     idle: Duration,
     served: bool,
 ) -> io::Result<bool> {
-    let leaving = gateway.leaving.listen();
-    if !served && gateway.closes_idle.get() {
-        return Ok(clocks::within(FIRST_BOUND, channel.fill()).await? > 0);
+    let close_idle = gateway.close_idle_event.listen();
+    if !served && gateway.close_idle.get() {
+        return Ok(clocks::within(FIRST_REQUEST_TIMEOUT, channel.fill()).await? > 0);
     }
-    if gateway.closes_idle.get() {
+    if gateway.close_idle.get() {
         return Ok(false);
     }
-    let ended = async {
-        leaving.await;
+    let closed = async {
+        close_idle.await;
         Ok(0)
     };
-    Ok(clocks::within(idle, channel.fill().or(ended)).await? > 0)
+    Ok(clocks::within(idle, channel.fill().or(closed)).await? > 0)
 }
 
 async fn read_request(
     channel: &mut BufferedChannel,
     bounds: CallerBounds,
-) -> Result<(RequestHead, Vec<u8>), ReadFault> {
+) -> Result<(RequestHead, Vec<u8>), ReadError> {
     let bytes = clocks::within(bounds.arrival, channel.read_head(bounds.head)).await?;
-    let head = RequestHead::parse(&bytes.ok_or(ReadFault::Gone)?)?;
+    let head = RequestHead::parse(&bytes.ok_or(ReadError::Disconnected)?)?;
     let mut framer = BodyFramer::of_request(head.length);
     let mut body = Vec::new();
     if !framer.is_done() && head.fields.get("expect").is_some() {
@@ -147,38 +149,39 @@
     }
     let reading = async {
         loop {
-            let taken = framer.feed(&channel.buffer, &mut body);
-            channel.buffer.drain(..taken);
+            let consumed = framer.feed(&channel.buffer, &mut body);
+            channel.buffer.drain(..consumed);
             if framer.is_broken() {
-                return Err(ReadFault::Refused(codetable::BAD_REQUEST));
+                return Err(ReadError::Refused(codetable::BAD_REQUEST));
             }
             if body.len() > bounds.body {
-                return Err(ReadFault::Refused(codetable::BODY_TOO_LARGE));
+                return Err(ReadError::Refused(codetable::BODY_TOO_LARGE));
             }
             if framer.is_done() {
                 return Ok(());
             }
             if channel.fill().await? == 0 {
-                return Err(ReadFault::Refused(codetable::CUT_REQUEST));
+                return Err(ReadError::Refused(codetable::CUT_REQUEST));
             }
         }
     };
-    match clocks::bounded(BODY_BOUND, reading).await {
+    match clocks::bounded(BODY_TIMEOUT, reading).await {
         Some(read) => read.map(|()| (head, body)),
-        None => Err(ReadFault::Refused(codetable::SLOW_SENDER)),
+        None => Err(ReadError::Refused(codetable::SLOW_SENDER)),
     }
 }
 
 async fn refuse(gateway: &Gateway, channel: BufferedChannel, code: ResultCode) -> io::Result<()> {
     gateway.metrics.count_result(code);
     tracing::info!(event = "refused_unread", code = code.number());
-    let note = answering::make_note(code, RunState::NotRun, None);
-    channel.writer().write_all(&answering::encode_refusal(&note, true)).await?;
-    close_channel(channel, true).await
+    let note = responding::make_refusal(code, RunState::NotRun, None);
+    channel.writer().write_all(&responding::encode_refusal(&note, true)).await?;
+    close_connection(channel, true).await
 }
 
-/// Ends a connection; where the answer was whole, so that the caller gets all of it.
-async fn close_channel(mut channel: BufferedChannel, whole: bool) -> io::Result<()> {
+/// Closes a connection. After a complete response, closes it gracefully so that the caller receives
+/// all of it.
+async fn close_connection(mut channel: BufferedChannel, whole: bool) -> io::Result<()> {
     if !whole {
         return Ok(());
     }
@@ -189,13 +192,13 @@
         }
         Ok(())
     };
-    clocks::within(LINGER, reading).await
+    clocks::within(LINGER_TIMEOUT, reading).await
 }
 
-/// Ends, with false, when the caller closes its side, so that work for one who went away stops even
-/// while there is nothing to write. A caller that sends its next request early is left alone.
-async fn watch_departure(channel: &mut BufferedChannel) -> bool {
-    while channel.buffer.len() < EARLY_LIMIT {
+/// Returns false when the caller closes its side, so that work for a disconnected caller stops even
+/// while there is nothing to write. Stops watching once a pipelined request fills the buffer.
+async fn wait_for_disconnect(channel: &mut BufferedChannel) -> bool {
+    while channel.buffer.len() < MAX_PIPELINED_BYTES {
         if !matches!(channel.fill().await, Ok(count) if count > 0) {
             return false;
         }
--- a/toucanrail-gateway/src/inspecting.rs
+++ b/toucanrail-gateway/src/admin.rs
@@ -1,4 +1,4 @@
-//! The addresses for the platform and operators: readiness, metrics and the dump of the state.
+//! Endpoints for the platform and operators: readiness, metrics and a dump of the state.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -21,8 +21,8 @@
 use crate::listening;
 use crate::state::Gateway;
 
-const HEAD_LIMIT: usize = 8 * 1024;
-const IDLE_BOUND: Duration = Duration::from_secs(30);
+const MAX_HEAD_BYTES: usize = 8 * 1024;
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
 #[derive(Serialize)]
 struct StateDump<'tables> {
@@ -38,25 +38,25 @@
     grants: &'tables GrantTable,
 }
 
-/// Serves questions of the platform and of operators.
-pub async fn serve_questions(gateway: Rc<Gateway>, listener: Async<TcpListener>) {
+/// Serves the endpoints on one listener.
+pub async fn serve_admin(gateway: Rc<Gateway>, listener: Async<TcpListener>) {
     let serve = |socket| {
         let gateway = Rc::clone(&gateway);
-        async move { answer_questions(&gateway, socket).await }
+        async move { serve_connection(&gateway, socket).await }
     };
     listening::serve_connections(&gateway.executor, listener, usize::MAX, serve, || ()).await;
 }
 
-async fn answer_questions(gateway: &Gateway, socket: Async<TcpStream>) -> io::Result<()> {
+async fn serve_connection(gateway: &Gateway, socket: Async<TcpStream>) -> io::Result<()> {
     let mut channel = BufferedChannel::new(socket)?;
-    while let Some(bytes) = clocks::within(IDLE_BOUND, channel.read_head(HEAD_LIMIT)).await? {
+    while let Some(bytes) = clocks::within(IDLE_TIMEOUT, channel.read_head(MAX_HEAD_BYTES)).await? {
         let head = RequestHead::parse(&bytes).map_err(|_| io::ErrorKind::InvalidData)?;
-        let (status, body) = answer_path(gateway, head.path());
+        let (status, body) = respond(gateway, head.path());
         let length = body.len();
-        let mut answer =
+        let mut response =
             format!("HTTP/1.1 {status}\r\nContent-Length: {length}\r\n\r\n").into_bytes();
-        answer.extend_from_slice(&body);
-        channel.writer().write_all(&answer).await?;
+        response.extend_from_slice(&body);
+        channel.writer().write_all(&response).await?;
         if head.close {
             break;
         }
@@ -64,7 +64,7 @@
     Ok(())
 }
 
-fn answer_path(gateway: &Gateway, path: &str) -> (&'static str, Vec<u8>) {
+fn respond(gateway: &Gateway, path: &str) -> (&'static str, Vec<u8>) {
     match path {
         names::READY_PATH if gateway.is_ready() => ("200 OK", Vec::new()),
         names::READY_PATH => ("503 Not Ready", Vec::new()),
@@ -89,6 +89,6 @@
         limits: &tables.limits,
         grants: &grants,
     };
-    // Only maps with keys other than text can fail here.
+    // Serialization can only fail for maps whose keys are not strings.
     serde_json::to_vec(&dump).unwrap_or_default()
 }
--- a/toucanrail-gateway/src/admitting.rs
+++ b/toucanrail-gateway/src/admitting.rs
@@ -1,4 +1,5 @@
-//! A request's way in: its route, its customer, its budget; then it is dispatched.
+//! Admission of requests: matches route and customer, checks load, reserves budget, then
+//! dispatches.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -12,53 +13,57 @@
 use toucanrail_platform::requests::{self, RequestFacts};
 use toucanrail_wire::heads::RequestHead;
 
-use crate::answering::{self, CallerSide};
 use crate::borrowing::{self, BudgetGuard, BudgetNeed};
 use crate::budgeting::HoldFailure;
-use crate::calls::{CallPlan, DEADLINE_MARGIN};
 use crate::dispatching;
+use crate::request_context::{DEADLINE_MARGIN, RequestPlan};
+use crate::responding::{self, ResponseWriter};
 use crate::state::Gateway;
 
-/// Age of the last contact with the store from which an unknown key or route may be a new one that
-/// has not arrived: the caller is then sent elsewhere instead of away. Twice a watch's wait.
-const KNOWLEDGE_AGE: Duration = Duration::from_secs(3);
-/// Silence of the store, with lenders that answer, from which it is taken to be away for all.
-const OUTAGE_LEAST: Duration = Duration::from_secs(1);
-/// Part of a route's time that a caller has left at most if it was refused before and came back.
-const RETURNED_PART: f64 = 0.9;
-/// Time that a stopped entry needs to be back, where the balancer knows no other.
-const STOP_RETRY: Duration = Duration::from_millis(700);
-/// Time after SIGTERM in which new requests are served whatever their length: the balancer sends new
-/// connections for two seconds.
-const STOP_SERVE: Duration = Duration::from_millis(2_800);
-/// Taken off the grace period for what must surely end within it.
+/// Time since the last contact with the store after which an unknown key or route may be one that
+/// has not arrived here yet. The caller is then told to retry elsewhere instead of being rejected.
+/// Twice the wait of one watch.
+const STALE_STORE_AGE: Duration = Duration::from_secs(3);
+/// Time without contact with the store, while lenders respond, after which the store is assumed to
+/// be unavailable to every entry.
+const OUTAGE_THRESHOLD: Duration = Duration::from_secs(1);
+/// A caller whose timeout is below this fraction of the route's timeout is taken to be retrying
+/// after an earlier refusal.
+const RETURNED_TIME_RATIO: f64 = 0.9;
+/// Time a stopped entry needs to restart; used in `Retry-After` in case the balancer knows no other
+/// entry.
+const RESTART_DELAY: Duration = Duration::from_millis(700);
+/// Period after SIGTERM in which requests are admitted whatever their timeout, because the balancer
+/// keeps sending new connections for two seconds.
+const STOP_ACCEPT_PERIOD: Duration = Duration::from_millis(2_800);
+/// Safety margin taken off the grace period for requests that must finish within it.
 const STOP_MARGIN: Duration = Duration::from_millis(1_300);
 
-/// A refusal before anything was sent.
+/// Refusal of a request that was not sent to any server.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct EntryRefusal {
-    /// Why.
+pub struct AdmissionRefusal {
+    /// Result code for the caller.
     pub code: ResultCode,
-    /// When to come back, where that helps.
+    /// When the caller should retry, if retrying can help.
     pub retry_after: Option<Duration>,
 }
 
-impl From<ResultCode> for EntryRefusal {
+impl From<ResultCode> for AdmissionRefusal {
     fn from(code: ResultCode) -> Self {
         Self { code, retry_after: None }
     }
 }
 
-/// Answers one request.
-pub async fn answer_request(
+/// Admits and dispatches one request, or writes a refusal.
+pub async fn handle_request(
     gateway: &Rc<Gateway>,
     head: &RequestHead,
     body: &[u8],
-    caller: &mut CallerSide,
+    writer: &mut ResponseWriter,
     arrived: Instant,
 ) {
     match admit(gateway, head, body, arrived).await {
-        Ok(plan) => dispatching::dispatch(gateway, &plan, caller).await,
+        Ok(plan) => dispatching::dispatch(gateway, &plan, writer).await,
         Err(refusal) => {
             let facts = requests::read_request(head);
             let version = gateway.tables.borrow().routes.version();
@@ -69,11 +74,12 @@
                 store_age_ms = age.as_millis() as u64,
             );
             gateway.metrics.count_result(refusal.code);
-            // On a kept connection the caller's next request would come here too.
-            caller.close |= gateway.is_cut_off();
-            let note = answering::make_note(refusal.code, RunState::NotRun, refusal.retry_after);
-            // A caller that is gone needs no refusal.
-            caller.send_refusal(&note).await.ok();
+            // The next request on this keep-alive connection would also reach an isolated entry.
+            writer.close |= gateway.is_isolated();
+            let note =
+                responding::make_refusal(refusal.code, RunState::NotRun, refusal.retry_after);
+            // The caller may have disconnected; then nobody needs the refusal.
+            writer.send_refusal(&note).await.ok();
         }
     }
 }
@@ -83,15 +89,15 @@
     head: &'call RequestHead,
     body: &'call [u8],
     arrived: Instant,
-) -> Result<CallPlan<'call>, EntryRefusal> {
+) -> Result<RequestPlan<'call>, AdmissionRefusal> {
     let facts = requests::read_request(head);
-    let (route, customer) = match_request(gateway, head, &facts)?;
-    check_stop(gateway, route.timeout)?;
+    let (route, customer) = match_route(gateway, head, &facts)?;
+    check_stopping(gateway, route.timeout)?;
     let service = route.pick_service(fastrand::f64()).map(Arc::clone);
     let service = service.ok_or(codetable::NO_BACKEND_SERVER)?;
-    let waits = facts.timeout.map_or(route.timeout, |timeout| timeout.min(route.timeout));
+    let timeout = facts.timeout.map_or(route.timeout, |timeout| timeout.min(route.timeout));
     let rank = customer.as_ref().and_then(|customer| customer.priority);
-    let mut plan = CallPlan {
+    let mut plan = RequestPlan {
         head,
         body,
         urgency: rank.unwrap_or(route.priority),
@@ -100,56 +106,56 @@
         customer,
         service,
         arrived,
-        deadline: arrived + waits.saturating_sub(DEADLINE_MARGIN),
+        deadline: arrived + timeout.saturating_sub(DEADLINE_MARGIN),
         budget: None,
     };
     check_load(gateway, &plan)?;
-    plan.budget = hold_budget(gateway, &plan).await?;
-    gateway.note_fresh(&plan.service);
+    plan.budget = reserve_budget(gateway, &plan).await?;
+    gateway.record_new_request(&plan.service);
     Ok(plan)
 }
 
-/// Refuses what may not end within the grace period of a stop that has begun.
-fn check_stop(gateway: &Gateway, timeout: Duration) -> Result<(), EntryRefusal> {
-    let Some(since) = gateway.stop_requested.get() else {
+/// While the entry is stopping, refuses requests that may not finish within the grace period.
+fn check_stopping(gateway: &Gateway, timeout: Duration) -> Result<(), AdmissionRefusal> {
+    let Some(stop_requested) = gateway.stop_requested.get() else {
         return Ok(());
     };
-    let grace = gateway.settings.grace.saturating_sub(since.elapsed());
-    let fits = since.elapsed() < STOP_SERVE || timeout + STOP_MARGIN < grace;
-    if fits && !gateway.closed.get() {
+    let grace = gateway.settings.grace.saturating_sub(stop_requested.elapsed());
+    let fits = stop_requested.elapsed() < STOP_ACCEPT_PERIOD || timeout + STOP_MARGIN < grace;
+    if fits && !gateway.admission_closed.get() {
         return Ok(());
     }
-    Err(EntryRefusal { code: codetable::STOPPING, retry_after: Some(grace + STOP_RETRY) })
+    Err(AdmissionRefusal { code: codetable::STOPPING, retry_after: Some(grace + RESTART_DELAY) })
 }
 
-/// Refuses at once what the servers cannot begin in time.
-fn check_load(gateway: &Gateway, plan: &CallPlan<'_>) -> Result<(), EntryRefusal> {
-    let waits = plan.facts.timeout.unwrap_or(plan.route.timeout);
-    let returned = waits < plan.route.timeout.mul_f64(RETURNED_PART);
+/// Refuses a request at once if the servers cannot start it in time.
+fn check_load(gateway: &Gateway, plan: &RequestPlan<'_>) -> Result<(), AdmissionRefusal> {
+    let timeout = plan.facts.timeout.unwrap_or(plan.route.timeout);
+    let returned = timeout < plan.route.timeout.mul_f64(RETURNED_TIME_RATIO);
     let query = AdmissionQuery { rank: plan.urgency, returned };
     if gateway.admits(&plan.service, query) {
         return Ok(());
     }
-    let wait = returns::pick_wait(RefusalCause::Overload, waits, fastrand::f64());
-    Err(EntryRefusal { code: codetable::OVERLOADED, retry_after: Some(wait) })
+    let wait = returns::pick_wait(RefusalCause::Overload, timeout, fastrand::f64());
+    Err(AdmissionRefusal { code: codetable::OVERLOADED, retry_after: Some(wait) })
 }
 
-fn match_request(
+fn match_route(
     gateway: &Gateway,
     head: &RequestHead,
     facts: &RequestFacts,
-) -> Result<(Arc<RouteRule>, Option<Arc<CustomerFacts>>), EntryRefusal> {
+) -> Result<(Arc<RouteRule>, Option<Arc<CustomerFacts>>), AdmissionRefusal> {
     let tables = gateway.tables.borrow();
     let left = facts.timeout.unwrap_or(Duration::MAX);
-    let later = Some(returns::pick_wait(RefusalCause::Uninformed, left, fastrand::f64()));
+    let wait = Some(returns::pick_wait(RefusalCause::Uninformed, left, fastrand::f64()));
     if tables.routes.version() == 0 {
-        return Err(EntryRefusal { code: codetable::STORE_UNAVAILABLE, retry_after: later });
+        return Err(AdmissionRefusal { code: codetable::STORE_UNAVAILABLE, retry_after: wait });
     }
     let unknown = |code: ResultCode| {
-        if gateway.store.age() > KNOWLEDGE_AGE {
-            return EntryRefusal { code: codetable::STORE_UNAVAILABLE, retry_after: later };
+        if gateway.store.age() > STALE_STORE_AGE {
+            return AdmissionRefusal { code: codetable::STORE_UNAVAILABLE, retry_after: wait };
         }
-        EntryRefusal::from(code)
+        AdmissionRefusal::from(code)
     };
     let route = tables.routes.find_route(head.host(), head.path());
     let route = route.ok_or_else(|| unknown(codetable::NO_SUCH_ROUTE))?;
@@ -162,11 +168,11 @@
     Ok((Arc::clone(route), Some(Arc::clone(customer))))
 }
 
-/// Holds the worst case of a request for a model against its customer's budget.
-async fn hold_budget(
+/// Reserves the maximum possible cost of an LLM request in its customer's budget.
+async fn reserve_budget(
     gateway: &Rc<Gateway>,
-    plan: &CallPlan<'_>,
-) -> Result<Option<BudgetGuard>, EntryRefusal> {
+    plan: &RequestPlan<'_>,
+) -> Result<Option<BudgetGuard>, AdmissionRefusal> {
     let (Some(customer), Some(prompt)) = (&plan.customer, &plan.facts.prompt) else {
         return Ok(None);
     };
@@ -181,7 +187,7 @@
         prompt: prompt.prompt,
         output: prompt.output,
         rank: plan.urgency,
-        left: plan.left(),
+        left: plan.time_left(),
     };
     let taken = borrowing::take_budget(gateway, &need).await;
     if let Err(failure) = &taken {
@@ -193,10 +199,11 @@
     taken.map(Some).map_err(|failure| match failure {
         HoldFailure::Uncovered => codetable::BUDGET_EXHAUSTED.into(),
         HoldFailure::Short => {
-            let is_outage = gateway.store.age() > OUTAGE_LEAST && !gateway.desk.unanswered.get();
+            let is_outage =
+                gateway.store.age() > OUTAGE_THRESHOLD && !gateway.desk.unanswered.get();
             let cause = if is_outage { RefusalCause::Outage } else { RefusalCause::Unconfirmed };
-            let wait = returns::pick_wait(cause, plan.left(), fastrand::f64());
-            EntryRefusal { code: codetable::BUDGET_UNCONFIRMED, retry_after: Some(wait) }
+            let wait = returns::pick_wait(cause, plan.time_left(), fastrand::f64());
+            AdmissionRefusal { code: codetable::BUDGET_UNCONFIRMED, retry_after: Some(wait) }
         }
     })
 }
--- a/toucanrail-gateway/src/bin/toucanrail-relay.rs
+++ b/toucanrail-gateway/src/bin/toucanrail-relay.rs
@@ -1,10 +1,10 @@
-//! The relay as a process.
+//! Main function of the relay program.
 
 use std::process::ExitCode;
 
 use toucanrail_gateway::{launching, relay};
 
 fn main() -> ExitCode {
-    let about = "passes entries' calls to the store on, and lends them budget";
+    let about = "forwards entries' calls to the store and lends them budget";
     launching::launch("toucanrail-relay", about, |settings, tuning| relay::run(&settings, tuning))
 }
--- a/toucanrail-gateway/src/dispatching.rs
+++ b/toucanrail-gateway/src/dispatching.rs
@@ -1,4 +1,4 @@
-//! One admitted request: servers are tried until it has its answer or none may be tried any more.
+//! Dispatches an admitted request: tries servers until it has a response or no server may be tried.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -16,23 +16,25 @@
 use toucanrail::returns::{self, RefusalCause};
 use toucanrail_wire::clocks;
 
-use crate::answering::{self, CallerSide};
 use crate::borrowing::BudgetGuard;
-use crate::calls::{AttemptContext, AttemptEnd, CallPlan, FailedAnswer, StreamState};
+use crate::liveness;
 use crate::permitting::{self, SendPermit};
+use crate::request_context::{
+    AttemptContext, AttemptResult, FailedResponse, RequestPlan, StreamState,
+};
+use crate::responding::{self, ResponseWriter};
 use crate::sending;
-use crate::sighting;
 use crate::state::Gateway;
 
-/// Longest wait for the load of servers: most relays answer within some milliseconds.
-const PROBE_BOUND: Duration = Duration::from_millis(40);
+/// Maximum wait for load reports; most relays respond within a few milliseconds.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(40);
 
-/// Part of the hoped-for time for which a request waits for permits where all servers are cold, and the time
-/// over which those that wait for the same one are spread.
-const PERMIT_WAIT_PART: f64 = 0.8;
-const PERMIT_SPREAD: Duration = Duration::from_millis(60);
+/// If all servers are cold, a request waits for a permit for at most this fraction of the route's
+/// latency target. Requests that wait for the same permit are spread over `PERMIT_JITTER`.
+const PERMIT_WAIT_RATIO: f64 = 0.8;
+const PERMIT_JITTER: Duration = Duration::from_millis(60);
 
-/// How a request ended, for its log line.
+/// How a request ended, as logged.
 #[derive(Debug, Clone, Copy)]
 enum RequestEnd {
     Whole,
@@ -43,81 +45,82 @@
 }
 
 /// Serves one admitted request.
-pub async fn dispatch(gateway: &Rc<Gateway>, plan: &CallPlan<'_>, caller: &mut CallerSide) {
-    let mut run = DispatchRun {
+pub async fn dispatch(gateway: &Rc<Gateway>, plan: &RequestPlan<'_>, writer: &mut ResponseWriter) {
+    let mut dispatch = RequestDispatch {
         gateway,
         plan,
         tally: AttemptTally::new(plan.route.kind, plan.route.attempts),
         tried: Vec::new(),
         stream: StreamState::new(plan.facts.last_event),
-        failure: None,
-        ended: false,
+        failed_response: None,
+        finished: false,
     };
-    let end = run.serve(caller).await;
-    run.ended = true;
-    run.count_end(end);
-    run.log_end(end);
+    let end = dispatch.run(writer).await;
+    dispatch.finished = true;
+    dispatch.count_end(end);
+    dispatch.log_end(end);
 }
 
-struct DispatchRun<'run, 'call> {
+struct RequestDispatch<'run, 'call> {
     gateway: &'run Rc<Gateway>,
-    plan: &'run CallPlan<'call>,
+    plan: &'run RequestPlan<'call>,
     tally: AttemptTally,
     tried: Vec<BackendId>,
     stream: StreamState,
-    failure: Option<FailedAnswer>,
-    ended: bool,
+    failed_response: Option<FailedResponse>,
+    finished: bool,
 }
 
-impl Drop for DispatchRun<'_, '_> {
-    /// A caller that closes its connection ends the run wherever it waits. What it used is billed all the
-    /// same, and without a line of its own a bill of 142,000 tokens could not be explained.
+impl Drop for RequestDispatch<'_, '_> {
+    /// A caller that disconnects drops the dispatch at whatever point it waits. The tokens used so
+    /// far are billed all the same, so the end must be logged here too; a bill of 142,000 tokens
+    /// once could not be explained without that line.
     fn drop(&mut self) {
-        if !self.ended {
+        if !self.finished {
             self.log_end(RequestEnd::CallerGone);
         }
     }
 }
 
-impl DispatchRun<'_, '_> {
-    async fn serve(&mut self, caller: &mut CallerSide) -> RequestEnd {
+impl RequestDispatch<'_, '_> {
+    async fn run(&mut self, writer: &mut ResponseWriter) -> RequestEnd {
         loop {
             let probed = self.probe_servers().await;
             let Some((target, source)) = self.pick_target(&probed) else {
                 let step = self.tally.give_up(self.last_fate());
-                return self.finish(step, caller).await;
+                return self.finish(step, writer).await;
             };
-            if !self.wait_permits(&target).await {
+            if !self.wait_for_permit(&target).await {
                 let step = self.tally.give_up(self.last_fate());
-                return self.finish(step, caller).await;
+                return self.finish(step, writer).await;
             }
             let permit = permitting::take_permit(self.gateway, &target).await;
             if permit == SendPermit::Denied {
                 continue;
             }
             self.tried.push(Arc::clone(&target.id));
-            let fate = match self.attempt(&target, source, permit, caller).await {
-                AttemptEnd::Whole => return RequestEnd::Whole,
-                AttemptEnd::CallerGone => return RequestEnd::CallerGone,
-                AttemptEnd::Failed(answer) => {
-                    self.failure = Some(answer);
+            let fate = match self.attempt(&target, source, permit, writer).await {
+                AttemptResult::Complete => return RequestEnd::Whole,
+                AttemptResult::CallerGone => return RequestEnd::CallerGone,
+                AttemptResult::Failed(response) => {
+                    self.failed_response = Some(response);
                     AttemptFate::Failed
                 }
-                AttemptEnd::Ended(fate) => fate,
+                AttemptResult::Incomplete(fate) => fate,
             };
-            self.note_fate(&target, fate);
-            let step = match self.tally.decide(fate, self.plan.left()) {
-                NextStep::Again if self.may_try_again() => continue,
+            self.record_fate(&target, fate);
+            let step = match self.tally.decide(fate, self.plan.time_left()) {
+                NextStep::Again if self.may_retry() => continue,
                 NextStep::Again => self.tally.give_up(fate),
                 step => step,
             };
-            return self.finish(step, caller).await;
+            return self.finish(step, writer).await;
         }
     }
 
-    /// Waits until a permit for a cold server may be had again, where no other server is free; false if that
-    /// is too late.
-    async fn wait_permits(&self, target: &BackendEntry) -> bool {
+    /// If only cold servers are left, waits until the chosen one may give permits again. Returns
+    /// false if that would take too long.
+    async fn wait_for_permit(&self, target: &BackendEntry) -> bool {
         let now = self.gateway.now();
         let wait = {
             let tables = self.gateway.tables.borrow();
@@ -127,18 +130,19 @@
         if wait.is_zero() {
             return true;
         }
-        let wait = wait + PERMIT_SPREAD.mul_f64(fastrand::f64());
+        let wait = wait + PERMIT_JITTER.mul_f64(fastrand::f64());
         let fits =
-            self.plan.arrived.elapsed() + wait < self.plan.route.aim.mul_f64(PERMIT_WAIT_PART);
+            self.plan.arrived.elapsed() + wait < self.plan.route.aim.mul_f64(PERMIT_WAIT_RATIO);
         if fits {
             smol::Timer::after(wait).await;
         }
         fits
     }
 
-    /// Only a request that was sent before is a retry to the service.
-    fn may_try_again(&self) -> bool {
-        let allowed = self.tally.sent == 0 || self.gateway.try_retry(&self.plan.service);
+    /// Takes a retry from the service's retry budget. Only a request that has already been sent to
+    /// a server counts as a retry.
+    fn may_retry(&self) -> bool {
+        let allowed = self.tally.sent == 0 || self.gateway.try_spend_retry(&self.plan.service);
         if !allowed {
             self.gateway.metrics.count_event("retries_refused");
         }
@@ -146,7 +150,7 @@
     }
 
     fn last_fate(&self) -> AttemptFate {
-        if self.failure.is_some() { AttemptFate::Failed } else { AttemptFate::NotSent }
+        if self.failed_response.is_some() { AttemptFate::Failed } else { AttemptFate::NotSent }
     }
 
     fn place_query(&self) -> PlaceQuery<'_> {
@@ -160,19 +164,19 @@
         }
     }
 
-    /// Returns the servers that the request may go to next.
+    /// Returns the servers that the request may be sent to next.
     fn list_eligible<'table>(
         &self,
         table: &'table BackendTable,
         now: Duration,
     ) -> Vec<&'table BackendRow> {
         let mut eligible = table.eligible(&self.plan.service, &self.tried, now);
-        eligible.retain(|row| self.allows(row));
+        eligible.retain(|row| self.is_region_allowed(row));
         eligible
     }
 
-    /// Tells whether a server stands in a region that route and customer allow.
-    fn allows(&self, row: &BackendRow) -> bool {
+    /// Returns whether a server is in a region that both the route and the customer allow.
+    fn is_region_allowed(&self, row: &BackendRow) -> bool {
         let anywhere = BTreeSet::new();
         let customer = self.plan.customer.as_ref().map_or(&anywhere, |customer| &customer.regions);
         let region = self.gateway.settings.regions.get(&row.entry.data_centre);
@@ -180,8 +184,8 @@
         matching::allows_region(rules, region.map(|region| &**region))
     }
 
-    /// Asks the relays beside some servers for their load, where prompts wait longer than they should and for
-    /// long prompts.
+    /// Requests load reports from the relays beside some of the servers. Done for long prompts, and
+    /// for all prompts while requests wait too long for their first event.
     async fn probe_servers(&self) -> Vec<ProbeRow> {
         let Some(prompt) = &self.plan.facts.prompt else {
             return Vec::new();
@@ -199,8 +203,8 @@
         let probing = candidates.into_iter().map(|entry| {
             let gateway = Rc::clone(self.gateway);
             self.gateway.executor.spawn(async move {
-                let seeing = sighting::see_load(&gateway, &entry);
-                let report = clocks::bounded(PROBE_BOUND, seeing).await.flatten();
+                let fetching = liveness::fetch_load(&gateway, &entry);
+                let report = clocks::bounded(PROBE_TIMEOUT, fetching).await.flatten();
                 (entry, report)
             })
         });
@@ -208,7 +212,7 @@
         for task in probing.collect::<Vec<_>>() {
             probed.push(task.await);
         }
-        self.gateway.take_reports(&self.plan.service, &probed);
+        self.gateway.record_reports(&self.plan.service, &probed);
         self.log_probes(&probed);
         probed
     }
@@ -224,7 +228,8 @@
         );
     }
 
-    /// Picks the server, and the one that holds the prompt's shared parts where that is another.
+    /// Picks a server, and a second one that holds shared parts of the prompt in its cache, if
+    /// there is a better source than the server itself.
     fn pick_target(&self, probed: &[ProbeRow]) -> Option<(BackendEntry, Option<SocketAddr>)> {
         let query = self.place_query();
         let tables = self.gateway.tables.borrow();
@@ -232,7 +237,7 @@
         let chosen = probes::pick_probed(&eligible, &query, probed, self.plan.route.aim);
         let row = chosen.or_else(|| placing::pick_backend(&eligible, &query))?;
         let mut sources = tables.backends.sources(&self.plan.service, &self.tried, query.now);
-        sources.retain(|row| self.allows(row));
+        sources.retain(|row| self.is_region_allowed(row));
         let source = placing::pick_source(&sources, &query, row);
         Some((row.entry.clone(), source.map(|source| source.entry.address)))
     }
@@ -242,19 +247,19 @@
         target: &BackendEntry,
         source: Option<SocketAddr>,
         permit: SendPermit,
-        caller: &mut CallerSide,
-    ) -> AttemptEnd {
-        // A further attempt must be possible for an early end of this one to be of use.
-        let spare = AttemptTally { sent: self.tally.sent + 1, may_have_run: true, ..self.tally };
-        let may_move = spare.may_send(self.plan.left());
+        writer: &mut ResponseWriter,
+    ) -> AttemptResult {
+        // Giving up on this attempt early only helps if another attempt may follow.
+        let next = AttemptTally { sent: self.tally.sent + 1, may_have_run: true, ..self.tally };
+        let may_fail_over = next.may_send(self.plan.time_left());
         let (gateway, plan) = (self.gateway, self.plan);
-        let context = AttemptContext { gateway, plan, target, source, permit, may_move };
-        let end = sending::run_attempt(&context, caller, &mut self.stream).await;
-        self.tally.begun = caller.begun;
+        let context = AttemptContext { gateway, plan, target, source, permit, may_fail_over };
+        let end = sending::run_attempt(&context, writer, &mut self.stream).await;
+        self.tally.begun = writer.started;
         end
     }
 
-    fn note_fate(&mut self, target: &BackendEntry, fate: AttemptFate) {
+    fn record_fate(&mut self, target: &BackendEntry, fate: AttemptFate) {
         let now = self.gateway.now();
         self.tally.note(fate);
         if let Some(budget) = &self.plan.budget {
@@ -270,7 +275,8 @@
             | AttemptFate::TimedOut => tables.backends.note_failure(&target.id, now),
         }
         if matches!(fate, AttemptFate::NotSent | AttemptFate::Lost | AttemptFate::Broken) {
-            // It may be gone and start anew before its next registration is known here.
+            // The server may have restarted, and be cold again, before its new registration is seen
+            // here.
             if let Some(rule) = tables.routes.cold_rule(&target.service) {
                 tables.backends.note_cold(&target.id, rule.time, now);
             }
@@ -279,32 +285,33 @@
         tracing::info!(
             event = "attempt_failed", request = %self.plan.facts.id, server = %target.id,
             fate = ?fate, sent = self.tally.sent, limit = self.tally.limit,
-            left_ms = self.plan.left().as_millis() as u64, last_event = self.stream.last_event(),
+            left_ms = self.plan.time_left().as_millis() as u64, last_event = self.stream.last_event(),
         );
     }
 
-    async fn finish(&mut self, step: NextStep, caller: &mut CallerSide) -> RequestEnd {
+    async fn finish(&mut self, step: NextStep, writer: &mut ResponseWriter) -> RequestEnd {
         match step {
-            NextStep::Deliver => match self.failure.take() {
-                Some(answer) => {
-                    // A caller that is gone needs no answer.
-                    caller.send_whole(&answer.head, &answer.body).await.ok();
+            NextStep::Deliver => match self.failed_response.take() {
+                Some(response) => {
+                    // The caller may have disconnected; then nobody needs the response.
+                    writer.send_response(&response.head, &response.body).await.ok();
                     RequestEnd::Delivered
                 }
-                None => self.refuse(codetable::BACKEND_FAILED, caller).await,
+                None => self.refuse(codetable::BACKEND_FAILED, writer).await,
             },
-            NextStep::Answer(code) => self.refuse(code, caller).await,
+            NextStep::Answer(code) => self.refuse(code, writer).await,
             NextStep::Cut | NextStep::Again => RequestEnd::Cut,
         }
     }
 
-    async fn refuse(&self, code: ResultCode, caller: &mut CallerSide) -> RequestEnd {
+    async fn refuse(&self, code: ResultCode, writer: &mut ResponseWriter) -> RequestEnd {
         let run = self.tally.run_state();
-        let wait = returns::pick_wait(RefusalCause::Declined, self.plan.left(), fastrand::f64());
+        let wait =
+            returns::pick_wait(RefusalCause::Declined, self.plan.time_left(), fastrand::f64());
         let wait = (run == RunState::NotRun).then_some(wait);
-        let note = answering::make_note(code, run, wait);
-        // A caller that is gone needs no refusal.
-        caller.send_refusal(&note).await.ok();
+        let note = responding::make_refusal(code, run, wait);
+        // The caller may have disconnected; then nobody needs the refusal.
+        writer.send_refusal(&note).await.ok();
         RequestEnd::Refused(code)
     }
 
@@ -317,25 +324,25 @@
             RequestEnd::CallerGone => codetable::CANCELLED,
         };
         self.gateway.metrics.count_result(code);
-        if let Some(first) = self.first_wait() {
+        if let Some(first) = self.time_to_first_byte() {
             self.gateway.metrics.first_byte.observe(first.as_secs_f64());
         }
     }
 
-    /// Returns how long the caller waited for the first bytes.
-    fn first_wait(&self) -> Option<Duration> {
-        self.stream.first_at.map(|at| at - self.plan.arrived)
+    /// Returns how long the caller waited for the first bytes of the response.
+    fn time_to_first_byte(&self) -> Option<Duration> {
+        self.stream.first_byte_at.map(|at| at - self.plan.arrived)
     }
 
     fn log_end(&self, end: RequestEnd) {
-        let first = self.first_wait().unwrap_or_default();
+        let first = self.time_to_first_byte().unwrap_or_default();
         let customer = self.plan.customer.as_ref().map(|customer| Arc::clone(&customer.name));
         tracing::info!(
             event = "request_ended", request = %self.plan.facts.id, route = %self.plan.route.name,
             service = %self.plan.service, customer = customer.as_deref(), end = ?end,
             run = self.tally.run_state().as_str(), sent = self.tally.sent, tried = ?self.tried,
             first_ms = first.as_millis() as u64,
-            pause_ms = self.stream.pause.as_millis() as u64,
+            pause_ms = self.stream.longest_pause.as_millis() as u64,
             prompt = self.plan.facts.prompt.as_ref().map(|prompt| prompt.prompt),
             took_ms = Instant::now().duration_since(self.plan.arrived).as_millis() as u64,
             used = self.plan.budget.as_ref().map(BudgetGuard::used),
--- /dev/null
+++ b/toucanrail-gateway/src/forwarding.rs
@@ -0,0 +1,199 @@
+//! Forwards response bodies from a server to the caller.
+
+use std::io;
+use std::time::{Duration, Instant};
+
+use smol::Timer;
+use smol::future::FutureExt;
+use toucanrail::attempting::AttemptFate;
+use toucanrail::framing::BodyFramer;
+use toucanrail::silences::SilenceWatch;
+use toucanrail_wire::clocks;
+
+use crate::liveness;
+use crate::request_context::{
+    AttemptContext, AttemptResult, FailedResponse, OpenExchange, StreamState,
+};
+use crate::responding::ResponseWriter;
+use crate::state::FlightGuard;
+
+/// Interval at which a stream's deadline and pauses are checked. Each stream has a single timer,
+/// because a timer for each read would cost two system calls per event.
+const CHECK_INTERVAL: Duration = Duration::from_millis(200);
+/// The server of a resumable stream is checked after a pause of this multiple of the longest
+/// accepted one.
+const STALL_FACTOR: u32 = 2;
+const MIN_STALL: Duration = Duration::from_secs(1);
+/// Maximum size of a body that is buffered before it is forwarded.
+const MAX_BUFFERED_BODY: usize = 8 * 1024 * 1024;
+
+/// Reads a body to its end.
+pub async fn read_body(exchange: &mut OpenExchange, body: &mut Vec<u8>) -> io::Result<()> {
+    loop {
+        let buffer = &mut exchange.channel.buffer;
+        let consumed = exchange.framer.feed(buffer, body);
+        buffer.drain(..consumed);
+        if exchange.framer.is_done() {
+            return Ok(());
+        }
+        if exchange.framer.is_broken() || body.len() > MAX_BUFFERED_BODY {
+            return Err(io::ErrorKind::InvalidData.into());
+        }
+        if exchange.channel.fill().await? == 0 {
+            let ended = exchange.framer.ends_with_connection();
+            return if ended { Ok(()) } else { Err(io::ErrorKind::UnexpectedEof.into()) };
+        }
+    }
+}
+
+/// Buffers a response before forwarding it, so that a truncated response can still be retried at
+/// another server.
+pub async fn forward_buffered(
+    context: &AttemptContext<'_, '_>,
+    mut exchange: OpenExchange,
+    writer: &mut ResponseWriter,
+    stream: &mut StreamState,
+) -> AttemptResult {
+    let mut body = Vec::new();
+    match clocks::within(context.plan.time_left(), read_body(&mut exchange, &mut body)).await {
+        Ok(()) => {}
+        Err(error) if error.kind() == io::ErrorKind::TimedOut => {
+            return AttemptResult::Incomplete(AttemptFate::TimedOut);
+        }
+        Err(_) => return AttemptResult::Incomplete(AttemptFate::Lost),
+    }
+    let head = exchange.head.clone();
+    exchange.release_channel(context.gateway, &context.target.id);
+    if head.status >= 500 {
+        return AttemptResult::Failed(FailedResponse { head, body });
+    }
+    stream.first_byte_at = Some(Instant::now());
+    match writer.send_response(&head, &body).await {
+        Ok(()) => AttemptResult::Complete,
+        Err(_) => AttemptResult::CallerGone,
+    }
+}
+
+/// Forwards a stream as it arrives, in complete events only.
+pub async fn forward_stream(
+    context: &AttemptContext<'_, '_>,
+    mut exchange: OpenExchange,
+    writer: &mut ResponseWriter,
+    stream: &mut StreamState,
+    flight: &FlightGuard,
+) -> AttemptResult {
+    let AttemptContext { gateway, plan, .. } = *context;
+    let tokens_per_event = gateway.tables.borrow().routes.stride(&plan.service);
+    let stall = (plan.route.gap * STALL_FACTOR).max(MIN_STALL);
+    let mut tick = Timer::interval(CHECK_INTERVAL);
+    let mut pending = Vec::new();
+    let mut last_event_at = Instant::now();
+    let mut detector = SilenceWatch::default();
+    let events_before = stream.scanner.count;
+    loop {
+        let consumed = exchange.framer.feed(&exchange.channel.buffer, &mut pending);
+        exchange.channel.buffer.drain(..consumed);
+        let events_known = stream.scanner.count;
+        let complete_len = stream.scanner.scan(&pending);
+        if complete_len > 0 {
+            if stream.first_byte_at.is_some() {
+                stream.longest_pause = stream.longest_pause.max(last_event_at.elapsed());
+            }
+            last_event_at = Instant::now();
+            flight.record_response_start();
+            if let Some(budget) = &plan.budget {
+                budget.add_output((stream.scanner.count - events_known) * tokens_per_event);
+            }
+        }
+        if exchange.framer.is_done() {
+            return finish_stream(context, exchange, writer, stream, &pending).await;
+        }
+        if complete_len > 0
+            && !forward_events(writer, &exchange, stream, &pending[..complete_len]).await
+        {
+            return AttemptResult::CallerGone;
+        }
+        pending.drain(..complete_len);
+        if exchange.framer.is_broken() {
+            return AttemptResult::Incomplete(truncation_fate(writer));
+        }
+        match read_more(&mut exchange, &mut tick).await {
+            ReadOutcome::Bytes => {}
+            ReadOutcome::Tick => {
+                if plan.time_left().is_zero() {
+                    return AttemptResult::Incomplete(AttemptFate::TimedOut);
+                }
+                let received = stream.scanner.count - events_before;
+                let stalled = context.may_fail_over && last_event_at.elapsed() > stall;
+                if stalled && liveness::check_lost(context, &mut detector, received).await {
+                    return AttemptResult::Incomplete(truncation_fate(writer));
+                }
+            }
+            ReadOutcome::End if exchange.framer.ends_with_connection() => {
+                return finish_stream(context, exchange, writer, stream, &pending).await;
+            }
+            ReadOutcome::End => return AttemptResult::Incomplete(truncation_fate(writer)),
+        }
+    }
+}
+
+enum ReadOutcome {
+    Bytes,
+    Tick,
+    End,
+}
+
+async fn read_more(exchange: &mut OpenExchange, tick: &mut Timer) -> ReadOutcome {
+    let reading = async {
+        match exchange.channel.fill().await {
+            Ok(count) if count > 0 => ReadOutcome::Bytes,
+            Ok(_) => ReadOutcome::End,
+            Err(_) => {
+                // A reset never ends a body properly, not even one that is delimited by the end of
+                // its connection.
+                exchange.framer = BodyFramer::Exact(u64::MAX);
+                ReadOutcome::End
+            }
+        }
+    };
+    let ticking = async {
+        smol::stream::StreamExt::next(tick).await;
+        ReadOutcome::Tick
+    };
+    reading.or(ticking).await
+}
+
+fn truncation_fate(writer: &ResponseWriter) -> AttemptFate {
+    if writer.started { AttemptFate::Broken } else { AttemptFate::Lost }
+}
+
+async fn forward_events(
+    writer: &mut ResponseWriter,
+    exchange: &OpenExchange,
+    stream: &mut StreamState,
+    events: &[u8],
+) -> bool {
+    stream.first_byte_at.get_or_insert_with(Instant::now);
+    let sent = if writer.started {
+        writer.send_events(events).await
+    } else {
+        writer.start_stream(&exchange.head, events).await
+    };
+    sent.is_ok()
+}
+
+async fn finish_stream(
+    context: &AttemptContext<'_, '_>,
+    exchange: OpenExchange,
+    writer: &mut ResponseWriter,
+    stream: &mut StreamState,
+    remaining: &[u8],
+) -> AttemptResult {
+    stream.first_byte_at.get_or_insert_with(Instant::now);
+    if !writer.started && writer.start_stream(&exchange.head, &[]).await.is_err() {
+        return AttemptResult::CallerGone;
+    }
+    let sent = writer.finish_stream(remaining).await;
+    exchange.release_channel(context.gateway, &context.target.id);
+    if sent.is_ok() { AttemptResult::Complete } else { AttemptResult::CallerGone }
+}
--- a/toucanrail-gateway/src/launching.rs
+++ b/toucanrail-gateway/src/launching.rs
@@ -1,4 +1,4 @@
-//! What both programs do before they run: settings, the platform's file and logs.
+//! Startup shared by both programs: settings, the platform's settings file and logging.
 
 use std::io;
 use std::process::ExitCode;
@@ -9,7 +9,7 @@
 use crate::logging;
 use crate::tuning::{self, GatewayTuning};
 
-/// Reads all settings, starts the logs and runs a program; faults of the settings give exit code 2.
+/// Reads all settings, initializes logging and runs a program. Invalid settings give exit code 2.
 pub fn launch<Running>(program: &str, about: &str, run: Running) -> ExitCode
 where
     Running: FnOnce(NodeSettings, GatewayTuning) -> io::Result<()>,
@@ -29,7 +29,7 @@
             return ExitCode::from(starting::EXIT_USAGE);
         }
     };
-    let _logs = logging::start_logs();
+    let _logs = logging::init_logging();
     match run(settings, tuning) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
--- a/toucanrail-gateway/src/lib.rs
+++ b/toucanrail-gateway/src/lib.rs
@@ -1,16 +1,21 @@
-//! The entry that reaches backend servers directly, on the users' platform.
+//! Entry and relay processes for fleets whose backend servers are reached directly, on the users'
+//! platform.
 //!
-//! One thread serves everything: callers' connections (`accepting`), a request's way in (`admitting`),
-//! the choice of servers (`dispatching`), one attempt at one (`sending`) and the answer (`relaying`).
-//! Beside it run the loops that follow the store (`following`, by a relay that `peering` calls or on
-//! the way that `storing` finds) and those that keep budgets: `borrowing` from lenders, and `budgeting`
-//! with grants of its own.
+//! An *entry* (program `toucanrail-gateway`) accepts callers' requests and forwards them to backend
+//! servers. A single thread runs everything. A request passes through [`accepting`] (callers'
+//! connections), [`admitting`] (route, customer, load and budget), [`dispatching`] (choice of
+//! servers and retries), [`sending`] (one attempt at one server) and [`forwarding`] (the response
+//! body). Background tasks follow the store ([`following`]), through a relay ([`peering`]) or on
+//! the path found by [`storing`], and manage budgets: [`borrowing`] takes loans from lenders,
+//! [`budgeting`] uses the entry's own grants.
 //!
-//! The second program of this crate stands beside backend servers: `tunnelling` passes connections to
-//! the store on, `lending` serves entries from the same `budgeting`, `mirroring` tells them what
-//! changed in the store, and `registering` how fast the server is; a server that has just started gets
-//! only what `permitting` had a permit for. Where no VM has such a relay, entries
-//! host them (`hosting`). Decisions come from the library; this crate holds sockets and timers.
+//! A *relay* (program `toucanrail-relay`) runs beside a backend server: [`relay`] forwards
+//! connections to the store, [`lending`] lends entries budget from the same [`budgeting`],
+//! [`mirroring`] tells them about changes in the store, and [`registering`] reports how fast the
+//! server is. A server that has just started only receives requests that got a permit
+//! ([`permitting`]). If no VM runs a relay, entries host relays themselves ([`hosting`]).
+//!
+//! Decisions are made in the `toucanrail` library; this crate owns sockets and timers.
 //!
 //! # Examples
 //! ```no_run
@@ -26,28 +31,28 @@
 //! ```
 
 pub mod accepting;
+pub mod admin;
 pub mod admitting;
-pub mod answering;
 pub mod borrowing;
 pub mod budgeting;
-pub mod calls;
 pub mod dispatching;
 pub mod following;
+pub mod forwarding;
 pub mod gauging;
 pub mod hosting;
-pub mod inspecting;
 pub mod launching;
 pub mod lending;
 pub mod listening;
+pub mod liveness;
 pub mod logging;
 pub mod mirroring;
 pub mod peering;
 pub mod permitting;
 pub mod registering;
 pub mod relay;
-pub mod relaying;
+pub mod request_context;
+pub mod responding;
 pub mod sending;
-pub mod sighting;
 pub mod starting;
 pub mod state;
 pub mod stopping;
--- a/toucanrail-gateway/src/listening.rs
+++ b/toucanrail-gateway/src/listening.rs
@@ -1,4 +1,4 @@
-//! The loop that takes connections, for every listener of both programs.
+//! The accept loop used by every listener of both programs.
 
 use std::io;
 use std::net::{TcpListener, TcpStream};
@@ -7,13 +7,13 @@
 
 use smol::{Async, LocalExecutor};
 
-/// Pause after a failed accept, usually for want of file descriptors.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Delay after a failed accept, usually caused by a lack of file descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Serves each connection on its own, until the process ends; beyond `limit` at once, `refuse` is called
-/// and the connection closed unread.
+/// Serves each connection in its own task until the process exits. Connections beyond `limit` are
+/// closed unread, after a call to `refuse`.
 ///
-/// How a connection ends is no news here: a broken one has nobody left to tell.
+/// Errors of a connection are ignored, since its peer is no longer there to be told.
 pub async fn serve_connections<Serve, Serving, Refuse>(
     executor: &LocalExecutor<'static>,
     listener: Async<TcpListener>,
@@ -25,21 +25,21 @@
     Serving: Future<Output = io::Result<()>> + 'static,
     Refuse: Fn(),
 {
-    let open = Rc::new(());
+    let connections = Rc::new(());
     loop {
         let Ok((socket, _)) = listener.accept().await else {
-            smol::Timer::after(ACCEPT_PAUSE).await;
+            smol::Timer::after(ACCEPT_RETRY_DELAY).await;
             continue;
         };
-        // The loop holds one of the references itself.
-        if Rc::strong_count(&open) > limit {
+        // The loop itself holds one of the references.
+        if Rc::strong_count(&connections) > limit {
             refuse();
             continue;
         }
-        let (guard, serving) = (Rc::clone(&open), serve(socket));
+        let (reference, serving) = (Rc::clone(&connections), serve(socket));
         let counted = async move {
             serving.await.ok();
-            drop(guard);
+            drop(reference);
         };
         executor.spawn(counted).detach();
     }
--- /dev/null
+++ b/toucanrail-gateway/src/liveness.rs
@@ -0,0 +1,114 @@
+//! Checks servers that do not respond, through the load reports of the relays beside them.
+
+use std::cell::RefCell;
+use std::collections::BTreeMap;
+use std::rc::Rc;
+use std::sync::Arc;
+use std::time::Duration;
+
+use smol::lock::Mutex;
+use toucanrail::backends::{BackendEntry, BackendId};
+use toucanrail::paces::LoadReport;
+use toucanrail::silences::{RunSight, SilenceVerdict, SilenceWatch};
+
+use crate::lending::REPORT_PATH;
+use crate::peering;
+use crate::request_context::AttemptContext;
+use crate::state::Gateway;
+
+/// Maximum wait for a relay, which in turn queries the server beside it.
+const REPORT_TIMEOUT: Duration = Duration::from_millis(600);
+/// Age up to which a report is shared by all requests that wait for the same server.
+const MAX_REPORT_AGE: Duration = Duration::from_millis(100);
+/// Interval between two checks for the same request.
+const CHECK_INTERVAL: Duration = Duration::from_millis(300);
+
+#[derive(Debug)]
+struct CachedReport {
+    taken_at: Duration,
+    report: Option<LoadReport>,
+}
+
+/// Most recent load report of each server that was queried.
+#[derive(Debug, Default)]
+pub struct ReportCache {
+    rows: RefCell<BTreeMap<BackendId, Rc<Mutex<Option<CachedReport>>>>>,
+}
+
+impl ReportCache {
+    fn row(&self, server: &BackendId) -> Rc<Mutex<Option<CachedReport>>> {
+        let mut rows = self.rows.borrow_mut();
+        Rc::clone(rows.entry(Arc::clone(server)).or_default())
+    }
+
+    /// Drops the reports of unknown servers.
+    pub fn retain<Known>(&self, is_known: Known)
+    where
+        Known: Fn(&BackendId) -> bool,
+    {
+        self.rows.borrow_mut().retain(|server, _| is_known(server));
+    }
+}
+
+/// Returns a server's load as reported by its relay, at most a few tenths of a second old. Returns
+/// `None` if the server or the relay does not respond.
+pub async fn fetch_load(gateway: &Gateway, target: &BackendEntry) -> Option<LoadReport> {
+    let row = gateway.load_reports.row(&target.id);
+    // Held during the query, so that concurrent requests wait for its result.
+    let mut row = row.lock().await;
+    let now = gateway.now();
+    let cached = match row.take().filter(|row| now.saturating_sub(row.taken_at) < MAX_REPORT_AGE) {
+        Some(cached) => cached,
+        None => {
+            CachedReport { report: request_report(gateway, target).await, taken_at: gateway.now() }
+        }
+    };
+    let report = cached.report.clone();
+    *row = Some(cached);
+    report
+}
+
+async fn request_report(gateway: &Gateway, server: &BackendEntry) -> Option<LoadReport> {
+    let (relay, address) = gateway.store.relay_at(server.address.ip())?;
+    let bound = REPORT_TIMEOUT;
+    let reply = peering::call_peer(gateway, &relay, address, REPORT_PATH, &(), bound).await;
+    reply.unwrap_or_else(|error| {
+        tracing::debug!(event = "look_failed", server = %server.id, %error);
+        None
+    })
+}
+
+/// Waits until an unresponsive server should be given up. The first check is made after `delay`.
+pub async fn wait_until_lost(context: &AttemptContext<'_, '_>, delay: Duration) {
+    let mut detector = SilenceWatch::default();
+    smol::Timer::after(delay).await;
+    while !check_lost(context, &mut detector, 0).await {
+        smol::Timer::after(CHECK_INTERVAL).await;
+    }
+}
+
+/// Checks once whether a request that has received `received` events should be given up: either its
+/// response will never arrive, or nothing is known of the server and a retry is available.
+pub async fn check_lost(
+    context: &AttemptContext<'_, '_>,
+    detector: &mut SilenceWatch,
+    received: u64,
+) -> bool {
+    let AttemptContext { gateway, plan, target, .. } = *context;
+    let report = fetch_load(gateway, target).await;
+    let status = report.as_ref().map(|report| RunSight::find(report, &plan.facts.id));
+    let verdict = detector.judge(status, received);
+    let lost = match verdict {
+        SilenceVerdict::Works => false,
+        SilenceVerdict::Lost => true,
+        SilenceVerdict::Unseen => gateway.may_retry(&plan.service),
+    };
+    if lost {
+        tracing::info!(
+            event = "silence_judged", request = %plan.facts.id, server = %target.id,
+            verdict = ?verdict, received, waiting = status.map(|status| status.waiting),
+            events = status.and_then(|status| status.events),
+        );
+    }
+    lost
+}
--- a/toucanrail-gateway/src/relay.rs
+++ b/toucanrail-gateway/src/relay.rs
@@ -1,7 +1,7 @@
-//! The relay: connections of entries, passed on to the store byte for byte.
+//! The relay program: forwards entries' connections to the store, and runs the lender.
 //!
-//! It stands on VMs that stay in touch with the store while an entry's own VM is cut off, knows
-//! nothing of what passes, and leads nowhere else.
+//! Relays run on VMs that still reach the store when an entry's own VM does not. They forward bytes
+//! unchanged, without interpreting them, and to no other destination.
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -32,34 +32,35 @@
 use crate::storing::{self, RELAY_REFRESH, StoreAccess};
 use crate::tuning::GatewayTuning;
 
-/// Most connections at once: some for each entry of a large fleet.
-const CONNECTION_LIMIT: usize = 400;
-/// Longest time in which neither side sends: longer than any watch waits.
-const IDLE_BOUND: Duration = Duration::from_secs(30);
-const CONNECT_BOUND: Duration = Duration::from_millis(500);
-/// How often the burn of grants is measured.
-const BURN_TICK: Duration = Duration::from_millis(200);
-/// Taken off the grace period for the last settlement: after it the platform kills.
+/// Maximum number of open connections: several for each entry of a large fleet.
+const MAX_CONNECTIONS: usize = 400;
+/// Maximum time in which one direction carries no bytes; longer than any watch waits.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+/// Interval at which the consumption rate of grants is measured.
+const BURN_INTERVAL: Duration = Duration::from_millis(200);
+/// Taken off the grace period for the last settlement, because the platform kills the process at
+/// its end.
 const GRACE_MARGIN: Duration = Duration::from_millis(1_800);
 
-/// Runs a relay until it is told to stop.
+/// Runs a relay until it receives a stop signal.
 pub fn run(settings: &NodeSettings, tuning: GatewayTuning) -> io::Result<()> {
     let executor = Rc::new(LocalExecutor::new());
     let listener = Async::<TcpListener>::bind(settings.inner)?;
     tracing::info!(event = "start", role = "relay", vm = %settings.vm, inner = %settings.inner);
-    let passing = forward_connections(Rc::clone(&executor), listener, settings.store, || true);
-    executor.spawn(passing).detach();
-    let office = Rc::new(make_office(settings, tuning, &executor)?);
+    let forwarding = forward_connections(Rc::clone(&executor), listener, settings.store, || true);
+    executor.spawn(forwarding).detach();
+    let office = Rc::new(make_loan_office(settings, tuning, &executor)?);
     let entries = Async::<TcpListener>::bind(settings.lending)?;
     let lending = lending::serve_entries(Rc::clone(&executor), Rc::clone(&office), entries);
     executor.spawn(lending).detach();
     executor.spawn(budgeting::run_syncs(Rc::clone(&office.keeper))).detach();
-    executor.spawn(smooth_burn(Rc::clone(&office))).detach();
+    executor.spawn(measure_burn(Rc::clone(&office))).detach();
     let gauge = office.gauge.as_ref().map(Rc::clone);
     let entry = registering::make_entry(settings, settings.inner, false);
     executor.spawn(registering::keep_entry(settings.clone(), entry, gauge)).detach();
     smol::block_on(executor.run(async {
-        wait_stop().await;
+        wait_for_stop().await;
         lending::drain(&office, settings.grace.saturating_sub(GRACE_MARGIN)).await;
         budgeting::leave(&office.keeper).await;
     }));
@@ -68,39 +69,39 @@
     Ok(())
 }
 
-fn make_office(
+fn make_loan_office(
     settings: &NodeSettings,
     tuning: GatewayTuning,
     executor: &Rc<LocalExecutor<'static>>,
 ) -> io::Result<LoanOffice> {
     let id = starting::new_incarnation(&settings.vm);
-    let board = MetricBoard::new("relay").map_err(io::Error::other)?;
+    let metrics = MetricBoard::new("relay").map_err(io::Error::other)?;
     let data_centre = Arc::clone(&settings.data_centre);
     let ways = DetourTable::new(settings.store, data_centre, Arc::clone(&settings.region));
-    let client = StoreClient::new(CONNECT_BOUND);
+    let client = StoreClient::new(CONNECT_TIMEOUT);
     let store = Rc::new(StoreAccess::new(client, ways, ProcessClock::start()));
-    let watching = storing::keep_ways(Rc::clone(&store), settings.store, RELAY_REFRESH);
-    executor.spawn(watching).detach();
+    let measuring = storing::keep_ways(Rc::clone(&store), settings.store, RELAY_REFRESH);
+    executor.spawn(measuring).detach();
     let permits = PermitTable::new(store.now()).into();
     let news = NewsOffice::new(Rc::clone(&store), Rc::clone(executor));
-    let keeper = Rc::new(BudgetKeeper::new(&id, store, tuning, board, Rc::clone(executor)));
+    let keeper = Rc::new(BudgetKeeper::new(&id, store, tuning, metrics, Rc::clone(executor)));
     let server = settings.server;
     let gauge =
-        server.map(|server| Rc::new(ServerGauge::new(StoreClient::new(CONNECT_BOUND), server)));
+        server.map(|server| Rc::new(ServerGauge::new(StoreClient::new(CONNECT_TIMEOUT), server)));
     let (loans, leaving) = (RefCell::default(), Cell::new(false));
     Ok(LoanOffice { keeper, loans, leaving, news, permits, gauge })
 }
 
-async fn smooth_burn(office: Rc<LoanOffice>) {
+async fn measure_burn(office: Rc<LoanOffice>) {
     loop {
-        smol::Timer::after(BURN_TICK).await;
-        office.keeper.grants.borrow_mut().smooth_burn(BURN_TICK);
+        smol::Timer::after(BURN_INTERVAL).await;
+        office.keeper.grants.borrow_mut().smooth_burn(BURN_INTERVAL);
     }
 }
 
-async fn wait_stop() {
+async fn wait_for_stop() {
     match Signals::new([Signal::Term, Signal::Int, Signal::Hup]) {
-        // The settings that a relay uses do not change while it runs.
+        // SIGHUP is ignored: the settings that a relay uses cannot change while it runs.
         Ok(mut signals) => while matches!(signals.next().await, Some(Ok(Signal::Hup))) {},
         Err(error) => {
             tracing::error!(event = "no_signals", %error);
@@ -109,37 +110,39 @@
     }
 }
 
-/// Passes connections on; either end may close at any time, and the entry sees a failed call.
+/// Forwards connections to the store. Either end may close at any time; the entry then sees a
+/// failed call.
 ///
-/// While the store is not in reach of this process itself they are closed at once: the entry tries another
-/// relay.
-pub async fn forward_connections<Reach>(
+/// While this process cannot reach the store itself, connections are closed at once, so that the
+/// entry tries another relay.
+pub async fn forward_connections<Reachable>(
     executor: Rc<LocalExecutor<'static>>,
     listener: Async<TcpListener>,
     store: SocketAddr,
-    reaches: Reach,
+    is_reachable: Reachable,
 ) where
-    Reach: Fn() -> bool,
+    Reachable: Fn() -> bool,
 {
     let serve = |socket| {
-        let passes = reaches();
-        async move { if passes { pass_connection(socket, store).await } else { Ok(()) } }
+        let reachable = is_reachable();
+        async move { if reachable { forward_connection(socket, store).await } else { Ok(()) } }
     };
-    listening::serve_connections(&executor, listener, CONNECTION_LIMIT, serve, || ()).await;
+    listening::serve_connections(&executor, listener, MAX_CONNECTIONS, serve, || ()).await;
 }
 
-async fn pass_connection(socket: Async<TcpStream>, store: SocketAddr) -> io::Result<()> {
+async fn forward_connection(socket: Async<TcpStream>, store: SocketAddr) -> io::Result<()> {
     let caller = BufferedChannel::new(socket)?;
-    let store = clocks::within(CONNECT_BOUND, BufferedChannel::connect(store)).await?;
+    let store = clocks::within(CONNECT_TIMEOUT, BufferedChannel::connect(store)).await?;
     let (to_store, to_caller) = (store.writer(), caller.writer());
-    // The end of either direction ends both: neither side sends a request behind its end.
-    let there = pass_bytes(caller, to_store);
-    let back = pass_bytes(store, to_caller);
-    there.or(back).await
+    // Forwarding ends with the first direction that ends: neither side sends anything after the
+    // other has closed.
+    let upstream = copy_bytes(caller, to_store);
+    let downstream = copy_bytes(store, to_caller);
+    upstream.or(downstream).await
 }
 
-async fn pass_bytes(mut from: BufferedChannel, to: ChannelWriter) -> io::Result<()> {
-    while clocks::within(IDLE_BOUND, from.fill()).await? > 0 {
+async fn copy_bytes(mut from: BufferedChannel, to: ChannelWriter) -> io::Result<()> {
+    while clocks::within(IDLE_TIMEOUT, from.fill()).await? > 0 {
         to.write_all(&from.buffer).await?;
         from.buffer.clear();
     }
--- /dev/null
+++ b/toucanrail-gateway/src/request_context.rs
@@ -0,0 +1,155 @@
+//! Types shared by the steps that serve an admitted request: the request, its attempts and their
+//! outcomes.
+
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+
+use toucanrail::attempting::AttemptFate;
+use toucanrail::backends::BackendEntry;
+use toucanrail::events::EventScanner;
+use toucanrail::framing::BodyFramer;
+use toucanrail::ids::ServiceName;
+use toucanrail::matching::{CustomerFacts, RouteRule};
+use toucanrail_platform::requests::RequestFacts;
+use toucanrail_wire::channels::BufferedChannel;
+use toucanrail_wire::heads::{AnswerHead, RequestHead};
+use toucanrail_wire::keeping;
+
+use crate::borrowing::BudgetGuard;
+use crate::permitting::SendPermit;
+use crate::state::Gateway;
+
+/// Subtracted from the time that a caller waits, so that it has its response before it gives up on
+/// its own. Work that a server does for a caller that has left is wasted, and a server that hangs
+/// cannot be told to stop.
+pub const DEADLINE_MARGIN: Duration = Duration::from_millis(40);
+
+/// An admitted request.
+#[derive(Debug)]
+pub struct RequestPlan<'call> {
+    /// Request head as received.
+    pub head: &'call RequestHead,
+    /// Complete request body.
+    pub body: &'call [u8],
+    /// Fields parsed from the head.
+    pub facts: RequestFacts,
+    /// Matched route.
+    pub route: Arc<RouteRule>,
+    /// Customer that pays; `None` on a public route.
+    pub customer: Option<Arc<CustomerFacts>>,
+    /// Service chosen among the route's targets.
+    pub service: ServiceName,
+    /// Time at which the request arrived.
+    pub arrived: Instant,
+    /// Time by which the response must be complete.
+    pub deadline: Instant,
+    /// Priority at the servers.
+    pub urgency: u8,
+    /// Budget reserved for the request, if it needs any.
+    pub budget: Option<BudgetGuard>,
+}
+
+impl RequestPlan<'_> {
+    /// Returns the time left until the deadline.
+    pub fn time_left(&self) -> Duration {
+        self.deadline.saturating_duration_since(Instant::now())
+    }
+
+    /// Returns the time left until the deadline for the first byte: a caller gives up earlier if
+    /// the response does not start.
+    pub fn time_left_to_first_byte(&self) -> Duration {
+        let first_byte_deadline =
+            self.arrived + self.route.patience().saturating_sub(DEADLINE_MARGIN);
+        self.time_left().min(first_byte_deadline.saturating_duration_since(Instant::now()))
+    }
+}
+
+/// An error response from a server.
+#[derive(Debug)]
+pub struct FailedResponse {
+    /// Response head.
+    pub head: AnswerHead,
+    /// Complete response body.
+    pub body: Vec<u8>,
+}
+
+/// Context of one attempt: the request and the server that it is sent to.
+#[derive(Debug, Clone, Copy)]
+pub struct AttemptContext<'run, 'call> {
+    /// The gateway that serves the request.
+    pub gateway: &'run Rc<Gateway>,
+    /// The admitted request.
+    pub plan: &'run RequestPlan<'call>,
+    /// The server to send it to.
+    pub target: &'run BackendEntry,
+    /// Address of another server that holds the shared parts of the prompt in its cache.
+    pub source: Option<SocketAddr>,
+    /// Permit to send the request to a server that is still cold.
+    pub permit: SendPermit,
+    /// Whether the request may be sent to another server although this attempt has sent it.
+    pub may_fail_over: bool,
+}
+
+/// Outcome of one attempt.
+#[derive(Debug)]
+pub enum AttemptResult {
+    /// The caller has received the complete response.
+    Complete,
+    /// The server responded with an error, which has not been forwarded to the caller.
+    Failed(FailedResponse),
+    /// No complete response was received.
+    Incomplete(AttemptFate),
+    /// The caller has disconnected.
+    CallerGone,
+}
+
+/// An exchange with a server whose response head has been received.
+#[derive(Debug)]
+pub struct OpenExchange {
+    /// Connection to the server.
+    pub channel: BufferedChannel,
+    /// Response head.
+    pub head: AnswerHead,
+    /// Finds the end of the response body.
+    pub framer: BodyFramer,
+    /// Whether the whole request was written.
+    pub request_sent: bool,
+}
+
+impl OpenExchange {
+    /// Returns the connection to the pool if the exchange is complete in both directions and the
+    /// server keeps the connection open.
+    pub fn release_channel(self, gateway: &Gateway, backend: &Arc<str>) {
+        if self.framer.is_done() && self.request_sent && !self.head.close {
+            let stated = self.head.fields.get("keep-alive").and_then(keeping::read_keep_alive);
+            gateway.channels.keep(backend, self.channel, stated);
+        }
+    }
+}
+
+/// State of a stream that may span several attempts.
+#[derive(Debug)]
+pub struct StreamState {
+    /// Finds complete events.
+    pub scanner: EventScanner,
+    /// Time at which the first bytes of a response were forwarded.
+    pub first_byte_at: Option<Instant>,
+    /// Longest pause between events, for logging.
+    pub longest_pause: Duration,
+}
+
+impl StreamState {
+    /// Creates the state of a stream that resumes after `last_event`, the last event that the
+    /// caller already has.
+    pub fn new(last_event: Option<u64>) -> Self {
+        let scanner = EventScanner { last_id: last_event, ..EventScanner::new() };
+        Self { scanner, first_byte_at: None, longest_pause: Duration::ZERO }
+    }
+
+    /// Returns the ID of the last event that was forwarded.
+    pub fn last_event(&self) -> Option<u64> {
+        self.scanner.last_id
+    }
+}
--- a/toucanrail-gateway/src/sending.rs
+++ b/toucanrail-gateway/src/sending.rs
@@ -1,4 +1,4 @@
-//! One attempt at one backend server: a connection, the request, and the head of its answer.
+//! One attempt at one backend server: connects, sends the request and reads the response head.
 
 use std::io;
 use std::rc::Rc;
@@ -16,58 +16,64 @@
 use toucanrail_wire::clocks;
 use toucanrail_wire::heads::AnswerHead;
 
-use crate::answering::CallerSide;
-use crate::calls::{AttemptContext, AttemptEnd, CallPlan, OpenExchange, StreamState};
-use crate::relaying;
-use crate::sighting;
+use crate::forwarding;
+use crate::liveness;
+use crate::request_context::{
+    AttemptContext, AttemptResult, OpenExchange, RequestPlan, StreamState,
+};
+use crate::responding::ResponseWriter;
 use crate::state::{FlightGuard, Gateway};
 
-/// Longest wait for a connection. A live server answers within some milliseconds, one that is full
-/// drops the first packet and would be reached only seconds later.
-const CONNECT_BOUND: Duration = Duration::from_millis(250);
-/// Longest idle time of a connection used for what may not be sent again: the shorter, the less
-/// likely that the server closes it just then.
-const ONCE_IDLE: Duration = Duration::from_millis(800);
-const REPEATABLE_IDLE: Duration = Duration::from_secs(10);
-/// Largest head of an answer.
-const HEAD_LIMIT: usize = 32 * 1024;
-/// Answers to other requests that are passed over on one connection before it is given up.
-const FOREIGN_LIMIT: u32 = 2;
-/// Multiple of the hoped-for time after which the server of a repeatable request is looked at.
-const SILENCE_FACTOR: u32 = 2;
-/// Least such time; a stalled network must not double the load.
-const SILENCE_LEAST: Duration = Duration::from_millis(300);
+/// Maximum time to connect. A live server accepts within a few milliseconds; one with a full
+/// backlog drops the first packet and would accept only seconds later.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
+/// Maximum idle time of a pooled connection used for a request that must not be sent twice. The
+/// shorter it is, the less likely the server closes the connection at that very moment.
+const ONCE_MAX_IDLE: Duration = Duration::from_millis(800);
+const REPEATABLE_MAX_IDLE: Duration = Duration::from_secs(10);
+/// Maximum size of a response head.
+const MAX_HEAD_BYTES: usize = 32 * 1024;
+/// Number of responses to other requests that are skipped on one connection before it is given up.
+const MAX_FOREIGN_RESPONSES: u32 = 2;
+/// The server of a repeatable request is checked after this multiple of the route's latency target.
+const SILENCE_TIMEOUT_FACTOR: u32 = 2;
+/// Lower bound of that time, so that a stalled network does not double the load.
+const MIN_SILENCE_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Sends the request to one server and passes its answer on.
+/// Sends the request to one server and forwards its response.
 pub async fn run_attempt(
     context: &AttemptContext<'_, '_>,
-    caller: &mut CallerSide,
+    writer: &mut ResponseWriter,
     stream: &mut StreamState,
-) -> AttemptEnd {
+) -> AttemptResult {
     let AttemptContext { gateway, plan, target, .. } = *context;
-    let flight = note_flight(gateway, plan, target);
+    let flight = register_flight(gateway, plan, target);
     let opened = open_exchange(context, stream.last_event()).await;
     let exchange = match opened {
         Ok(exchange) => exchange,
-        Err(fate) => return AttemptEnd::Ended(fate),
+        Err(fate) => return AttemptResult::Incomplete(fate),
     };
     let facts = requests::read_answer(&exchange.head, &plan.facts.id);
     if facts.declined {
-        return end_declined(context, exchange).await;
+        return finish_declined(context, exchange).await;
     }
-    let done = (200..300).contains(&exchange.head.status);
-    if done && !facts.signed {
-        // No server made this answer.
-        return AttemptEnd::Ended(AttemptFate::Lost);
+    let succeeded = (200..300).contains(&exchange.head.status);
+    if succeeded && !facts.signed {
+        // The response is not signed, so it was not made by a backend server.
+        return AttemptResult::Incomplete(AttemptFate::Lost);
     }
-    if done && plan.route.kind.is_stream() {
-        return relaying::relay_stream(context, exchange, caller, stream, &flight).await;
+    if succeeded && plan.route.kind.is_stream() {
+        return forwarding::forward_stream(context, exchange, writer, stream, &flight).await;
     }
-    flight.note_begun();
-    relaying::relay_whole(context, exchange, caller, stream).await
+    flight.record_response_start();
+    forwarding::forward_buffered(context, exchange, writer, stream).await
 }
 
-fn note_flight(gateway: &Rc<Gateway>, plan: &CallPlan<'_>, target: &BackendEntry) -> FlightGuard {
+fn register_flight(
+    gateway: &Rc<Gateway>,
+    plan: &RequestPlan<'_>,
+    target: &BackendEntry,
+) -> FlightGuard {
     let mut tables = gateway.tables.borrow_mut();
     let prompt = plan.facts.prompt.as_ref();
     let parts = prompt.map_or(&[][..], |prompt| &prompt.parts);
@@ -83,13 +89,14 @@
     FlightGuard::new(gateway, target, number)
 }
 
-/// Ends with `TimedOut` once a silent server is to be given up for another one.
-async fn watch_server<Value>(context: &AttemptContext<'_, '_>) -> io::Result<Value> {
-    if !context.may_move {
+/// Completes, with a `TimedOut` error, once an unresponsive server should be given up for another
+/// one.
+async fn wait_until_unresponsive<Value>(context: &AttemptContext<'_, '_>) -> io::Result<Value> {
+    if !context.may_fail_over {
         std::future::pending::<()>().await;
     }
-    let patience = (context.plan.route.aim * SILENCE_FACTOR).max(SILENCE_LEAST);
-    sighting::watch_silence(context, patience).await;
+    let timeout = (context.plan.route.aim * SILENCE_TIMEOUT_FACTOR).max(MIN_SILENCE_TIMEOUT);
+    liveness::wait_until_lost(context, timeout).await;
     Err(io::ErrorKind::TimedOut.into())
 }
 
@@ -99,32 +106,32 @@
 ) -> Result<OpenExchange, AttemptFate> {
     let AttemptContext { plan, target, .. } = *context;
     let mut channel = open_channel(context).await?;
-    let bodiless = plan.body.is_empty() && plan.head.fields.get("content-length").is_none();
+    let has_no_body = plan.body.is_empty() && plan.head.fields.get("content-length").is_none();
     let order = OrderFacts {
         backend: &target.id,
         customer: plan.customer.as_ref().map(|customer| &customer.name),
-        left: plan.left(),
+        left: plan.time_left(),
         urgency: plan.urgency,
         source: context.source,
         last_event,
-        body: (!bodiless).then_some(plan.body.len()),
+        body: (!has_no_body).then_some(plan.body.len()),
     };
     if !context.permit.is_valid() {
         return Err(AttemptFate::Withheld);
     }
     if let Some(budget) = &plan.budget {
-        // From here on the server may read the prompt, whether the caller stays or not.
+        // From here on the server may process the prompt, even if the caller disconnects.
         budget.note_sent(true);
     }
     let mut bytes = requests::write_order(plan.head, &order);
     bytes.extend_from_slice(plan.body);
     let exchange = exchange_heads(&mut channel, &bytes, &plan.facts.id);
-    let watched = exchange.or(watch_server(context));
-    let (head, sent_whole) = match clocks::within(plan.left_to_begin(), watched).await {
+    let watched = exchange.or(wait_until_unresponsive(context));
+    let (head, request_sent) = match clocks::within(plan.time_left_to_first_byte(), watched).await {
         Ok(found) => found,
         Err(error) if error.kind() == io::ErrorKind::TimedOut => {
-            let over = plan.left_to_begin().is_zero();
-            return Err(if over { AttemptFate::TimedOut } else { AttemptFate::Lost });
+            let deadline_passed = plan.time_left_to_first_byte().is_zero();
+            return Err(if deadline_passed { AttemptFate::TimedOut } else { AttemptFate::Lost });
         }
         Err(error) => {
             tracing::debug!(event = "exchange_broken", server = %target.id, %error);
@@ -132,20 +139,20 @@
         }
     };
     let framer = BodyFramer::of_answer(head.length);
-    Ok(OpenExchange { channel, head, framer, sent_whole })
+    Ok(OpenExchange { channel, head, framer, request_sent })
 }
 
 async fn open_channel(context: &AttemptContext<'_, '_>) -> Result<BufferedChannel, AttemptFate> {
     let AttemptContext { gateway, plan, target, .. } = *context;
     let idle = match plan.route.kind {
-        RouteKind::Once | RouteKind::Stream { resumable: false } => ONCE_IDLE,
-        RouteKind::Repeatable | RouteKind::Stream { resumable: true } => REPEATABLE_IDLE,
+        RouteKind::Once | RouteKind::Stream { resumable: false } => ONCE_MAX_IDLE,
+        RouteKind::Repeatable | RouteKind::Stream { resumable: true } => REPEATABLE_MAX_IDLE,
     };
     if let Some(channel) = gateway.channels.take(&target.id, idle) {
         return Ok(channel);
     }
     gateway.metrics.count_event("connections_opened");
-    let bound = CONNECT_BOUND.min(plan.left());
+    let bound = CONNECT_TIMEOUT.min(plan.time_left());
     let opened = clocks::within(bound, BufferedChannel::connect(target.address)).await;
     opened.map_err(|error| {
         tracing::info!(
@@ -156,32 +163,33 @@
     })
 }
 
-/// Writes the request and reads the head of its answer, which may come before all is written.
+/// Writes the request and reads the response head, which may arrive before the request is fully
+/// written.
 async fn exchange_heads(
     channel: &mut BufferedChannel,
     bytes: &[u8],
     id: &str,
 ) -> io::Result<(AnswerHead, bool)> {
     let writer = channel.writer();
-    let mut sent_whole = false;
+    let mut request_sent = false;
     let writing = async {
-        // A server that answers early may close its side before it has read all: its answer is
-        // still there to be read.
-        sent_whole = writer.write_all(bytes).await.is_ok();
+        // A server that responds early may close its side before it has read the whole request; its
+        // response can still be read.
+        request_sent = writer.write_all(bytes).await.is_ok();
         std::future::pending().await
     };
-    let head = read_own_head(channel, id).or(writing).await?;
-    Ok((head, sent_whole))
+    let head = read_matching_head(channel, id).or(writing).await?;
+    Ok((head, request_sent))
 }
 
-/// Reads heads until one answers this request.
+/// Reads response heads until one belongs to this request.
 ///
-/// Guards against an answer to an earlier request that comes late, at the place of this one's: it
-/// names another attempt and is passed over whole.
-async fn read_own_head(channel: &mut BufferedChannel, id: &str) -> io::Result<AnswerHead> {
+/// A late response to an earlier request may arrive where this one's is expected. It carries the ID
+/// of another attempt and is skipped together with its body.
+async fn read_matching_head(channel: &mut BufferedChannel, id: &str) -> io::Result<AnswerHead> {
     let mut foreign = 0;
     loop {
-        let bytes = channel.read_head(HEAD_LIMIT).await?;
+        let bytes = channel.read_head(MAX_HEAD_BYTES).await?;
         let bytes = bytes.ok_or(io::ErrorKind::UnexpectedEof)?;
         let head = AnswerHead::parse(&bytes).map_err(|_| io::ErrorKind::InvalidData)?;
         if (100..200).contains(&head.status) {
@@ -191,7 +199,7 @@
             return Ok(head);
         }
         foreign += 1;
-        if foreign > FOREIGN_LIMIT || head.close {
+        if foreign > MAX_FOREIGN_RESPONSES || head.close {
             return Err(io::ErrorKind::InvalidData.into());
         }
         skip_body(channel, &head).await?;
@@ -202,8 +210,8 @@
     let mut framer = BodyFramer::of_answer(head.length);
     let mut body = Vec::new();
     loop {
-        let taken = framer.feed(&channel.buffer, &mut body);
-        channel.buffer.drain(..taken);
+        let consumed = framer.feed(&channel.buffer, &mut body);
+        channel.buffer.drain(..consumed);
         body.clear();
         if framer.is_done() {
             return Ok(());
@@ -214,8 +222,12 @@
     }
 }
 
-/// The server did not run the request. Its connection may be used again once the body has passed.
-async fn end_declined(context: &AttemptContext<'_, '_>, mut exchange: OpenExchange) -> AttemptEnd {
+/// Handles a server that declined to run the request. The connection can be reused once the body
+/// has been read.
+async fn finish_declined(
+    context: &AttemptContext<'_, '_>,
+    mut exchange: OpenExchange,
+) -> AttemptResult {
     let AttemptContext { gateway, plan, target, .. } = *context;
     let status = exchange.head.status;
     if status == 421 {
@@ -226,10 +238,10 @@
         event = "declined", request = %plan.facts.id, server = %target.id, status,
     );
     let mut body = Vec::new();
-    let bound = CONNECT_BOUND.min(plan.left());
-    let read = clocks::within(bound, relaying::read_rest(&mut exchange, &mut body)).await;
+    let bound = CONNECT_TIMEOUT.min(plan.time_left());
+    let read = clocks::within(bound, forwarding::read_body(&mut exchange, &mut body)).await;
     if read.is_ok() && status != 421 {
-        exchange.keep_channel(gateway, &target.id);
+        exchange.release_channel(gateway, &target.id);
     }
-    AttemptEnd::Ended(AttemptFate::Declined)
+    AttemptResult::Incomplete(AttemptFate::Declined)
 }
--- a/toucanrail-gateway/src/starting.rs
+++ b/toucanrail-gateway/src/starting.rs
@@ -1,4 +1,4 @@
-//! The start of a gateway: its tables, its sockets and its loops.
+//! Startup of a gateway: creates its state, binds its sockets and spawns its background tasks.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -21,22 +21,22 @@
 use toucanrail_wire::keeping::ChannelPool;
 
 use crate::accepting;
+use crate::admin;
 use crate::borrowing::{self, LoanDesk};
 use crate::budgeting::{self, BudgetKeeper};
 use crate::following;
 use crate::hosting;
-use crate::inspecting;
+use crate::liveness::ReportCache;
 use crate::peering::PeerRests;
-use crate::sighting::SightBoard;
 use crate::state::{Gateway, GatewayTables};
 use crate::stopping;
 use crate::storing::{self, StoreAccess, UNMEASURED_REFRESH};
 use crate::tuning::GatewayTuning;
 
-/// Longest wait for a connection to the store.
-const STORE_CONNECT: Duration = Duration::from_millis(700);
+/// Maximum time to connect to the store.
+const STORE_CONNECT_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// Runs a gateway until it is told to stop.
+/// Runs a gateway until it receives a stop signal.
 pub fn run(settings: NodeSettings, tuning: GatewayTuning) -> io::Result<()> {
     let gateway = Rc::new(make_gateway(settings, tuning)?);
     let front = gateway.settings.front.ok_or(io::ErrorKind::AddrNotAvailable)?;
@@ -48,21 +48,22 @@
         callers = %front.callers, store = %gateway.settings.store,
         version = env!("CARGO_PKG_VERSION"),
     );
-    let held = Rc::clone(&gateway);
+    let shared = Rc::clone(&gateway);
     let executor = &gateway.executor;
-    executor.spawn(accepting::serve_callers(Rc::clone(&held), callers)).detach();
-    executor.spawn(inspecting::serve_questions(Rc::clone(&held), readiness)).detach();
-    executor.spawn(inspecting::serve_questions(Rc::clone(&held), inner)).detach();
-    let ways = storing::keep_ways(Rc::clone(&held.store), held.settings.store, UNMEASURED_REFRESH);
+    executor.spawn(accepting::serve_callers(Rc::clone(&shared), callers)).detach();
+    executor.spawn(admin::serve_admin(Rc::clone(&shared), readiness)).detach();
+    executor.spawn(admin::serve_admin(Rc::clone(&shared), inner)).detach();
+    let ways =
+        storing::keep_ways(Rc::clone(&shared.store), shared.settings.store, UNMEASURED_REFRESH);
     executor.spawn(ways).detach();
-    executor.spawn(following::follow_config(Rc::clone(&held))).detach();
-    executor.spawn(following::follow_servers(Rc::clone(&held))).detach();
-    executor.spawn(following::follow_evacuations(Rc::clone(&held))).detach();
-    executor.spawn(following::sweep(Rc::clone(&held))).detach();
-    executor.spawn(budgeting::run_syncs(Rc::clone(&held.keeper))).detach();
-    executor.spawn(borrowing::send_ends(Rc::clone(&held))).detach();
-    executor.spawn(hosting::host_relay(Rc::clone(&held))).detach();
-    smol::block_on(executor.run(stopping::wait_end(held)));
+    executor.spawn(following::follow_config(Rc::clone(&shared))).detach();
+    executor.spawn(following::follow_servers(Rc::clone(&shared))).detach();
+    executor.spawn(following::follow_evacuations(Rc::clone(&shared))).detach();
+    executor.spawn(following::sweep(Rc::clone(&shared))).detach();
+    executor.spawn(budgeting::run_syncs(Rc::clone(&shared.keeper))).detach();
+    executor.spawn(borrowing::send_ends(Rc::clone(&shared))).detach();
+    executor.spawn(hosting::host_relay(Rc::clone(&shared))).detach();
+    smol::block_on(executor.run(stopping::run_until_stopped(shared)));
     Ok(())
 }
 
@@ -73,7 +74,7 @@
     let executor = Rc::new(LocalExecutor::new());
     let data_centre = Arc::clone(&settings.data_centre);
     let ways = DetourTable::new(settings.store, data_centre, Arc::clone(&settings.region));
-    let store = Rc::new(StoreAccess::new(StoreClient::new(STORE_CONNECT), ways, clock));
+    let store = Rc::new(StoreAccess::new(StoreClient::new(STORE_CONNECT_TIMEOUT), ways, clock));
     let keeper =
         BudgetKeeper::new(&id, Rc::clone(&store), tuning, metrics.clone(), Rc::clone(&executor));
     let evacuations = settings.evacuation_bound.map(EvacuationTable::awaiting).unwrap_or_default();
@@ -82,7 +83,7 @@
         backends: BackendTable::with_evacuations(evacuations),
         retries: BTreeMap::new(),
         limits: BTreeMap::new(),
-        places: BTreeMap::new(),
+        free_slots: BTreeMap::new(),
     };
     Ok(Gateway {
         settings,
@@ -93,17 +94,17 @@
         failed_boards: PeerRests::default(),
         stale_boards: PeerRests::default(),
         hosted_relay: RefCell::new(None),
-        load_reports: SightBoard::default(),
+        load_reports: ReportCache::default(),
         metrics,
         executor,
         tables: RefCell::new(tables),
         channels: ChannelPool::new(),
         clock,
         stop_requested: Cell::new(None),
-        closed: Cell::new(false),
-        closes_idle: Cell::new(false),
+        admission_closed: Cell::new(false),
+        close_idle: Cell::new(false),
         in_flight: Cell::new(0),
-        leaving: Event::new(),
+        close_idle_event: Event::new(),
     })
 }
 
--- a/toucanrail-gateway/src/state.rs
+++ b/toucanrail-gateway/src/state.rs
@@ -1,4 +1,4 @@
-//! What all parts of the gateway share.
+//! State shared by all parts of the gateway.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -23,127 +23,131 @@
 use crate::borrowing::LoanDesk;
 use crate::budgeting::BudgetKeeper;
 use crate::lending::LoanOffice;
+use crate::liveness::ReportCache;
 use crate::peering::PeerRests;
-use crate::sighting::SightBoard;
 use crate::storing::StoreAccess;
 
-/// Part of the fleet's retries that entries divide among themselves. Their windows end at different
-/// times, and two of the fleet's windows cover all of them.
-const RETRY_PART: f64 = 0.5;
-/// Least number of entries that the fleet's reserve of retries is divided by. Entries do not know one
-/// another; there are at most as many as relays, one of which stands beside each backend server.
-const LEAST_ENTRIES: usize = 4;
+/// Fraction of the fleet's retry limits that is divided among entries. The entries' windows are not
+/// aligned with those of the fleet; two of the fleet's windows cover them all, hence one half.
+const FLEET_RETRY_FRACTION: f64 = 0.5;
+/// Minimum number of entries that the fleet's retry reserve is divided by. Entries do not know
+/// about each other; there are at most as many as relays, one of which runs beside each backend
+/// server.
+const MIN_ENTRY_COUNT: usize = 4;
 
-/// Silence of the store, with lenders that do not answer, from which an entry is cut off. While the
-/// store alone is away lenders answer.
-const CUT_LEAST: Duration = Duration::from_millis(200);
+/// Time without contact with the store, while lenders do not respond either, after which an entry
+/// is considered isolated. If only the store is unavailable, lenders still respond.
+const ISOLATION_THRESHOLD: Duration = Duration::from_millis(200);
 
-/// The tables that decisions read and change.
+/// Tables that decisions read and update.
 #[derive(Debug)]
 pub struct GatewayTables {
-    /// The configuration in force.
+    /// Configuration in force.
     pub routes: RouteTable,
-    /// The backend servers.
+    /// Known backend servers.
     pub backends: BackendTable,
-    /// Retries, by service.
+    /// Retry budgets by service.
     pub retries: BTreeMap<ServiceName, RetryBudget>,
-    /// Unread work and its limit, by service.
+    /// Requests that wait for their first event, and the limit on them, by service.
     pub limits: BTreeMap<ServiceName, AdmissionLimit>,
-    /// Free places at the servers, by service.
-    pub places: BTreeMap<ServiceName, PlaceGauge>,
+    /// Estimates of free slots at the servers, by service.
+    pub free_slots: BTreeMap<ServiceName, PlaceGauge>,
 }
 
-/// One running gateway.
+/// A running gateway.
 #[derive(Debug)]
 pub struct Gateway {
-    /// Its settings.
+    /// Settings of this node.
     pub settings: NodeSettings,
-    /// This run of the process.
+    /// ID of this process, unique to each start.
     pub id: EntryId,
-    /// The platform's store.
+    /// Access to the platform's store.
     pub store: Rc<StoreAccess>,
-    /// Its metrics.
+    /// Metrics registry.
     pub metrics: MetricBoard,
-    /// Runs everything on one thread.
+    /// Runs all tasks on a single thread.
     pub executor: Rc<LocalExecutor<'static>>,
-    /// The tables.
+    /// Tables that decisions read and update.
     pub tables: RefCell<GatewayTables>,
-    /// Kept connections to servers.
+    /// Pool of connections to backend servers and relays.
     pub channels: ChannelPool,
-    /// The time since the start.
+    /// Clock that starts with the process.
     pub clock: ProcessClock,
-    /// When it was told to stop.
+    /// Time of the stop signal.
     pub stop_requested: Cell<Option<Instant>>,
-    /// Whether it admits no request any more.
-    pub closed: Cell<bool>,
-    /// Whether idle callers' connections are closed.
-    pub closes_idle: Cell<bool>,
-    /// Requests in flight.
+    /// Whether new requests are no longer admitted.
+    pub admission_closed: Cell<bool>,
+    /// Whether idle caller connections are closed.
+    pub close_idle: Cell<bool>,
+    /// Number of requests in flight.
     pub in_flight: Cell<usize>,
-    /// Idle callers' connections are to be closed.
-    pub leaving: Event,
-    /// What it may spend of its own.
+    /// Notified when idle caller connections should close.
+    pub close_idle_event: Event,
+    /// The entry's own budget grants.
     pub keeper: Rc<BudgetKeeper>,
-    /// What it knows of lenders.
+    /// State of loans from lenders.
     pub desk: LoanDesk,
-    /// Boards that failed and are passed over.
+    /// Relays whose boards failed recently; not queried until their backoff ends.
     pub failed_boards: PeerRests,
-    /// Boards that did not hear from the store a moment ago.
+    /// Relays whose boards recently had no fresh data from the store.
     pub stale_boards: PeerRests,
-    /// The relay that this entry hosts.
+    /// Relay hosted by this entry, if any.
     pub hosted_relay: RefCell<Option<Rc<LoanOffice>>>,
-    /// Reports of servers that did not answer.
-    pub load_reports: SightBoard,
+    /// Recent load reports of servers.
+    pub load_reports: ReportCache,
 }
 
 impl Gateway {
-    /// Returns the time since the start.
+    /// Returns the time since the process started.
     pub fn now(&self) -> Duration {
         self.clock.now()
     }
 
-    /// Tells whether new callers are welcome.
+    /// Returns whether the balancer should send new callers to this entry.
     ///
-    /// Configuration, servers and evacuations are listed by calls at the same time. An entry that is ready
-    /// after the first one refuses every request for want of servers until the last one.
+    /// Configuration, servers and evacuations are listed by concurrent calls. An entry that
+    /// reported ready after the first of them would refuse every request for lack of servers until
+    /// the last one completes.
     pub fn is_ready(&self) -> bool {
         let tables = self.tables.borrow();
-        let informed = tables.routes.version() > 0
+        let is_informed = tables.routes.version() > 0
             && tables.backends.is_listed()
             && tables.backends.evacuations.is_known();
-        informed && self.stop_requested.get().is_none() && !self.is_cut_off()
+        is_informed && self.stop_requested.get().is_none() && !self.is_isolated()
     }
 
-    /// Tells whether this entry reaches neither lenders nor, on any way, the store.
+    /// Returns whether this entry reaches neither lenders nor the store, directly or through a
+    /// relay.
     ///
-    /// An entry whose VM is cut off from all others can confirm no budget and refuses nearly everything,
-    /// while entries beside it serve: the balancer must send new callers there. It is found out by the
-    /// loops that follow the store, and ends with their first answer.
-    pub fn is_cut_off(&self) -> bool {
-        let silent = |kind: &str| self.store.silence(kind) > CUT_LEAST;
+    /// An entry whose VM is cut off from all others cannot confirm budgets and refuses nearly every
+    /// request, while other entries can still serve: the balancer must send new callers there. The
+    /// state is detected by the tasks that follow the store and ends with their first successful
+    /// call.
+    pub fn is_isolated(&self) -> bool {
+        let is_silent = |kind: &str| self.store.silence(kind) > ISOLATION_THRESHOLD;
         let kinds = [names::CONFIG_KIND, names::SERVER_KIND];
-        self.desk.unanswered.get() && kinds.into_iter().all(silent)
+        self.desk.unanswered.get() && kinds.into_iter().all(is_silent)
     }
 
-    /// Notes a fresh request for a service in its retry budget.
-    pub fn note_fresh(&self, service: &ServiceName) {
+    /// Records a new request, as opposed to a retry, in the retry budget of a service.
+    pub fn record_new_request(&self, service: &ServiceName) {
         let now = self.now();
-        self.with_budget(service, |budget| budget.note_fresh(now));
+        self.with_retry_budget(service, |budget| budget.note_fresh(now));
     }
 
-    /// Takes a retry out of a service's budget, if there is one.
-    pub fn try_retry(&self, service: &ServiceName) -> bool {
+    /// Takes one retry from the budget of a service, if one is left.
+    pub fn try_spend_retry(&self, service: &ServiceName) -> bool {
         let now = self.now();
-        self.with_budget(service, |budget| budget.try_spend(now))
+        self.with_retry_budget(service, |budget| budget.try_spend(now))
     }
 
-    /// Tells whether a service's budget has a retry left.
+    /// Returns whether the budget of a service has a retry left.
     pub fn may_retry(&self, service: &ServiceName) -> bool {
         let now = self.now();
-        self.with_budget(service, |budget| budget.may_spend(now))
+        self.with_retry_budget(service, |budget| budget.may_spend(now))
     }
 
-    /// Tells whether the servers of a service can begin one more request in time.
+    /// Returns whether the servers of a service can start one more request in time.
     pub fn admits(&self, service: &ServiceName, query: AdmissionQuery) -> bool {
         let now = self.now();
         let mut tables = self.tables.borrow_mut();
@@ -159,23 +163,23 @@
         admits
     }
 
-    /// Tells whether servers of a service are to be asked for their load before a request is placed:
-    /// requests wait longer for their first event than they should, and places may be scarce.
+    /// Returns whether load reports should be requested before a request is placed: requests wait
+    /// too long for their first event, and free slots may be scarce.
     pub fn wants_probe(&self, service: &ServiceName) -> bool {
         let now = self.now();
         let tables = self.tables.borrow();
-        let places = tables.places.get(service).copied().unwrap_or_default();
+        let free_slots = tables.free_slots.get(service).copied().unwrap_or_default();
         let pressed = tables.limits.get(service).is_some_and(|limit| limit.is_pressed(now));
-        pressed && places.wants_probe(fastrand::f64())
+        pressed && free_slots.wants_probe(fastrand::f64())
     }
 
-    /// Takes what servers of a service reported.
-    pub fn take_reports(&self, service: &ServiceName, probed: &[ProbeRow]) {
+    /// Records the load reports of servers of a service.
+    pub fn record_reports(&self, service: &ServiceName, probed: &[ProbeRow]) {
         let mut tables = self.tables.borrow_mut();
-        tables.places.entry(Arc::clone(service)).or_default().take_reports(probed);
+        tables.free_slots.entry(Arc::clone(service)).or_default().take_reports(probed);
     }
 
-    fn with_budget<Value, Work>(&self, service: &ServiceName, work: Work) -> Value
+    fn with_retry_budget<Value, Work>(&self, service: &ServiceName, work: Work) -> Value
     where
         Work: FnOnce(&mut RetryBudget) -> Value,
     {
@@ -186,32 +190,32 @@
         work(budget)
     }
 
-    /// Returns this entry's part of the fleet's retries.
+    /// Returns this entry's share of the fleet's retry limits.
     ///
-    /// Before the relays were listed the servers stand in for them: an entry that started in an outage
-    /// would take a fourth of the reserve, and so would all others that started with it.
+    /// Until the relays have been listed, the number of servers is used in place of theirs.
+    /// Otherwise each entry that starts during an outage would take a quarter of the reserve.
     fn retry_bounds(&self) -> RetryBounds {
         let relays = match self.store.count_relays() {
             0 => self.tables.borrow().backends.rows().count(),
             relays => relays,
         };
-        let parts = relays.max(LEAST_ENTRIES) as f64;
+        let parts = relays.max(MIN_ENTRY_COUNT) as f64;
         RetryBounds {
-            share: self.settings.retry_share * RETRY_PART,
-            reserve: self.settings.retry_slack * RETRY_PART / parts,
+            share: self.settings.retry_share * FLEET_RETRY_FRACTION,
+            reserve: self.settings.retry_slack * FLEET_RETRY_FRACTION / parts,
             window: self.settings.retry_window,
         }
     }
 }
 
-/// A request in flight at this gateway; a graceful stop waits for it.
+/// Counts a request as in flight at this gateway; a graceful stop waits for it.
 #[derive(Debug)]
 pub struct RequestGuard {
     gateway: Rc<Gateway>,
 }
 
 impl RequestGuard {
-    /// Counts a request.
+    /// Starts counting a request.
     pub fn new(gateway: &Rc<Gateway>) -> Self {
         gateway.in_flight.set(gateway.in_flight.get() + 1);
         gateway.metrics.in_flight.inc();
@@ -226,7 +230,7 @@
     }
 }
 
-/// A request in flight at a server, taken out of the table however it ends.
+/// Keeps a request registered as in flight at a server until dropped.
 #[derive(Debug)]
 pub struct FlightGuard {
     gateway: Rc<Gateway>,
@@ -236,14 +240,14 @@
 }
 
 impl FlightGuard {
-    /// Guards a flight that was noted.
+    /// Creates the guard of a registered request.
     pub fn new(gateway: &Rc<Gateway>, target: &BackendEntry, number: FlightId) -> Self {
         let (backend, service) = (Arc::clone(&target.id), Arc::clone(&target.service));
         Self { gateway: Rc::clone(gateway), backend, service, number }
     }
 
-    /// Notes that the answer has begun.
-    pub fn note_begun(&self) {
+    /// Records that the response has started.
+    pub fn record_response_start(&self) {
         let now = self.gateway.now();
         let mut tables = self.gateway.tables.borrow_mut();
         tables.backends.note_begun(&self.backend, self.number, now);
--- a/toucanrail-gateway/src/stopping.rs
+++ b/toucanrail-gateway/src/stopping.rs
@@ -1,4 +1,4 @@
-//! Signals: SIGTERM ends the process without cutting an answer off, SIGHUP reads the settings anew.
+//! Signal handling: SIGTERM shuts the process down gracefully, SIGHUP reloads the settings file.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -13,21 +13,22 @@
 use crate::lending::{self, LoanOffice};
 use crate::state::Gateway;
 
-/// Time after SIGTERM for which idle connections stay open: the balancer learns in this time that
-/// the entry is not ready, and a request under way still finds it.
-const IDLE_NOTICE: Duration = Duration::from_millis(2_500);
-/// Taken off the grace period: after that the platform kills.
-const GRACE_MARGIN: Duration = Duration::from_millis(1_100);
-/// Taken off the grace period for the end of loans of a relay that is hosted here.
-const LOANS_MARGIN: Duration = Duration::from_millis(1_800);
-/// Taken off the grace period for the process's own end.
+/// Time after SIGTERM for which idle connections stay open. In this time the balancer learns that
+/// the entry is not ready, and requests already on their way still arrive.
+const IDLE_CLOSE_DELAY: Duration = Duration::from_millis(2_500);
+/// Taken off the grace period for finishing requests, because the platform kills the process at its
+/// end.
+const DRAIN_MARGIN: Duration = Duration::from_millis(1_100);
+/// Taken off the grace period for finishing the loans of a relay hosted by this process.
+const LENDING_MARGIN: Duration = Duration::from_millis(1_800);
+/// Taken off the grace period for the exit of the process.
 const EXIT_MARGIN: Duration = Duration::from_millis(500);
-/// Longest wait for lenders to take the last ends.
-const ENDS_BOUND: Duration = Duration::from_millis(300);
-const STEP: Duration = Duration::from_millis(50);
+/// Maximum wait for lenders to accept the last loan ends.
+const LOAN_ENDS_TIMEOUT: Duration = Duration::from_millis(300);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Waits for SIGTERM, then until nothing is in flight.
-pub async fn wait_end(gateway: Rc<Gateway>) {
+/// Waits for a stop signal, then until all requests have finished.
+pub async fn run_until_stopped(gateway: Rc<Gateway>) {
     match Signals::new([Signal::Term, Signal::Int, Signal::Hup]) {
         Ok(mut signals) => {
             while let Some(Ok(signal)) = signals.next().await {
@@ -45,7 +46,8 @@
     drain(&gateway).await;
 }
 
-/// The addresses of a process do not change while it runs; what a new file says of them is logged.
+/// Logs whether the settings file has changed. Changes are not applied, because the addresses of a
+/// process stay the same while it runs.
 fn reload(gateway: &Gateway) {
     match settings::read_settings() {
         Ok(read) if read == gateway.settings => tracing::info!(event = "reload", changed = false),
@@ -55,30 +57,31 @@
 }
 
 async fn drain(gateway: &Rc<Gateway>) {
-    let since = Instant::now();
-    gateway.stop_requested.set(Some(since));
+    let stop_requested = Instant::now();
+    gateway.stop_requested.set(Some(stop_requested));
     tracing::info!(event = "stop", in_flight = gateway.in_flight.get());
     let lending = gateway.hosted_relay.borrow().as_ref().map(|office| {
-        let bound = gateway.settings.grace.saturating_sub(LOANS_MARGIN);
+        let bound = gateway.settings.grace.saturating_sub(LENDING_MARGIN);
         gateway.executor.spawn(drain_loans(Rc::clone(office), bound))
     });
-    smol::Timer::after(IDLE_NOTICE).await;
-    gateway.closes_idle.set(true);
-    gateway.leaving.notify(usize::MAX);
+    smol::Timer::after(IDLE_CLOSE_DELAY).await;
+    gateway.close_idle.set(true);
+    gateway.close_idle_event.notify(usize::MAX);
     let grace = gateway.settings.grace;
-    wait_idle(gateway, since, grace.saturating_sub(GRACE_MARGIN)).await;
-    // Before the waits below: what is admitted in one of them would be cut off at its end.
-    gateway.closed.set(true);
-    clocks::bounded(ENDS_BOUND, borrowing::flush_ends(gateway)).await;
+    wait_until_idle(gateway, stop_requested, grace.saturating_sub(DRAIN_MARGIN)).await;
+    // Set before the following waits: a request admitted during one of them would be cut off when
+    // the process exits.
+    gateway.admission_closed.set(true);
+    clocks::bounded(LOAN_ENDS_TIMEOUT, borrowing::flush_ends(gateway)).await;
     if let Some(lending) = lending {
         lending.await;
     }
     budgeting::leave(&gateway.keeper).await;
-    wait_idle(gateway, since, grace.saturating_sub(EXIT_MARGIN)).await;
+    wait_until_idle(gateway, stop_requested, grace.saturating_sub(EXIT_MARGIN)).await;
     tracing::info!(
         event = "stopped",
         in_flight = gateway.in_flight.get(),
-        took_ms = since.elapsed().as_millis() as u64,
+        took_ms = stop_requested.elapsed().as_millis() as u64,
     );
 }
 
@@ -86,9 +89,9 @@
     lending::drain(&office, bound).await;
 }
 
-/// Waits until nothing is in flight, at most until `limit` after the signal.
-async fn wait_idle(gateway: &Gateway, since: Instant, limit: Duration) {
-    while gateway.in_flight.get() > 0 && since.elapsed() < limit {
-        smol::Timer::after(STEP).await;
+/// Waits until no request is in flight, at most until `limit` after the stop signal.
+async fn wait_until_idle(gateway: &Gateway, stop_requested: Instant, limit: Duration) {
+    while gateway.in_flight.get() > 0 && stop_requested.elapsed() < limit {
+        smol::Timer::after(POLL_INTERVAL).await;
     }
 }
--- a/toucanrail-gateway/src/tuning.rs
+++ b/toucanrail-gateway/src/tuning.rs
@@ -1,4 +1,4 @@
-//! The gateway's own settings, in flags and environment variables.
+//! Settings of the gateway, read from flags and environment variables.
 
 use std::time::Duration;
 
@@ -6,49 +6,50 @@
 use toucanrail::policies::GrantPolicy;
 use toucanrail::settings::{SettingRow, SettingValues};
 
-/// All settings.
+/// All settings of the gateway.
 pub const SETTINGS: [SettingRow; 5] = [
     SettingRow {
         name: "grant-horizon",
         default: Some("5s"),
-        help: "Burn that grants cover while the store is away.",
+        help: "Time of budget use that grants cover while the store is unavailable.",
     },
     SettingRow {
         name: "grant-floor",
         default: Some("2000"),
-        help: "Least grant ahead of a customer in use, in tokens.",
+        help: "Minimum grant for an active customer, in tokens.",
     },
     SettingRow {
         name: "grant-part",
         default: Some("0.07"),
-        help: "Part of a prepaid budget that is granted ahead of use at most.",
+        help: "Maximum fraction of a prepaid budget that is granted in advance.",
     },
     SettingRow {
         name: "shards",
         default: Some("4"),
-        help: "Objects that accounts are divided among; 0 for one a customer. Never changed in use.",
+        help: "Number of store objects for accounts; 0 for one per customer. Must never change.",
     },
-    SettingRow { name: "flush", default: Some("3s"), help: "Time between settlements." },
+    SettingRow { name: "flush", default: Some("3s"), help: "Interval between settlements." },
 ];
 
-/// The settings as read.
+/// Parsed settings.
 #[derive(Debug, Clone, Copy)]
 pub struct GatewayTuning {
-    /// How grants are sized.
+    /// Policy that determines the size of grants.
     pub policy: GrantPolicy,
-    /// Time between settlements.
+    /// Interval between settlements.
     pub flush: Duration,
-    /// Objects that accounts are divided among; 0 for one a customer. All processes must agree for
-    /// ever: an account that stood in two objects could be spent twice.
+    /// Number of store objects that accounts are distributed over; 0 for one object per customer.
+    /// All processes must use the same value, and it must never change: an account stored in two
+    /// objects could be spent twice.
     pub shards: u64,
 }
 
 impl GatewayTuning {
-    /// Reads the settings, noting faults.
+    /// Parses the settings and records invalid values.
     pub fn read(values: &mut SettingValues) -> Self {
         let horizon = values.duration("grant-horizon");
         let floor: Tokens = values.parse("grant-floor", "a number of tokens");
-        let part = values.parse_with("grant-part", "a part from 0 to 1", |text| {
+        let part = values.parse_with("grant-part", "a fraction from 0 to 1", |text| {
             text.parse().ok().filter(|part| (0.0..=1.0).contains(part))
         });
         let policy = GrantPolicy::RideThrough { horizon, floor, part };
