--- a/toucanrail-gateway/tests/departed_callers.rs
+++ b/toucanrail-gateway/tests/departed_callers.rs
@@ -1,4 +1,4 @@
-//! Callers that leave while their request has not been sent on.
+//! Callers that disconnect, or would give up, before they have a response.
 
 mod platform;
 
@@ -9,9 +9,9 @@
 
 use platform::{Act, Backend, Process, Store, request};
 
-/// Long enough for bytes and for the end of a connection to arrive, shorter than any timeout of a loan.
+/// Long enough for bytes and the end of a connection to arrive; shorter than any loan timeout.
 const ARRIVAL: Duration = Duration::from_millis(80);
-/// Long enough for a request to reach the server, had it been sent on.
+/// Long enough for a request to reach the server if it had been forwarded.
 const DELIVERY: Duration = Duration::from_millis(600);
 
 fn send(gateway: &Process, text: &str) -> TcpStream {
@@ -20,12 +20,12 @@
     caller
 }
 
-fn count_seen(backend: &Backend, id: &str) -> usize {
+fn count_received(backend: &Backend, id: &str) -> usize {
     backend.seen().iter().filter(|message| message.field("x-attempt-id") == Some(id)).count()
 }
 
-/// An entry that is behind finds a request together with the end of its caller's connection, and must
-/// not send it on.
+/// An entry that lags behind reads a request together with the end of its caller's connection. It
+/// must not forward the request.
 #[test]
 fn unread_request() {
     let store = Store::start();
@@ -39,11 +39,11 @@
     thread::sleep(ARRIVAL);
     gateway.signal("CONT");
     thread::sleep(DELIVERY);
-    assert_eq!(count_seen(&backend, "r2"), 0);
+    assert_eq!(count_received(&backend, "r2"), 0);
 }
 
-/// A frozen lender answers when the caller has left, and the entry learns of both at once: the request
-/// must not be sent on.
+/// A frozen lender responds after the caller has disconnected, so that the entry sees both at once.
+/// It must not forward the request.
 #[test]
 fn late_loan() {
     let store = Store::start();
@@ -55,14 +55,14 @@
     platform::wait_until("the relay", || store.has("relays", "side-1"));
     let gateway = Process::start_gateway(&store);
     let prompt = |id: &str| request("POST", "/stream/a", id, platform::PROMPT, "p");
-    let ask = |id: &str| {
+    let send_prompt = |id: &str| {
         platform::call_raw(
             gateway.callers,
             &prompt(id).replace("\r\n\r\n", "\r\nConnection: close\r\n\r\n"),
         )
     };
     platform::wait_until("a loan", || {
-        assert!(ask("r1").starts_with("HTTP/1.1 200"));
+        assert!(send_prompt("r1").starts_with("HTTP/1.1 200"));
         store.granted("acme").keys().any(|holder| holder.starts_with("side-1"))
     });
     relay.signal("STOP");
@@ -74,13 +74,13 @@
     thread::sleep(ARRIVAL);
     gateway.signal("CONT");
     thread::sleep(DELIVERY);
-    assert_eq!(count_seen(&backend, "r2"), 0);
+    assert_eq!(count_received(&backend, "r2"), 0);
 }
 
-/// A server stands still with its VM. Its callers left by themselves at the end of their time, as far as they
-/// could know while their requests went on; they are told before.
+/// A server freezes together with its VM. Callers used to give up on their own at the end of their
+/// time, not knowing whether their requests went on. They must get a response before that.
 #[test]
-fn silent_server() {
+fn frozen_server() {
     let store = Store::start();
     let backend = Backend::start("i-1", |_, _| Act::Answer("PAUSE".repeat(100)));
     platform::configure(&store, 1, &[&backend]);
@@ -92,10 +92,9 @@
     assert!(start.elapsed() < Duration::from_secs(1), "{:?}", start.elapsed());
 }
 
-/// The same for a stream, whose callers give up before the end of their time when no
-/// event comes.
+/// The same for a stream. Its callers give up earlier if no event arrives.
 #[test]
-fn silent_stream() {
+fn frozen_stream() {
     let store = Store::start();
     let backend = Backend::start("i-1", |_, _| Act::Answer("PAUSE".repeat(250)));
     platform::configure_total(&store, 1, &[&backend], 100_000);
@@ -104,6 +103,6 @@
     let start = Instant::now();
     let answer = platform::call(gateway.callers, &text).unwrap();
     assert_eq!(answer.status(), 504);
-    // The route of the tests accepts pauses of 600 ms: its callers wait for eight times that.
+    // The tests' route accepts pauses of 600 ms, and its callers wait for eight times that.
     assert!(start.elapsed() < Duration::from_millis(4_800), "{:?}", start.elapsed());
 }
--- a/toucanrail-gateway/tests/direct_requests.rs
+++ b/toucanrail-gateway/tests/direct_requests.rs
@@ -1,33 +1,33 @@
-//! Requests that a gateway passes on to backend servers of the users' platform.
+//! Requests that a gateway forwards directly to backend servers.
 
 mod platform;
 
 use platform::{Act, Backend, Process, Store, request};
 
-/// A caller's key must stay with the fleet, its path must reach the server as it was written, and
-/// the server must be told who pays, whatever the caller claims.
+/// The caller's key must not leave the fleet, the path must reach the server unchanged, and the
+/// server must be told which customer pays, whatever headers the caller sends.
 #[test]
-fn passed_on() {
+fn forwarded_request() {
     let store = Store::start();
     let backend = Backend::start("i-1", |_, _| Act::Answer(platform::signed("fine")));
     platform::configure(&store, 1, &[&backend]);
     let gateway = Process::start_gateway(&store);
-    let more = "X-Tenant: rich\r\nX-Hold: h\r\n";
-    let text = request("POST", "/once/../a%2Fb?x=%20", "r1", more, "order");
+    let headers = "X-Tenant: rich\r\nX-Hold: h\r\n";
+    let text = request("POST", "/once/../a%2Fb?x=%20", "r1", headers, "order");
     let answer = platform::call(gateway.callers, &text).unwrap();
     assert_eq!((answer.status(), answer.body.as_slice()), (200, &b"fine"[..]));
-    let seen = backend.seen().pop().unwrap();
-    assert_eq!(seen.target(), "/once/../a%2Fb?x=%20");
-    assert_eq!(seen.field("x-tenant"), Some("acme"));
-    assert_eq!(seen.field("x-target-replica"), Some("i-1"));
-    assert_eq!((seen.field("authorization"), seen.field("x-hold")), (None, None));
-    assert_eq!(seen.body, b"order");
+    let received = backend.seen().pop().unwrap();
+    assert_eq!(received.target(), "/once/../a%2Fb?x=%20");
+    assert_eq!(received.field("x-tenant"), Some("acme"));
+    assert_eq!(received.field("x-target-replica"), Some("i-1"));
+    assert_eq!((received.field("authorization"), received.field("x-hold")), (None, None));
+    assert_eq!(received.body, b"order");
 }
 
-/// An entry that has just started knows no configuration. A 404 or 401 would send callers away
-/// for good.
+/// An entry that has just started has no configuration yet. It must not respond with 404 or 401,
+/// which callers treat as final.
 #[test]
-fn no_config() {
+fn missing_config() {
     let store = Store::start();
     let gateway = Process::start_unready(&store);
     gateway.wait_ready(false);
@@ -37,39 +37,40 @@
     });
 }
 
-/// What no configuration allows is refused; a route added by a newer version is served.
+/// Requests with an unknown key or an unknown route are refused and reach no server.
 #[test]
 fn unknown_requests() {
     let store = Store::start();
     let backend = Backend::start("i-1", |_, _| Act::Answer(platform::signed("fine")));
     platform::configure(&store, 1, &[&backend]);
     let gateway = Process::start_gateway(&store);
-    let wrong = request("GET", "/safe/a", "r1", "", "").replace(platform::KEY, "other");
-    assert_eq!(platform::call(gateway.callers, &wrong).unwrap().status(), 401);
-    let lost = request("GET", "/nowhere/a", "r2", "", "");
-    assert_eq!(platform::call(gateway.callers, &lost).unwrap().status(), 404);
+    let unauthorized = request("GET", "/safe/a", "r1", "", "").replace(platform::KEY, "other");
+    assert_eq!(platform::call(gateway.callers, &unauthorized).unwrap().status(), 401);
+    let unrouted = request("GET", "/nowhere/a", "r2", "", "");
+    assert_eq!(platform::call(gateway.callers, &unrouted).unwrap().status(), 404);
     assert!(backend.seen().is_empty());
 }
 
-/// A request hidden behind another's body must not reach a server: two lengths, or a bare line end,
-/// are refused.
+/// Request smuggling: a request with two body lengths, or with a bare line feed in its head, is
+/// refused and reaches no server.
 #[test]
 fn smuggled_requests() {
     let store = Store::start();
     let backend = Backend::start("i-1", |_, _| Act::Answer(platform::signed("fine")));
     platform::configure(&store, 1, &[&backend]);
     let gateway = Process::start_gateway(&store);
-    let both = request("POST", "/once/a", "r1", "Transfer-Encoding: chunked\r\n", "0\r\n\r\n");
-    assert_eq!(platform::call(gateway.callers, &both).unwrap().status(), 400);
-    let bare = request("POST", "/once/a", "r2", "X-A: b\nContent-Length: 0\r\n", "x");
-    assert_eq!(platform::call(gateway.callers, &bare).unwrap().status(), 400);
+    let two_lengths =
+        request("POST", "/once/a", "r1", "Transfer-Encoding: chunked\r\n", "0\r\n\r\n");
+    assert_eq!(platform::call(gateway.callers, &two_lengths).unwrap().status(), 400);
+    let bare_line_feed = request("POST", "/once/a", "r2", "X-A: b\nContent-Length: 0\r\n", "x");
+    assert_eq!(platform::call(gateway.callers, &bare_line_feed).unwrap().status(), 400);
     assert!(backend.seen().is_empty());
 }
 
-/// A customer's budget is 1,000 tokens, and each request may use 160 and uses 112. All are billed
-/// once; what the balance does not cover is refused as not run.
+/// The customer's budget is 1,000 tokens; each request reserves 160 and uses 112. Every request is
+/// billed once, and one that the balance does not cover is refused as not run.
 #[test]
-fn budget_end() {
+fn exhausted_budget() {
     let store = Store::start();
     let stream = [
         platform::STREAM,
@@ -84,8 +85,8 @@
     let gateway = Process::start_gateway(&store);
     let mut served = 0;
     let refused = loop {
-        let more = format!("{}Connection: close\r\n", platform::PROMPT);
-        let text = request("POST", "/stream/a", &format!("r{served}"), &more, "p");
+        let headers = format!("{}Connection: close\r\n", platform::PROMPT);
+        let text = request("POST", "/stream/a", &format!("r{served}"), &headers, "p");
         let answer = platform::call_raw(gateway.callers, &text);
         if !answer.starts_with("HTTP/1.1 200") {
             break answer;
--- a/toucanrail-gateway/tests/fault_soak.rs
+++ b/toucanrail-gateway/tests/fault_soak.rs
@@ -1,10 +1,10 @@
-//! A seeded soak: real gateways and relays under load, while they are killed, stopped, paused and cut
-//! off from the store, and servers lose, break off and mix up answers. In a second round proxies also
-//! delay, reset, silence and cut one way the connections to servers and to the store. It checks the
-//! promises from what callers and servers see.
+//! Seeded soak test: real gateways and relays under load, while they are killed, stopped, paused
+//! and cut off from the store, and servers lose, truncate and mix up responses. A second test adds
+//! proxies that delay, reset, silence or cut in one direction the connections to servers and to the
+//! store. The guarantees are checked against what callers and servers observe.
 //!
-//! `TOUCANRAIL_SOAK_SEEDS="1 2 3"` names the seeds; CI runs those of `SEEDS`, to which each seed that
-//! ever failed is added.
+//! `TOUCANRAIL_SOAK_SEEDS="1 2 3"` selects the seeds. CI runs those of `SEEDS`; each seed that ever
+//! fails is added to them.
 
 mod platform;
 
@@ -20,44 +20,44 @@
 
 /// Seeds of every CI run.
 const SEEDS: [u64; 2] = [1, 2];
-const HARMED_SEEDS: [u64; 2] = [1, 2];
-const LENGTH: Duration = Duration::from_secs(6);
-const TOTAL: u64 = 12_000;
-const PROMPT: u64 = 100;
-const STRIDE: u64 = 6;
-const EVENTS: u64 = 8;
-const CALLERS: u64 = 4;
+const PROXIED_SEEDS: [u64; 2] = [1, 2];
+const DURATION: Duration = Duration::from_secs(6);
+const BUDGET_TOKENS: u64 = 12_000;
+const PROMPT_TOKENS: u64 = 100;
+const TOKENS_PER_EVENT: u64 = 6;
+const EVENTS_PER_STREAM: u64 = 8;
+const CALLER_COUNT: u64 = 4;
 const ROUTES: [&str; 4] = ["once", "safe", "stream", "resume"];
 
-/// What servers ran and callers got.
+/// What servers ran and callers received.
 #[derive(Debug, Default)]
-struct Truth {
-    /// Runs by attempt, and by the route's name in front of it.
+struct SoakRecord {
+    /// Number of runs by attempt ID, which starts with the route's name.
     runs: BTreeMap<String, u32>,
     /// Attempts that were refused as not run.
     refused: Vec<String>,
-    /// Events that callers got, by attempt.
+    /// Number of events that callers received, by attempt ID.
     events: BTreeMap<String, u64>,
     served: u64,
-    faults: Vec<String>,
+    violations: Vec<String>,
 }
 
-fn make_backend(id: &str, seed: u64, truth: &Arc<Mutex<Truth>>) -> Backend {
-    let truth = Arc::clone(truth);
-    let dice = Mutex::new(fastrand::Rng::with_seed(seed));
+fn make_backend(id: &str, seed: u64, record: &Arc<Mutex<SoakRecord>>) -> Backend {
+    let record = Arc::clone(record);
+    let rng = Mutex::new(fastrand::Rng::with_seed(seed));
     Backend::start(id, move |_, message| {
-        let draw = dice.lock().expect("dice").u32(0..100);
-        if draw < 6 {
+        let roll = rng.lock().expect("unpoisoned lock").u32(0..100);
+        if roll < 6 {
             let text = "HTTP/1.1 503 Full\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n";
             return Act::Answer(text.to_owned());
         }
         let attempt = message.field("x-attempt-id").unwrap_or_default().to_owned();
-        *truth.lock().expect("truth").runs.entry(attempt.clone()).or_default() += 1;
-        if draw < 10 {
+        *record.lock().expect("unpoisoned lock").runs.entry(attempt.clone()).or_default() += 1;
+        if roll < 10 {
             return Act::Break(String::new());
         }
-        let text = make_answer(message, &attempt);
-        match draw {
+        let text = make_response(message, &attempt);
+        match roll {
             10..14 => Act::Break(text[..text.len() * 2 / 3].to_owned()),
             14..17 => Act::Answer(text.clone() + &platform::signed("late").replace("ID", "other")),
             _ => Act::Answer(text),
@@ -65,13 +65,13 @@
     })
 }
 
-fn make_answer(message: &Message, attempt: &str) -> String {
+fn make_response(message: &Message, attempt: &str) -> String {
     if message.field("x-token-usage").is_none() {
         return platform::signed(attempt);
     }
     let last: u64 = message.field("last-event-id").map_or(0, |text| text.parse().unwrap_or(0));
-    let events =
-        (last + 1..=EVENTS).map(|id| platform::chunk(&format!("id: {id}\ndata: {attempt}\n\n")));
+    let events = (last + 1..=EVENTS_PER_STREAM)
+        .map(|id| platform::chunk(&format!("id: {id}\ndata: {attempt}\n\n")));
     [platform::STREAM, &events.collect::<Vec<_>>().join("PAUSE"), "0\r\n\r\n"].concat()
 }
 
@@ -79,44 +79,44 @@
     number: u64,
     seed: u64,
     entries: &[SocketAddr],
-    truth: &Mutex<Truth>,
-    over: &AtomicBool,
+    record: &Mutex<SoakRecord>,
+    stopped: &AtomicBool,
 ) {
-    let mut dice = fastrand::Rng::with_seed(seed ^ (number << 32));
+    let mut rng = fastrand::Rng::with_seed(seed ^ (number << 32));
     let mut count = 0;
-    while !over.load(Ordering::Relaxed) {
+    while !stopped.load(Ordering::Relaxed) {
         count += 1;
-        let route = ROUTES[dice.usize(0..ROUTES.len())];
+        let route = ROUTES[rng.usize(0..ROUTES.len())];
         let attempt = format!("{route}-{number}-{count}");
         let streams = matches!(route, "stream" | "resume");
-        let more = if streams { platform::PROMPT } else { "" };
-        let more = format!("{more}Connection: close\r\n");
+        let headers = if streams { platform::PROMPT } else { "" };
+        let headers = format!("{headers}Connection: close\r\n");
         let (method, body) = if route == "safe" { ("GET", "") } else { ("POST", "b") };
-        let text = request(method, &format!("/{route}/a"), &attempt, &more, body);
-        let Some(answer) = platform::try_raw(entries[dice.usize(0..entries.len())], &text) else {
+        let text = request(method, &format!("/{route}/a"), &attempt, &headers, body);
+        let Some(answer) = platform::try_raw(entries[rng.usize(0..entries.len())], &text) else {
             thread::sleep(Duration::from_millis(30));
             continue;
         };
-        check_answer(&attempt, streams, &answer, &mut truth.lock().expect("truth"));
-        thread::sleep(Duration::from_millis(dice.u64(5..40)));
+        check_response(&attempt, streams, &answer, &mut record.lock().expect("unpoisoned lock"));
+        thread::sleep(Duration::from_millis(rng.u64(5..40)));
     }
 }
 
-fn check_answer(attempt: &str, streams: bool, answer: &str, truth: &mut Truth) {
+fn check_response(attempt: &str, streams: bool, answer: &str, record: &mut SoakRecord) {
     let status = answer.split(' ').nth(1).unwrap_or_default();
     if matches!(status, "408" | "421" | "429" | "503") {
-        truth.refused.push(attempt.to_owned());
+        record.refused.push(attempt.to_owned());
     }
     if status != "200" {
         return;
     }
     if !streams {
-        // A body that is shorter than stated is a visible cut.
+        // A body shorter than its stated length is visibly truncated.
         let body = answer.split("\r\n\r\n").nth(1).unwrap_or_default();
         if !attempt.starts_with(body) {
-            truth.faults.push(format!("{attempt} got {body}"));
+            record.violations.push(format!("{attempt} got {body}"));
         }
-        truth.served += u64::from(body == attempt);
+        record.served += u64::from(body == attempt);
         return;
     }
     let ids: Vec<u64> = answer
@@ -124,70 +124,71 @@
         .filter_map(|line| line.strip_prefix("id: "))
         .filter_map(|id| id.parse().ok())
         .collect();
-    let right: Vec<u64> = (1..=ids.len() as u64).collect();
-    if ids != right || answer.matches("data: ").count() != answer.matches(attempt).count() - 1 {
-        truth.faults.push(format!("{attempt} got events {ids:?}"));
+    let expected: Vec<u64> = (1..=ids.len() as u64).collect();
+    if ids != expected || answer.matches("data: ").count() != answer.matches(attempt).count() - 1 {
+        record.violations.push(format!("{attempt} got events {ids:?}"));
     }
-    let whole = answer.ends_with("0\r\n\r\n");
-    if whole && ids.len() as u64 != EVENTS {
-        truth.faults.push(format!("{attempt} ends whole after {ids:?}"));
+    let complete = answer.ends_with("0\r\n\r\n");
+    if complete && ids.len() as u64 != EVENTS_PER_STREAM {
+        record.violations.push(format!("{attempt} looks complete after {ids:?}"));
     }
-    truth.served += u64::from(whole);
-    truth.events.insert(attempt.to_owned(), ids.len() as u64);
+    record.served += u64::from(complete);
+    record.events.insert(attempt.to_owned(), ids.len() as u64);
 }
 
-fn strike(dice: &mut fastrand::Rng, store: &Store, processes: &mut [Process]) {
-    let at = dice.usize(0..processes.len());
-    match dice.u32(0..6) {
+fn inject_process_fault(rng: &mut fastrand::Rng, store: &Store, processes: &mut [Process]) {
+    let at = rng.usize(0..processes.len());
+    match rng.u32(0..6) {
         0 | 1 => processes[at].restart(),
         2 => {
             processes[at].signal("STOP");
-            thread::sleep(Duration::from_millis(dice.u64(200..1_200)));
+            thread::sleep(Duration::from_millis(rng.u64(200..1_200)));
             processes[at].signal("CONT");
         }
         3 => {
             processes[at].signal("TERM");
-            thread::sleep(Duration::from_millis(dice.u64(50..1_500)));
+            thread::sleep(Duration::from_millis(rng.u64(50..1_500)));
             processes[at].restart();
         }
         4 => {
             store.cut(true);
-            thread::sleep(Duration::from_millis(dice.u64(300..1_500)));
+            thread::sleep(Duration::from_millis(rng.u64(300..1_500)));
             store.cut(false);
         }
-        _ => thread::sleep(Duration::from_millis(dice.u64(100..500))),
+        _ => thread::sleep(Duration::from_millis(rng.u64(100..500))),
     }
 }
 
-fn check_truth(truth: &mut Truth) {
-    for (attempt, runs) in &truth.runs {
-        let repeats = attempt.starts_with("safe") || attempt.starts_with("resume");
-        if *runs > 1 && !repeats {
-            truth.faults.push(format!("{attempt} ran {runs} times"));
+fn check_record(record: &mut SoakRecord) {
+    for (attempt, runs) in &record.runs {
+        let repeatable = attempt.starts_with("safe") || attempt.starts_with("resume");
+        if *runs > 1 && !repeatable {
+            record.violations.push(format!("{attempt} ran {runs} times"));
         }
     }
-    for attempt in truth.refused.iter().filter(|attempt| truth.runs.contains_key(*attempt)) {
-        truth.faults.push(format!("{attempt} was refused as not run, and ran"));
+    for attempt in record.refused.iter().filter(|attempt| record.runs.contains_key(*attempt)) {
+        record.violations.push(format!("{attempt} was refused as not run, and ran"));
     }
-    let streams = truth
+    let streams = record
         .runs
         .keys()
         .filter(|attempt| attempt.starts_with("stream") || attempt.starts_with("resume"));
-    let prompts = streams.count() as u64 * PROMPT;
-    let outputs: u64 = truth.events.values().map(|events| events * STRIDE).sum();
-    if prompts + outputs > TOTAL {
-        truth.faults.push(format!("{} of {TOTAL} tokens used", prompts + outputs));
+    let prompts = streams.count() as u64 * PROMPT_TOKENS;
+    let outputs: u64 = record.events.values().map(|events| events * TOKENS_PER_EVENT).sum();
+    if prompts + outputs > BUDGET_TOKENS {
+        record.violations.push(format!("{} of {BUDGET_TOKENS} tokens used", prompts + outputs));
     }
 }
 
-/// Harms connections for a while, or for good where they go silent.
-fn harm_connections(dice: &mut fastrand::Rng, proxies: &[Proxy]) {
-    let proxy = &proxies[dice.usize(0..proxies.len())];
-    let time = Duration::from_millis(dice.u64(200..1_500));
-    match dice.u32(0..5) {
+/// Disturbs the connections through one proxy for a while; connections that it silences stay
+/// silent.
+fn inject_network_fault(rng: &mut fastrand::Rng, proxies: &[Proxy]) {
+    let proxy = &proxies[rng.usize(0..proxies.len())];
+    let time = Duration::from_millis(rng.u64(200..1_500));
+    match rng.u32(0..5) {
         0 => proxy.reset(),
         1 => proxy.silence(),
-        2 => proxy.set(Harm::Delay(Duration::from_millis(dice.u64(20..400)))),
+        2 => proxy.set(Harm::Delay(Duration::from_millis(rng.u64(20..400)))),
         3 => proxy.set(Harm::LoseAnswers),
         _ => proxy.set(Harm::LoseRequests),
     }
@@ -195,72 +196,75 @@
     proxy.set(Harm::None);
 }
 
-fn run_seed(seed: u64, proxied: bool) -> Truth {
-    let truth: Arc<Mutex<Truth>> = Arc::default();
+fn run_seed(seed: u64, with_proxies: bool) -> SoakRecord {
+    let record: Arc<Mutex<SoakRecord>> = Arc::default();
     let store = Store::start();
-    let mut backends = [1, 2, 3].map(|at| make_backend(&format!("i-{at}"), seed * 10 + at, &truth));
-    let mut harmed = Vec::new();
+    let mut backends =
+        [1, 2, 3].map(|at| make_backend(&format!("i-{at}"), seed * 10 + at, &record));
+    let mut proxies = Vec::new();
     let mut store = store;
-    if proxied {
-        harmed = vec![Proxy::start(store.address), Proxy::start(store.inner)];
-        store = store.behind(&harmed[0], &harmed[1]);
+    if with_proxies {
+        proxies = vec![Proxy::start(store.address), Proxy::start(store.inner)];
+        store = store.behind(&proxies[0], &proxies[1]);
         let servers = backends.each_ref().map(|backend| Proxy::start(backend.address));
         for (backend, proxy) in backends.iter_mut().zip(&servers) {
             *backend = backend.behind(proxy);
         }
-        harmed.extend(servers);
+        proxies.extend(servers);
     }
-    platform::configure_total(&store, 1, &backends.each_ref(), TOTAL);
+    platform::configure_total(&store, 1, &backends.each_ref(), BUDGET_TOKENS);
     let relays = ["side-1", "side-2"].map(|vm| Process::start_relay(&store, vm));
     let gateways = [Process::start_gateway(&store), Process::start_gateway(&store)];
     let entries: Vec<SocketAddr> = gateways.iter().map(|gateway| gateway.callers).collect();
-    let over = Arc::new(AtomicBool::new(false));
-    let callers: Vec<_> = (0..CALLERS)
+    let stopped = Arc::new(AtomicBool::new(false));
+    let callers: Vec<_> = (0..CALLER_COUNT)
         .map(|number| {
-            let (entries, truth, over) = (entries.clone(), Arc::clone(&truth), Arc::clone(&over));
-            thread::spawn(move || run_caller(number, seed, &entries, &truth, &over))
+            let (entries, record, stopped) =
+                (entries.clone(), Arc::clone(&record), Arc::clone(&stopped));
+            thread::spawn(move || run_caller(number, seed, &entries, &record, &stopped))
         })
         .collect();
     let mut processes: Vec<Process> = relays.into_iter().chain(gateways).collect();
-    let mut dice = fastrand::Rng::with_seed(seed);
+    let mut rng = fastrand::Rng::with_seed(seed);
     let start = Instant::now();
-    while start.elapsed() < LENGTH {
-        if proxied && dice.bool() {
-            harm_connections(&mut dice, &harmed);
+    while start.elapsed() < DURATION {
+        if with_proxies && rng.bool() {
+            inject_network_fault(&mut rng, &proxies);
         }
-        strike(&mut dice, &store, &mut processes);
+        inject_process_fault(&mut rng, &store, &mut processes);
     }
-    over.store(true, Ordering::Relaxed);
+    stopped.store(true, Ordering::Relaxed);
     for caller in callers {
         caller.join().expect("a caller");
     }
-    let mut truth = std::mem::take(&mut *truth.lock().expect("truth"));
-    check_truth(&mut truth);
-    truth
+    let mut record = std::mem::take(&mut *record.lock().expect("unpoisoned lock"));
+    check_record(&mut record);
+    record
 }
 
-/// Entries and relays die, pause, stop and lose the store while servers misbehave: no budget is
-/// overspent, nothing that may run once runs twice, "not run" is true, and what looks whole is whole.
+/// Entries and relays die, pause, stop and lose the store while servers misbehave. No budget is
+/// overspent, a request that must not be repeated runs at most once, a request reported as not run
+/// did not run, and a response that looks complete is complete.
 #[test]
 fn seeded_faults() {
     run_seeds(&SEEDS, false);
 }
 
-/// The same while connections are delayed, reset, cut one way or silent for good. What an entry sent on
-/// such a connection may have run, whatever it hears.
+/// The same while connections are delayed, reset, cut in one direction or silenced for good. A
+/// request sent on such a connection may have run, whatever the entry receives.
 #[test]
-fn harmed_connections() {
-    run_seeds(&HARMED_SEEDS, true);
+fn network_faults() {
+    run_seeds(&PROXIED_SEEDS, true);
 }
 
-fn run_seeds(usual: &[u64], proxied: bool) {
-    let given = std::env::var("TOUCANRAIL_SOAK_SEEDS").ok();
-    let given =
-        given.map(|text| text.split_whitespace().filter_map(|seed| seed.parse().ok()).collect());
-    for seed in given.unwrap_or(usual.to_vec()) {
-        let truth = run_seed(seed, proxied);
-        println!("seed {seed}: {} attempts ran, {} served", truth.runs.len(), truth.served);
-        assert!(truth.faults.is_empty(), "seed {seed}: {:?}", truth.faults);
-        assert!(truth.served > 20, "seed {seed}: only {} served", truth.served);
+fn run_seeds(default_seeds: &[u64], with_proxies: bool) {
+    let selected = std::env::var("TOUCANRAIL_SOAK_SEEDS").ok();
+    let selected =
+        selected.map(|text| text.split_whitespace().filter_map(|seed| seed.parse().ok()).collect());
+    for seed in selected.unwrap_or(default_seeds.to_vec()) {
+        let record = run_seed(seed, with_proxies);
+        println!("seed {seed}: {} attempts ran, {} served", record.runs.len(), record.served);
+        assert!(record.violations.is_empty(), "seed {seed}: {:?}", record.violations);
+        assert!(record.served > 20, "seed {seed}: only {} served", record.served);
     }
 }
--- a/toucanrail-gateway/tests/lost_answers.rs
+++ b/toucanrail-gateway/tests/faulty_responses.rs
@@ -1,4 +1,4 @@
-//! Answers that servers lose, break off or mix up.
+//! Responses that servers lose, truncate or mix up.
 
 mod platform;
 
@@ -13,32 +13,32 @@
 {
     let store = Store::start();
     let other = script.clone();
-    let one = Backend::start("i-1", move |number, _| script(number));
-    let two = Backend::start("i-2", move |number, _| other(number));
-    platform::configure(&store, 1, &[&one, &two]);
+    let first = Backend::start("i-1", move |number, _| script(number));
+    let second = Backend::start("i-2", move |number, _| other(number));
+    platform::configure(&store, 1, &[&first, &second]);
     let gateway = Process::start_gateway(&store);
-    (store, one, two, gateway)
+    (store, first, second, gateway)
 }
 
-/// A submission reached its server and the answer was lost. Sent again it would be filed twice; told
-/// as "not run" its caller would file it twice.
+/// A submission reaches its server and the response is lost. If it were sent again, or reported as
+/// not run, it would be filed twice.
 #[test]
 fn lost_submission() {
-    let (_store, one, two, gateway) = start_pair(|_| Act::Break(String::new()));
+    let (_store, first, second, gateway) = start_pair(|_| Act::Break(String::new()));
     let text = request("POST", "/once/a", "r1", "", "file");
     let answer = platform::call(gateway.callers, &text).unwrap();
     assert_eq!(answer.status(), 502);
     assert_eq!(answer.field("toucanrail-run"), Some("unknown"));
-    assert_eq!(one.seen().len() + two.seen().len(), 1);
+    assert_eq!(first.seen().len() + second.seen().len(), 1);
 }
 
-/// A lookup fails at one server and is asked again at the other; its caller gets an answer.
+/// A lookup that fails at one server is retried at the other, and its caller gets a response.
 #[test]
 fn failed_lookup() {
     let store = Store::start();
-    let sick = Backend::start("i-1", |_, _| Act::Answer(FAILED.to_owned()));
-    let sound = Backend::start("i-2", |_, _| Act::Answer(platform::signed("seven")));
-    platform::configure(&store, 1, &[&sick, &sound]);
+    let failing = Backend::start("i-1", |_, _| Act::Answer(FAILED.to_owned()));
+    let healthy = Backend::start("i-2", |_, _| Act::Answer(platform::signed("seven")));
+    platform::configure(&store, 1, &[&failing, &healthy]);
     let gateway = Process::start_gateway(&store);
     for number in 0..4 {
         let text = request("GET", "/safe/a", &format!("r{number}"), "", "");
@@ -46,22 +46,22 @@
     }
 }
 
-/// Both servers say that they did not run a submission: its caller is told so, and when to come back.
+/// Both servers decline a submission. Its caller is told that it did not run, and when to retry.
 #[test]
 fn declined_submission() {
-    let (_store, one, two, gateway) = start_pair(|_| Act::Answer(DECLINED.to_owned()));
+    let (_store, first, second, gateway) = start_pair(|_| Act::Answer(DECLINED.to_owned()));
     let text = request("POST", "/once/a", "r1", "", "file");
     let answer = platform::call(gateway.callers, &text).unwrap();
     assert_eq!(answer.status(), 429);
     assert_eq!(answer.field("toucanrail-run"), Some("not-run"));
     assert!(answer.field("retry-after").is_some());
-    assert_eq!((one.seen().len(), two.seen().len()), (1, 1));
+    assert_eq!((first.seen().len(), second.seen().len()), (1, 1));
 }
 
-/// A server sends a second answer to the request before. On a kept connection it stands where the
-/// next one's answer is expected, and must reach nobody.
+/// A server sends a second response to an earlier request. On a reused connection it arrives where
+/// the response to the next request is expected, and must not be forwarded to anyone.
 #[test]
-fn foreign_answer() {
+fn foreign_response() {
     let store = Store::start();
     let backend = Backend::start("i-1", |number, _| {
         let own = platform::signed("own");
@@ -78,9 +78,9 @@
     }
 }
 
-/// An answer without a server's signature, or shorter than it says, is no success.
+/// An unsigned, malformed or truncated response must not be reported as a success.
 #[test]
-fn unsound_answers() {
+fn invalid_responses() {
     for bytes in [
         "HTTP/1.1 200 OK\r\nX-Attempt-Id: ID\r\nContent-Length: 2\r\n\r\nno",
         "rubbish\r\n\r\n",
@@ -92,8 +92,8 @@
     }
 }
 
-/// A server breaks off in the middle of an event. Where the stream may be resumed, another goes on
-/// behind the last whole event, and the caller sees each event once.
+/// A server breaks off in the middle of an event. A resumable stream continues at another server
+/// after the last complete event, and the caller sees each event once.
 #[test]
 fn resumed_stream() {
     let store = Store::start();
@@ -106,34 +106,35 @@
         ),
         Some(_) => Act::Break(String::new()),
     };
-    let one = Backend::start("i-1", script);
-    let two = Backend::start("i-2", script);
-    platform::configure(&store, 1, &[&one, &two]);
+    let first = Backend::start("i-1", script);
+    let second = Backend::start("i-2", script);
+    platform::configure(&store, 1, &[&first, &second]);
     let gateway = Process::start_gateway(&store);
-    let more = format!("{}Connection: close\r\n", platform::PROMPT);
+    let headers = format!("{}Connection: close\r\n", platform::PROMPT);
     let answer =
-        platform::call_raw(gateway.callers, &request("POST", "/resume/a", "r1", &more, "p"));
+        platform::call_raw(gateway.callers, &request("POST", "/resume/a", "r1", &headers, "p"));
     assert_eq!(answer.matches("data: a").count(), 1, "{answer}");
     assert_eq!(answer.matches("data: b").count(), 1, "{answer}");
     assert!(answer.ends_with("0\r\n\r\n") && !answer.contains("id: 2\nda\r"), "{answer}");
 }
 
-/// The same where it may not be resumed: the caller must see that its stream is cut.
+/// The same for a stream that cannot be resumed: the caller must be able to see that it was
+/// truncated.
 #[test]
-fn cut_stream() {
+fn truncated_stream() {
     let broken = [platform::STREAM, &platform::chunk("id: 1\ndata: a\n\nid: 2\nda")].concat();
-    let (_store, one, two, gateway) = start_pair(move |_| Act::Break(broken.clone()));
-    let more = format!("{}Connection: close\r\n", platform::PROMPT);
+    let (_store, first, second, gateway) = start_pair(move |_| Act::Break(broken.clone()));
+    let headers = format!("{}Connection: close\r\n", platform::PROMPT);
     let answer =
-        platform::call_raw(gateway.callers, &request("POST", "/stream/a", "r1", &more, "p"));
+        platform::call_raw(gateway.callers, &request("POST", "/stream/a", "r1", &headers, "p"));
     assert!(answer.contains("data: a") && !answer.ends_with("0\r\n\r\n"), "{answer}");
-    assert_eq!(one.seen().len() + two.seen().len(), 1);
+    assert_eq!(first.seen().len() + second.seen().len(), 1);
 }
 
-/// A server answers before it has read a long body, and reads on later. The next request on that
-/// connection would stand where the rest of the body is due, and run as part of another's.
+/// A server responds before it has read a long body and continues to read afterwards. If the
+/// connection were reused, the next request would be read as the rest of that body.
 #[test]
-fn early_answer() {
+fn early_response() {
     let store = Store::start();
     let backend = Backend::start_hasty("i-1");
     platform::configure(&store, 1, &[&backend]);
--- a/toucanrail-gateway/tests/fresh_start.rs
+++ b/toucanrail-gateway/tests/fresh_start.rs
@@ -1,12 +1,12 @@
-//! The first moments of an entry.
+//! Startup of an entry.
 
 mod platform;
 
 use platform::{Act, Backend, Process, Store, request};
 
-/// An entry starts while the store is busy. Its configuration comes first, the balancer finds it
-/// ready and sends callers, and each is refused with "no backend server" although all servers are
-/// well: their list came some milliseconds later. So the entry is ready only when it has both.
+/// An entry starts while the store is busy, and its configuration arrives before the list of
+/// servers. If it reported ready in between, the balancer would send callers, and each would be
+/// refused with "no backend server". It must be ready only when it has both.
 #[test]
 fn unlisted_servers() {
     let store = Store::start();
@@ -18,8 +18,8 @@
     platform::wait_until("the configuration", || {
         platform::call(gateway.callers, &unknown).is_some_and(|answer| answer.status() == 404)
     });
-    let asked = platform::call(gateway.readiness, "GET /api/ready HTTP/1.1\r\nHost: x\r\n\r\n");
-    assert_eq!(asked.map(|answer| answer.status()), Some(503));
+    let response = platform::call(gateway.readiness, "GET /api/ready HTTP/1.1\r\nHost: x\r\n\r\n");
+    assert_eq!(response.map(|answer| answer.status()), Some(503));
     store.hold("servers", false);
     gateway.wait_ready(true);
     let text = request("GET", "/safe/a", "r1", "", "");
--- a/toucanrail-gateway/tests/gateway_ends.rs
+++ b/toucanrail-gateway/tests/gateway_disruptions.rs
@@ -1,4 +1,4 @@
-//! A gateway that is stopped, cut off from the store, or told of servers that leave.
+//! Gateways that are stopped, abandoned by a caller or cut off from the store.
 
 mod platform;
 
@@ -13,8 +13,8 @@
     [platform::STREAM, &events.join("PAUSE"), "0\r\n\r\n"].concat()
 }
 
-/// An entry is stopped while a stream is under way: the balancer is told, the stream ends whole, and
-/// the process ends by itself.
+/// An entry is stopped during a stream: it reports not ready, the stream is completed, and the
+/// process exits on its own.
 #[test]
 fn graceful_stop() {
     let store = Store::start();
@@ -23,8 +23,8 @@
     let mut gateway = Process::start_gateway(&store);
     let address = gateway.callers;
     let caller = thread::spawn(move || {
-        let more = format!("{}Connection: close\r\n", platform::PROMPT);
-        platform::call_raw(address, &request("POST", "/stream/a", "r1", &more, "p"))
+        let headers = format!("{}Connection: close\r\n", platform::PROMPT);
+        platform::call_raw(address, &request("POST", "/stream/a", "r1", &headers, "p"))
     });
     platform::wait_until("the request", || !backend.seen().is_empty());
     gateway.signal("TERM");
@@ -34,10 +34,10 @@
     assert!(gateway.wait_end());
 }
 
-/// An entry that is stopping saw that nothing was in flight, waited for the store to take its grants
-/// back, and cut off the requests that it had admitted meanwhile.
+/// A stopping entry had no request in flight and waited for the store to take its grants back.
+/// Requests that it admitted in the meantime were cut off when it exited.
 #[test]
-fn late_requests() {
+fn requests_during_shutdown() {
     let store = Store::start();
     let slow = ["PAUSE".repeat(20), platform::signed("whole")].concat();
     let backend = Backend::start("i-1", move |_, message| match message.field("x-model") {
@@ -47,9 +47,9 @@
     platform::configure(&store, 1, &[&backend]);
     let mut gateway = Process::start_gateway(&store);
     let address = gateway.callers;
-    // The entry has a grant to give back, and the store does not take it.
-    let more = format!("{}Connection: close\r\n", platform::PROMPT);
-    platform::call_raw(address, &request("POST", "/stream/a", "r0", &more, "p"));
+    // The entry has a grant to return, and the store does not accept it.
+    let headers = format!("{}Connection: close\r\n", platform::PROMPT);
+    platform::call_raw(address, &request("POST", "/stream/a", "r0", &headers, "p"));
     assert!(!store.granted("acme").is_empty());
     store.hold("budgets", true);
     gateway.signal("TERM");
@@ -70,9 +70,9 @@
     assert_eq!(whole, ran, "{answers:?}");
 }
 
-/// A caller goes away in the middle of its stream: its server must not work on.
+/// A caller disconnects in the middle of its stream. The server must stop working on it.
 #[test]
-fn caller_gone() {
+fn disconnected_caller() {
     use std::io::Write;
     let store = Store::start();
     let backend = Backend::start("i-1", |_, _| Act::Answer(slow_stream().repeat(5)));
@@ -82,14 +82,16 @@
     stream.write_all(request("POST", "/stream/a", "r1", platform::PROMPT, "p").as_bytes()).unwrap();
     platform::wait_until("the request", || !backend.seen().is_empty());
     drop(stream);
-    // The prompt alone, or with what had come until then, is billed soon after: the attempt is over.
+    // The prompt, and any output until then, is billed soon after; this shows that the attempt has
+    // ended.
     platform::wait_until("the bill", || store.billed("acme") >= 100);
     assert!(store.billed("acme") < 160);
 }
 
-/// The store is away: servers and configuration known last serve on.
+/// While the store is unavailable, requests are served with the last known servers and
+/// configuration.
 #[test]
-fn absent_store() {
+fn unavailable_store() {
     let store = Store::start();
     let backend = Backend::start("i-1", |_, _| Act::Answer(platform::signed("fine")));
     platform::configure(&store, 1, &[&backend]);
@@ -107,7 +109,7 @@
 }
 
 /// Starts a relay and an entry that knows it, then cuts the entry off from the store.
-fn start_cut(store: &Store) -> (Process, Process) {
+fn start_disconnected(store: &Store) -> (Process, Process) {
     let relay = Process::start_relay(store, "side-1");
     let gateway = Process::start_gateway(store);
     thread::sleep(Duration::from_millis(1_200));
@@ -115,22 +117,23 @@
     (relay, gateway)
 }
 
-/// An entry is cut off from the store a moment after its start, before it holds any grant. Through the
-/// relay's VM budgets are confirmed, and a newer configuration comes into force. An entry that
-/// listed the relays only two seconds after its start refused everyone until the cut healed.
+/// An entry is cut off from the store shortly after its start, before it holds any grant. Through
+/// the relay, budgets are still confirmed and a newer configuration comes into force. An entry that
+/// listed the relays only two seconds after its start used to refuse every caller until the
+/// connection was restored.
 #[test]
-fn cut_entry() {
+fn entry_without_store() {
     let store = Store::start();
     let backend = Backend::start("i-1", |_, _| Act::Answer(slow_stream()));
     platform::configure(&store, 1, &[&backend]);
-    let (relay, gateway) = start_cut(&store);
-    let more = format!("{}Connection: close\r\n", platform::PROMPT);
-    let text = request("POST", "/stream/a", "r1", &more, "p");
+    let (relay, gateway) = start_disconnected(&store);
+    let headers = format!("{}Connection: close\r\n", platform::PROMPT);
+    let text = request("POST", "/stream/a", "r1", &headers, "p");
     platform::wait_until("service", || {
         platform::call_raw(gateway.callers, &text).starts_with("HTTP/1.1 200")
     });
-    let two = Backend::start("i-2", |_, _| Act::Answer(platform::signed("second")));
-    platform::configure(&store, 2, &[&two]);
+    let second = Backend::start("i-2", |_, _| Act::Answer(platform::signed("second")));
+    platform::configure(&store, 2, &[&second]);
     store.remove("servers", "i-1");
     platform::wait_until("the new server", || {
         let text = request("GET", "/safe/a", "r2", "", "");
@@ -139,15 +142,16 @@
     drop(relay);
 }
 
-/// An entry's VM is cut off from the store and from all relays, while the entries beside it serve. It
-/// refused all callers that need a budget for as long as the cut lasted, told the balancer that it was
-/// ready, and kept their connections. It turns them away, and is back as soon as the store answers.
+/// An entry's VM is cut off from the store and from all relays, while other entries can serve. It
+/// used to refuse all callers that need a budget, but reported ready and kept their connections
+/// open. It must report not ready, close connections after a refusal, and recover once the store
+/// responds.
 #[test]
-fn lone_entry() {
+fn isolated_entry() {
     let store = Store::start();
     let backend = Backend::start("i-1", |_, _| Act::Answer(slow_stream()));
     platform::configure(&store, 1, &[&backend]);
-    let (relay, gateway) = start_cut(&store);
+    let (relay, gateway) = start_disconnected(&store);
     relay.signal("KILL");
     let text = request("POST", "/stream/a", "r1", platform::PROMPT, "p");
     platform::wait_until("a refusal that closes", || {
@@ -155,18 +159,18 @@
         answer.status() == 503 && answer.field("connection") == Some("close")
     });
     gateway.wait_ready(false);
-    // What needs no budget is served on.
+    // Requests that need no budget are still served.
     let public = request("GET", "/safe/a", "r2", "", "");
     assert!(platform::call(gateway.callers, &public).is_some());
     store.cut(false);
     gateway.wait_ready(true);
 }
 
-/// The store forgets its history while a change is made, and answers the next watch with 410. An entry
-/// that only watched on would never learn of the change: its callers would go on with a key that was
-/// taken away. It lists anew.
+/// The store compacts its history while a change is made and responds to the next watch with 410.
+/// An entry that only resumed its watch would never see the change and would accept a revoked key.
+/// It must list again.
 #[test]
-fn forgotten_history() {
+fn compacted_history() {
     let store = Store::start();
     let backend = Backend::start("i-1", |_, _| Act::Answer(platform::signed("fine")));
     platform::configure(&store, 1, &[&backend]);
--- a/toucanrail-gateway/tests/silent_servers.rs
+++ b/toucanrail-gateway/tests/silent_servers.rs
@@ -1,4 +1,4 @@
-//! Servers that do not answer for a while: queues, lost answers and dead servers.
+//! Servers that do not respond for a while: long queues, lost responses and dead servers.
 
 mod platform;
 
@@ -6,8 +6,8 @@
 
 use platform::{Act, Backend, Message, Process, Store, request};
 
-/// A report of a server's load.
-fn report(waiting: u32, runs: &str) -> String {
+/// Returns a load report as a server sends it.
+fn load_report(waiting: u32, runs: &str) -> String {
     let body = format!("{{\"born\":1,\"waiting\":{waiting},\"runs\":[{runs}]}}");
     format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())
 }
@@ -16,11 +16,11 @@
     [platform::STREAM, &platform::chunk("id: 1\ndata: whole\n\n"), "0\r\n\r\n"].concat()
 }
 
-/// Starts a server that answers a stream only after some seconds and reports as told, with its relay,
-/// and a server that answers at once if `others` says so.
+/// Starts a server that responds to a stream only after several seconds and sends the given load
+/// report, a relay beside it, and, if `with_fast` is set, a second server that responds at once.
 fn start_slow(
     reports: &'static str,
-    others: bool,
+    with_fast: bool,
 ) -> (Store, Backend, Vec<Backend>, Process, Process) {
     let store = Store::start();
     let slow = Backend::start("i-1", move |_, message: &Message| match message.target() {
@@ -28,7 +28,7 @@
         _ => Act::Answer(["PAUSE".repeat(70), whole_stream()].concat()),
     });
     let fast = Backend::start("i-2", |_, _| Act::Answer(whole_stream()));
-    let backends: Vec<Backend> = if others { vec![fast] } else { Vec::new() };
+    let backends: Vec<Backend> = if with_fast { vec![fast] } else { Vec::new() };
     let all: Vec<&Backend> = std::iter::once(&slow).chain(&backends).collect();
     platform::configure_total(&store, 1, &all, 100_000);
     let relay = Process::start_relay_beside(&store, "side-1", &slow);
@@ -40,71 +40,73 @@
     backend.seen().iter().filter(|message| message.field("x-model").is_some()).count()
 }
 
-fn ask(gateway: &Process, id: &str) -> String {
-    let more = format!("{}Connection: close\r\n", platform::PROMPT);
-    platform::call_raw(gateway.callers, &request("POST", "/resume/a", id, &more, "p"))
+fn send_prompt(gateway: &Process, id: &str) -> String {
+    let headers = format!("{}Connection: close\r\n", platform::PROMPT);
+    platform::call_raw(gateway.callers, &request("POST", "/resume/a", id, &headers, "p"))
 }
 
-/// Asks until the slow server had a request, and checks that the other one answered it soon.
-fn check_moved(gateway: &Process, slow: &Backend, other: &Backend) {
+/// Sends requests until the slow server has received one, and checks that the other server
+/// responded to it soon.
+fn check_failover(gateway: &Process, slow: &Backend, other: &Backend) {
     let start = Instant::now();
-    // Which server comes first is not known, but one of some requests goes to the slow one.
+    // Either server may be picked first, but one of several requests goes to the slow one.
     for number in 0..20 {
         if count_prompts(slow) == 0 {
-            assert!(ask(gateway, &format!("r{number}")).contains("whole"));
+            assert!(send_prompt(gateway, &format!("r{number}")).contains("whole"));
         }
     }
     assert!(count_prompts(slow) == 1 && count_prompts(other) > 0);
     assert!(start.elapsed() < Duration::from_millis(1_900), "{:?}", start.elapsed());
 }
 
-/// A server's queue is long, and the entry took it for dead: it sent the request to another one, or
-/// closed the connection and answered 502 to a caller whose prompt was billed.
+/// A server with a long queue was taken for dead: the entry sent the request to another server, or
+/// closed the connection and responded with 502 to a caller whose prompt was billed.
 #[test]
 fn queued_request() {
-    let reports = Box::leak(report(3, "").into_boxed_str());
-    let (store, slow, _others, _relay, gateway) = start_slow(reports, false);
-    let answer = ask(&gateway, "r1");
+    let reports = Box::leak(load_report(3, "").into_boxed_str());
+    let (store, slow, _fast, _relay, gateway) = start_slow(reports, false);
+    let answer = send_prompt(&gateway, "r1");
     assert!(answer.starts_with("HTTP/1.1 200") && answer.contains("whole"), "{answer}");
     assert_eq!(count_prompts(&slow), 1);
     platform::wait_until("the bill", || store.billed("acme") == 106);
 }
 
-/// The same where the prompt is being read.
+/// The same while the server processes the prompt.
 #[test]
-fn read_request() {
-    let reports = Box::leak(report(0, "[\"r1\",50,0,1]").into_boxed_str());
-    let (_store, slow, _others, _relay, gateway) = start_slow(reports, false);
-    let answer = ask(&gateway, "r1");
+fn running_request() {
+    let reports = Box::leak(load_report(0, "[\"r1\",50,0,1]").into_boxed_str());
+    let (_store, slow, _fast, _relay, gateway) = start_slow(reports, false);
+    let answer = send_prompt(&gateway, "r1");
     assert!(answer.starts_with("HTTP/1.1 200") && answer.contains("whole"), "{answer}");
     assert_eq!(count_prompts(&slow), 1);
 }
 
-/// A server has no trace of the request any more, or made events that never came: its answer is lost,
-/// and the request goes to another server long before its time is over.
+/// A server no longer knows the request, or has produced events that never arrived. Its response is
+/// lost, and the request must be retried at another server long before its deadline.
 #[test]
-fn lost_trace() {
+fn lost_run() {
     for runs in ["", "[\"r1\",50,4,1]"] {
-        let reports = Box::leak(report(0, runs).into_boxed_str());
-        let (_store, slow, others, _relay, gateway) = start_slow(reports, true);
-        check_moved(&gateway, &slow, &others[0]);
+        let reports = Box::leak(load_report(0, runs).into_boxed_str());
+        let (_store, slow, fast, _relay, gateway) = start_slow(reports, true);
+        check_failover(&gateway, &slow, &fast[0]);
     }
 }
 
-/// A server is silent and so is its report: it is dead, and the request goes to another one.
+/// Neither a server nor its load report responds: it is dead, and the request is retried at another
+/// one.
 #[test]
 fn dead_server() {
-    let (_store, slow, others, _relay, gateway) = start_slow("", true);
-    check_moved(&gateway, &slow, &others[0]);
+    let (_store, slow, fast, _relay, gateway) = start_slow("", true);
+    check_failover(&gateway, &slow, &fast[0]);
 }
 
-/// A server lost more answers than there are retries. Callers without one were kept waiting to the end of
-/// their time for an answer that was known never to come.
+/// A server lost more responses than the retry budget covers. Callers without a retry used to wait
+/// until their deadline for a response that was known to be lost.
 #[test]
-fn lost_answers() {
+fn lost_responses() {
     let store = Store::start();
     let backend = Backend::start("i-1", |_, message: &Message| match message.target() {
-        "/api/report" => Act::Answer(report(0, "")),
+        "/api/report" => Act::Answer(load_report(0, "")),
         _ => Act::Answer("PAUSE".repeat(300)),
     });
     platform::configure_total(&store, 1, &[&backend], 100_000);
@@ -115,7 +117,7 @@
         for number in 0..16 {
             scope.spawn(move || {
                 let start = Instant::now();
-                let answer = ask(gateway, &format!("r{number}"));
+                let answer = send_prompt(gateway, &format!("r{number}"));
                 assert!(answer.starts_with("HTTP/1.1 502"), "{answer}");
                 assert!(start.elapsed() < Duration::from_secs(3), "{:?}", start.elapsed());
             });
