--- a/toucanrail-gateway/src/hosting.rs
+++ b/toucanrail-gateway/src/hosting.rs
@@ -14,10 +14,10 @@
 use toucanrail::coldstarts::PermitTable;
 
 use crate::change_feed::ChangeFeed;
+use crate::relay;
 use crate::relay_api::{self, RelayApi};
 use crate::relay_registration;
-use crate::states::Gateway;
-use crate::tunnelling;
+use crate::state::Gateway;
 
 /// Time in which relays on VMs of their own register when a fleet starts.
 const REGISTRATION_TIME: Duration = Duration::from_secs(4);
@@ -31,7 +31,7 @@
     }
     match start(&gateway) {
         Ok(api) => {
-            gateway.hosted.borrow_mut().replace(api);
+            gateway.hosted_relay.borrow_mut().replace(api);
             tracing::info!(event = "relay_hosted", lending = %gateway.settings.lending);
         }
         // The entry continues with its own grants.
@@ -44,7 +44,7 @@
 fn should_host(gateway: &Gateway) -> bool {
     let store = &gateway.store;
     let waited = store.has_relay(&gateway.settings.vm) || gateway.now() > REGISTRATION_TIME;
-    waited && store.has_only_hosted_relays() && gateway.stopping.get().is_none()
+    waited && store.has_only_hosted_relays() && gateway.stop_requested.get().is_none()
 }
 
 fn start(gateway: &Rc<Gateway>) -> io::Result<Rc<RelayApi>> {
@@ -55,7 +55,7 @@
     let store = Rc::clone(&gateway.store);
     let reaches_store = move || store.is_direct();
     let forwarding =
-        tunnelling::pass_connections(Rc::clone(executor), relayed, settings.store, reaches_store);
+        relay::forward_connections(Rc::clone(executor), relayed, settings.store, reaches_store);
     executor.spawn(forwarding).detach();
     let api = Rc::new(RelayApi {
         grant_manager: Rc::clone(&gateway.grant_manager),
--- a/toucanrail-gateway/src/lib.rs
+++ b/toucanrail-gateway/src/lib.rs
@@ -1,16 +1,21 @@
-//! The entry that reaches backend servers directly, on the users' platform.
+//! Entry and relay processes for fleets whose backend servers are reached directly, on the users'
+//! platform.
 //!
-//! One thread serves everything: callers' connections (`accepting`), a request's way in (`admitting`),
-//! the choice of servers (`dispatching`), one attempt at one (`sending`) and the answer (`relaying`).
-//! Beside it run the loops that follow the store (`store_watch`, by a relay that `relay_client` calls or on
-//! the way that `store_access` finds) and those that keep budgets: `loan_client` from lenders, and `grant_manager`
-//! with grants of its own.
+//! An *entry* (program `toucanrail-gateway`) accepts callers' requests and forwards them to backend
+//! servers. A single thread runs everything. A request passes through [`accepting`] (callers'
+//! connections), [`admitting`] (route, customer, load and budget), [`dispatching`] (choice of
+//! servers and retries), [`sending`] (one attempt at one server) and [`forwarding`] (the response
+//! body). Background tasks follow the store ([`store_watch`]), through a relay ([`relay_client`]) or on
+//! the path found by [`store_access`], and manage budgets: [`loan_client`] takes loans from lenders,
+//! [`grant_manager`] uses the entry's own grants.
 //!
-//! The second program of this crate stands beside backend servers: `tunnelling` passes connections to
-//! the store on, `relay_api` serves entries from the same `grant_manager`, `change_feed` tells them what
-//! changed in the store, and `relay_registration` how fast the server is; a server that has just started gets
-//! only what `permits` had a permit for. Where no VM has such a relay, entries
-//! host them (`hosting`). Decisions come from the library; this crate holds sockets and timers.
+//! A *relay* (program `toucanrail-relay`) runs beside a backend server: [`relay`] forwards
+//! connections to the store, [`relay_api`] lends entries budget from the same [`grant_manager`],
+//! [`change_feed`] tells them about changes in the store, and [`relay_registration`] reports how fast the
+//! server is. A server that has just started only receives requests that got a permit
+//! ([`permits`]). If no VM runs a relay, entries host relays themselves ([`hosting`]).
+//!
+//! Decisions are made in the `toucanrail` library; this crate owns sockets and timers.
 //!
 //! # Examples
 //! ```no_run
@@ -26,30 +31,30 @@
 //! ```
 
 pub mod accepting;
+pub mod admin;
 pub mod admitting;
-pub mod answering;
-pub mod calls;
 pub mod change_feed;
 pub mod dispatching;
+pub mod forwarding;
 pub mod grant_manager;
 pub mod hosting;
-pub mod inspecting;
 pub mod launching;
 pub mod listening;
+pub mod liveness;
 pub mod loan_client;
 pub mod logging;
 pub mod permits;
+pub mod relay;
 pub mod relay_api;
 pub mod relay_client;
 pub mod relay_registration;
-pub mod relaying;
 pub mod report_client;
+pub mod request_context;
+pub mod responding;
 pub mod sending;
-pub mod sighting;
 pub mod starting;
-pub mod states;
+pub mod state;
 pub mod stopping;
 pub mod store_access;
 pub mod store_watch;
 pub mod tuning;
-pub mod tunnelling;
--- a/toucanrail-gateway/src/loan_client.rs
+++ b/toucanrail-gateway/src/loan_client.rs
@@ -19,7 +19,7 @@
 use crate::grant_manager::HoldFailure;
 use crate::relay_api::{LOAN_END_PATH, LOAN_PATH};
 use crate::relay_client::{self, RelayBackoff};
-use crate::states::Gateway;
+use crate::state::Gateway;
 
 /// Timeout of a loan request. A lender that has to ask the store first answers within about half of it;
 /// one that is cut off or frozen does not answer at all.
@@ -167,7 +167,7 @@
             }
             Err(error) => {
                 tracing::info!(event = "lender_failed", %lender, %error, customer = %need.customer);
-                gateway.board.count_event("lenders_failed");
+                gateway.metrics.count_event("lenders_failed");
                 gateway.loan_client.lenders_unreachable.set(true);
                 gateway.loan_client.backoff.note_failure(&lender, gateway.now());
             }
--- a/toucanrail-gateway/src/permits.rs
+++ b/toucanrail-gateway/src/permits.rs
@@ -11,7 +11,7 @@
 
 use crate::relay_api::PERMIT_PATH;
 use crate::relay_client;
-use crate::states::Gateway;
+use crate::state::Gateway;
 
 /// Timeout of a permit call.
 const PERMIT_TIMEOUT: Duration = Duration::from_millis(80);
@@ -51,7 +51,7 @@
     };
     let until = gateway.now() + wait;
     gateway.tables.borrow_mut().backends.note_no_permit(&target.id, until);
-    gateway.board.count_event("permits_denied");
+    gateway.metrics.count_event("permits_denied");
     tracing::info!(
         event = "permit_denied", server = %target.id, limit, wait_ms = wait.as_millis() as u64,
     );
--- a/toucanrail-gateway/src/relay_api.rs
+++ b/toucanrail-gateway/src/relay_api.rs
@@ -68,7 +68,7 @@
         let api = Rc::clone(&api);
         async move { serve_entry(&api, socket).await }
     };
-    listening::serve_each(&executor, listener, usize::MAX, serve, || ()).await;
+    listening::serve_connections(&executor, listener, usize::MAX, serve, || ()).await;
 }
 
 async fn serve_entry(api: &RelayApi, socket: Async<TcpStream>) -> io::Result<()> {
--- a/toucanrail-gateway/src/relay_client.rs
+++ b/toucanrail-gateway/src/relay_client.rs
@@ -14,7 +14,7 @@
 use toucanrail_wire::clocks;
 
 use crate::relay_api::ALIVE_PATH;
-use crate::states::Gateway;
+use crate::state::Gateway;
 
 /// Connect timeout. Relays are a few milliseconds away; a dead one does not answer at all.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(120);
--- /dev/null
+++ b/toucanrail-gateway/src/state.rs
@@ -0,0 +1,269 @@
+//! State shared by all parts of the gateway.
+
+use std::cell::{Cell, RefCell};
+use std::collections::BTreeMap;
+use std::rc::Rc;
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+
+use event_listener::Event;
+use smol::LocalExecutor;
+use toucanrail::admissions::{AdmissionLimit, AdmissionQuery};
+use toucanrail::backends::{BackendEntry, BackendId, BackendTable, FlightId};
+use toucanrail::ids::{EntryId, ServiceName};
+use toucanrail::matching::RouteTable;
+use toucanrail::probes::{PlaceGauge, ProbeRow};
+use toucanrail::retries::{RetryBounds, RetryBudget};
+use toucanrail_daemons::observing::MetricBoard;
+use toucanrail_daemons::starting::ProcessClock;
+use toucanrail_platform::names;
+use toucanrail_platform::settings::NodeSettings;
+use toucanrail_wire::keeping::ChannelPool;
+
+use crate::grant_manager::GrantManager;
+use crate::liveness::ReportCache;
+use crate::loan_client::LoanClient;
+use crate::relay_api::RelayApi;
+use crate::relay_client::RelayBackoff;
+use crate::store_access::StoreAccess;
+
+/// Fraction of the fleet's retry limits that is divided among entries. The entries' windows are not
+/// aligned with those of the fleet; two of the fleet's windows cover them all, hence one half.
+const FLEET_RETRY_FRACTION: f64 = 0.5;
+/// Minimum number of entries that the fleet's retry reserve is divided by. Entries do not know
+/// about each other; there are at most as many as relays, one of which runs beside each backend
+/// server.
+const MIN_ENTRY_COUNT: usize = 4;
+
+/// Time without contact with the store, while lenders do not respond either, after which an entry
+/// is considered isolated. If only the store is unavailable, lenders still respond.
+const ISOLATION_THRESHOLD: Duration = Duration::from_millis(200);
+
+/// Tables that decisions read and update.
+#[derive(Debug)]
+pub struct GatewayTables {
+    /// Configuration in force.
+    pub routes: RouteTable,
+    /// Known backend servers.
+    pub backends: BackendTable,
+    /// Retry budgets by service.
+    pub retries: BTreeMap<ServiceName, RetryBudget>,
+    /// Requests that wait for their first event, and the limit on them, by service.
+    pub limits: BTreeMap<ServiceName, AdmissionLimit>,
+    /// Estimates of free slots at the servers, by service.
+    pub free_slots: BTreeMap<ServiceName, PlaceGauge>,
+}
+
+/// A running gateway.
+#[derive(Debug)]
+pub struct Gateway {
+    /// Settings of this node.
+    pub settings: NodeSettings,
+    /// ID of this process, unique to each start.
+    pub id: EntryId,
+    /// Access to the platform's store.
+    pub store: Rc<StoreAccess>,
+    /// Metrics registry.
+    pub metrics: MetricBoard,
+    /// Runs all tasks on a single thread.
+    pub executor: Rc<LocalExecutor<'static>>,
+    /// Tables that decisions read and update.
+    pub tables: RefCell<GatewayTables>,
+    /// Pool of connections to backend servers and relays.
+    pub channels: ChannelPool,
+    /// Clock that starts with the process.
+    pub clock: ProcessClock,
+    /// Time of the stop signal.
+    pub stop_requested: Cell<Option<Instant>>,
+    /// Whether new requests are no longer admitted.
+    pub admission_closed: Cell<bool>,
+    /// Whether idle caller connections are closed.
+    pub close_idle: Cell<bool>,
+    /// Number of requests in flight.
+    pub in_flight: Cell<usize>,
+    /// Notified when idle caller connections should close.
+    pub close_idle_event: Event,
+    /// The entry's own budget grants.
+    pub grant_manager: Rc<GrantManager>,
+    /// State of loans from lenders.
+    pub loan_client: LoanClient,
+    /// Relays whose boards failed recently; not queried until their backoff ends.
+    pub failed_boards: RelayBackoff,
+    /// Relays whose boards recently had no fresh data from the store.
+    pub stale_boards: RelayBackoff,
+    /// Relay hosted by this entry, if any.
+    pub hosted_relay: RefCell<Option<Rc<RelayApi>>>,
+    /// Recent load reports of servers.
+    pub load_reports: ReportCache,
+}
+
+impl Gateway {
+    /// Returns the time since the process started.
+    pub fn now(&self) -> Duration {
+        self.clock.now()
+    }
+
+    /// Returns whether the balancer should send new callers to this entry.
+    ///
+    /// Configuration, servers and evacuations are listed by concurrent calls. An entry that
+    /// reported ready after the first of them would refuse every request for lack of servers until
+    /// the last one completes.
+    pub fn is_ready(&self) -> bool {
+        let tables = self.tables.borrow();
+        let is_informed = tables.routes.version() > 0
+            && tables.backends.is_listed()
+            && tables.backends.evacuations.is_known();
+        is_informed && self.stop_requested.get().is_none() && !self.is_isolated()
+    }
+
+    /// Returns whether this entry reaches neither lenders nor the store, directly or through a
+    /// relay.
+    ///
+    /// An entry whose VM is cut off from all others cannot confirm budgets and refuses nearly every
+    /// request, while other entries can still serve: the balancer must send new callers there. The
+    /// state is detected by the tasks that follow the store and ends with their first successful
+    /// call.
+    pub fn is_isolated(&self) -> bool {
+        let is_unanswered = |kind: &str| self.store.unanswered_for(kind) > ISOLATION_THRESHOLD;
+        let kinds = [names::CONFIG_KIND, names::SERVER_KIND];
+        self.loan_client.lenders_unreachable.get() && kinds.into_iter().all(is_unanswered)
+    }
+
+    /// Records a new request, as opposed to a retry, in the retry budget of a service.
+    pub fn record_new_request(&self, service: &ServiceName) {
+        let now = self.now();
+        self.with_retry_budget(service, |budget| budget.note_fresh(now));
+    }
+
+    /// Takes one retry from the budget of a service, if one is left.
+    pub fn try_spend_retry(&self, service: &ServiceName) -> bool {
+        let now = self.now();
+        self.with_retry_budget(service, |budget| budget.try_spend(now))
+    }
+
+    /// Returns whether the budget of a service has a retry left.
+    pub fn may_retry(&self, service: &ServiceName) -> bool {
+        let now = self.now();
+        self.with_retry_budget(service, |budget| budget.may_spend(now))
+    }
+
+    /// Returns whether the servers of a service can start one more request in time.
+    pub fn admits(&self, service: &ServiceName, query: AdmissionQuery) -> bool {
+        let now = self.now();
+        let mut tables = self.tables.borrow_mut();
+        let row = tables.limits.entry(Arc::clone(service)).or_default();
+        let admits = row.admits(query, now);
+        if !admits {
+            let (waiting, limit) = row.waiting();
+            tracing::info!(
+                event = "load_refused", %service, waiting, limit, rank = query.rank,
+                returned = query.returned,
+            );
+        }
+        admits
+    }
+
+    /// Returns whether load reports should be requested before a request is placed: requests wait
+    /// too long for their first event, and free slots may be scarce.
+    pub fn wants_probe(&self, service: &ServiceName) -> bool {
+        let now = self.now();
+        let tables = self.tables.borrow();
+        let free_slots = tables.free_slots.get(service).copied().unwrap_or_default();
+        let pressed = tables.limits.get(service).is_some_and(|limit| limit.is_pressed(now));
+        pressed && free_slots.wants_probe(fastrand::f64())
+    }
+
+    /// Records the load reports of servers of a service.
+    pub fn record_reports(&self, service: &ServiceName, probed: &[ProbeRow]) {
+        let mut tables = self.tables.borrow_mut();
+        tables.free_slots.entry(Arc::clone(service)).or_default().take_reports(probed);
+    }
+
+    fn with_retry_budget<Value, Work>(&self, service: &ServiceName, work: Work) -> Value
+    where
+        Work: FnOnce(&mut RetryBudget) -> Value,
+    {
+        let bounds = self.retry_bounds();
+        let mut tables = self.tables.borrow_mut();
+        let budget = tables.retries.entry(Arc::clone(service)).or_default();
+        budget.set_bounds(bounds);
+        work(budget)
+    }
+
+    /// Returns this entry's share of the fleet's retry limits.
+    ///
+    /// Until the relays have been listed, the number of servers is used in place of theirs.
+    /// Otherwise each entry that starts during an outage would take a quarter of the reserve.
+    fn retry_bounds(&self) -> RetryBounds {
+        let relays = match self.store.relay_count() {
+            0 => self.tables.borrow().backends.rows().count(),
+            relays => relays,
+        };
+        let parts = relays.max(MIN_ENTRY_COUNT) as f64;
+        RetryBounds {
+            share: self.settings.retry_share * FLEET_RETRY_FRACTION,
+            reserve: self.settings.retry_slack * FLEET_RETRY_FRACTION / parts,
+            window: self.settings.retry_window,
+        }
+    }
+}
+
+/// Counts a request as in flight at this gateway; a graceful stop waits for it.
+#[derive(Debug)]
+pub struct RequestGuard {
+    gateway: Rc<Gateway>,
+}
+
+impl RequestGuard {
+    /// Starts counting a request.
+    pub fn new(gateway: &Rc<Gateway>) -> Self {
+        gateway.in_flight.set(gateway.in_flight.get() + 1);
+        gateway.metrics.in_flight.inc();
+        Self { gateway: Rc::clone(gateway) }
+    }
+}
+
+impl Drop for RequestGuard {
+    fn drop(&mut self) {
+        self.gateway.in_flight.set(self.gateway.in_flight.get() - 1);
+        self.gateway.metrics.in_flight.dec();
+    }
+}
+
+/// Keeps a request registered as in flight at a server until dropped.
+#[derive(Debug)]
+pub struct FlightGuard {
+    gateway: Rc<Gateway>,
+    backend: BackendId,
+    service: ServiceName,
+    number: FlightId,
+}
+
+impl FlightGuard {
+    /// Creates the guard of a registered request.
+    pub fn new(gateway: &Rc<Gateway>, target: &BackendEntry, number: FlightId) -> Self {
+        let (backend, service) = (Arc::clone(&target.id), Arc::clone(&target.service));
+        Self { gateway: Rc::clone(gateway), backend, service, number }
+    }
+
+    /// Records that the response has started.
+    pub fn record_response_start(&self) {
+        let now = self.gateway.now();
+        let mut tables = self.gateway.tables.borrow_mut();
+        tables.backends.note_begun(&self.backend, self.number, now);
+        if let Some(limit) = tables.limits.get_mut(&self.service) {
+            limit.note_begun(self.number, now);
+        }
+    }
+}
+
+impl Drop for FlightGuard {
+    fn drop(&mut self) {
+        let now = self.gateway.now();
+        let mut tables = self.gateway.tables.borrow_mut();
+        tables.backends.note_ended(&self.backend, self.number);
+        if let Some(limit) = tables.limits.get_mut(&self.service) {
+            limit.note_ended(self.number, now);
+        }
+    }
+}
--- a/toucanrail-gateway/src/store_watch.rs
+++ b/toucanrail-gateway/src/store_watch.rs
@@ -15,7 +15,7 @@
 
 use crate::change_feed::CHANGES_PATH;
 use crate::relay_client;
-use crate::states::{Gateway, GatewayTables};
+use crate::state::{Gateway, GatewayTables};
 
 /// Long-poll wait of one watch. Each watch is a counted call, which favours long waits; a connection that went
 /// silent is noticed only when its watch is overdue, and a change must be known within 2 s even then.
@@ -90,7 +90,7 @@
         gateway.tables.borrow_mut().backends.take_paces(&gateway.store.server_paces());
         gateway.channels.sweep();
         let tables = gateway.tables.borrow();
-        gateway.sights.retain(|server| tables.backends.get(server).is_some());
+        gateway.load_reports.retain(|server| tables.backends.get(server).is_some());
         drop(tables);
         gateway.grant_manager.grants.borrow_mut().smooth_burn(now.saturating_sub(swept_at));
         swept_at = now;
@@ -227,7 +227,7 @@
     let kind = Handler::KIND;
     let boards = boards::pick_boards(&gateway.store.lenders());
     let available =
-        boards.iter().filter(|(name, _)| !gateway.boards.is_active(name, gateway.now()));
+        boards.iter().filter(|(name, _)| !gateway.failed_boards.is_active(name, gateway.now()));
     let order = NewsOrder { kind: Arc::from(kind), after, wait: Handler::BOARD_WAIT };
     let mut stale = false;
     for (board, address) in available {
@@ -250,13 +250,13 @@
                 continue;
             }
             Ok(reply) => {
-                gateway.boards.reset(board);
+                gateway.failed_boards.reset(board);
                 return BoardOutcome::Updated(reply);
             }
             Err(error) => error.to_string(),
         };
         tracing::info!(event = "board_failed", %board, kind, reason);
-        gateway.boards.note_failure(board, gateway.now());
+        gateway.failed_boards.note_failure(board, gateway.now());
         return BoardOutcome::Unavailable;
     }
     if stale { BoardOutcome::Stale } else { BoardOutcome::Unavailable }
@@ -282,7 +282,7 @@
             (tables.routes.take_config(config), tables.routes.route_count())
         };
         if applied {
-            gateway.board.in_force.set(i64::try_from(version).unwrap_or(i64::MAX));
+            gateway.metrics.in_force.set(i64::try_from(version).unwrap_or(i64::MAX));
             tracing::info!(event = "config_in_force", version, routes);
         }
     }
