--- a/toucanrail-gateway/src/change_feed.rs
+++ b/toucanrail-gateway/src/change_feed.rs
@@ -88,8 +88,8 @@
 
     /// Answers one query: immediately if there are changes, else as soon as there are, or with an empty reply
     /// when its wait is over.
-    pub async fn answer(&self, order: &NewsOrder) -> NewsReply {
-        let Some((kind, board)) = self.boards.get_key_value(&*order.kind) else {
+    pub async fn answer(&self, query: &NewsOrder) -> NewsReply {
+        let Some((kind, board)) = self.boards.get_key_value(&*query.kind) else {
             return NewsReply::Stale;
         };
         board.queried_at.set(self.store.now());
@@ -100,15 +100,15 @@
         let waiting = async {
             loop {
                 let changed = board.changed.listen();
-                if let Some(reply) = board.table.borrow().news(order.after, self.store.now()) {
+                if let Some(reply) = board.table.borrow().news(query.after, self.store.now()) {
                     return reply;
                 }
                 changed.await;
             }
         };
         let timeout = async {
-            smol::Timer::after(order.wait.min(MAX_QUERY_WAIT)).await;
-            let after = order.after.unwrap_or_default();
+            smol::Timer::after(query.wait.min(MAX_QUERY_WAIT)).await;
+            let after = query.after.unwrap_or_default();
             board.table.borrow().no_news(after, self.store.now())
         };
         waiting.or(timeout).await
@@ -148,8 +148,8 @@
     let KindBoard { wait, table, .. } = board;
     let known = table.borrow().revision();
     let Some(revision) = known else {
-        let bound = *wait + ANSWER_SLACK;
-        let listing = store.list_kind(kind, ListFreshness::Latest, bound).await?;
+        let timeout = *wait + ANSWER_SLACK;
+        let listing = store.list_kind(kind, ListFreshness::Latest, timeout).await?;
         table.borrow_mut().take_listing(listing.objects, listing.revision, store.now());
         return Ok(true);
     };
--- a/toucanrail-gateway/src/loan_client.rs
+++ b/toucanrail-gateway/src/loan_client.rs
@@ -32,6 +32,7 @@
 const MAX_LENDERS: usize = 2;
 /// Interval at which loan ends are sent; the ends queued for a lender within one interval share a message.
 const END_INTERVAL: Duration = Duration::from_millis(100);
+/// Timeout of a message with loan ends.
 const END_TIMEOUT: Duration = Duration::from_secs(1);
 /// Time for which ends are queued for a lender that does not answer. After that the lender is considered
 /// gone, and the budget of its loans stays granted to it.
@@ -57,6 +58,7 @@
 /// State of an entry's loans: failed lenders, and loan ends still to be sent.
 #[derive(Debug, Default)]
 pub struct LoanClient {
+    /// Number in the id of the next loan.
     next_number: Cell<u64>,
     /// Whether the lender that was last asked did not answer.
     pub lenders_unreachable: Cell<bool>,
@@ -143,7 +145,7 @@
         let number = gateway.loan_client.next_number.get();
         gateway.loan_client.next_number.set(number + 1);
         let loan: LoanId = Arc::from(format!("{}.{number}", gateway.id));
-        let order = LoanOrder {
+        let request = LoanOrder {
             loan: Arc::clone(&loan),
             customer: Arc::clone(need.customer),
             stated: need.stated,
@@ -154,7 +156,7 @@
         // and nobody else would return it.
         let mut pending =
             PendingLoan { gateway, lender: &lender, loan: &loan, need, settled: false };
-        match request_watched(gateway, &lender, address, &order).await {
+        match request_watched(gateway, &lender, address, &request).await {
             Ok(reply) => {
                 pending.settled = true;
                 gateway.loan_client.lenders_unreachable.set(false);
@@ -185,10 +187,10 @@
     gateway: &Rc<Gateway>,
     lender: &Arc<str>,
     address: SocketAddr,
-    order: &LoanOrder,
+    request: &LoanOrder,
 ) -> io::Result<LoanReply> {
     let requesting =
-        relay_client::call_relay(gateway, lender, address, LOAN_PATH, order, LOAN_TIMEOUT);
+        relay_client::call_relay(gateway, lender, address, LOAN_PATH, request, LOAN_TIMEOUT);
     let watching = async {
         smol::Timer::after(LIVENESS_DELAY).await;
         if relay_client::is_alive(address, LIVENESS_TIMEOUT).await {
--- a/toucanrail-gateway/src/permits.rs
+++ b/toucanrail-gateway/src/permits.rs
@@ -72,10 +72,10 @@
     let Some((relay, address)) = find_relay(gateway, target) else {
         return PermitReply::After(UNANSWERED_DELAY);
     };
-    let order = PermitOrder { server: Arc::clone(server), limit };
+    let request = PermitOrder { server: Arc::clone(server), limit };
     let timeout = PERMIT_TIMEOUT;
     let reply =
-        relay_client::call_relay(gateway, &relay, address, PERMIT_PATH, &order, timeout).await;
+        relay_client::call_relay(gateway, &relay, address, PERMIT_PATH, &request, timeout).await;
     reply.unwrap_or_else(|error| {
         tracing::info!(event = "permit_failed", %server, %relay, %error);
         PermitReply::After(UNANSWERED_DELAY)
--- a/toucanrail-gateway/src/relay_api.rs
+++ b/toucanrail-gateway/src/relay_api.rs
@@ -76,21 +76,21 @@
     while let Some((head, body)) = calling::read_call(&mut channel).await? {
         match head.path() {
             LOAN_PATH => {
-                let order = calling::decode(&body)?;
-                calling::reply(&channel, &open_loan(api, &order).await).await?;
+                let request = calling::decode(&body)?;
+                calling::reply(&channel, &open_loan(api, &request).await).await?;
             }
             LOAN_END_PATH => {
                 end_loans(api, calling::decode(&body)?);
                 calling::reply(&channel, &true).await?;
             }
             CHANGES_PATH => {
-                let order = calling::decode(&body)?;
-                calling::reply(&channel, &api.change_feed.answer(&order).await).await?;
+                let query = calling::decode(&body)?;
+                calling::reply(&channel, &api.change_feed.answer(&query).await).await?;
             }
             ALIVE_PATH => calling::reply(&channel, &true).await?,
             PERMIT_PATH => {
-                let order = calling::decode(&body)?;
-                calling::reply(&channel, &grant_permit(api, &order)).await?;
+                let request = calling::decode(&body)?;
+                calling::reply(&channel, &grant_permit(api, &request)).await?;
             }
             REPORT_PATH => {
                 let report = match &api.report_client {
@@ -106,22 +106,22 @@
 }
 
 /// Opens a loan if the grants cover it. Repeating the call for an open loan has no further effect.
-async fn open_loan(api: &RelayApi, order: &LoanOrder) -> LoanReply {
-    if api.loans.borrow().is_open(&order.loan) {
+async fn open_loan(api: &RelayApi, request: &LoanOrder) -> LoanReply {
+    if api.loans.borrow().is_open(&request.loan) {
         return LoanReply::Held;
     }
     if api.leaving.get() {
         return LoanReply::Leaving;
     }
-    let LoanOrder { customer, amount, rank, .. } = order;
-    api.grant_manager.raise_prepaid(customer, order.stated);
+    let LoanOrder { customer, amount, rank, .. } = request;
+    api.grant_manager.raise_prepaid(customer, request.stated);
     match api.grant_manager.acquire_hold(customer, *amount, *rank, LOAN_TIME).await {
         Ok(hold) if api.leaving.get() => {
             api.grant_manager.grants.borrow_mut().finish(&hold, None);
             LoanReply::Leaving
         }
-        Ok(hold) if api.loans.borrow().is_new(&order.loan) => {
-            api.loans.borrow_mut().open(&order.loan, hold);
+        Ok(hold) if api.loans.borrow().is_new(&request.loan) => {
+            api.loans.borrow_mut().open(&request.loan, hold);
             LoanReply::Held
         }
         Ok(hold) => {
@@ -134,9 +134,9 @@
     }
 }
 
-fn grant_permit(api: &RelayApi, order: &PermitOrder) -> PermitReply {
-    let reply = api.permits.borrow_mut().give(order, api.change_feed.now());
-    tracing::info!(event = "permit", server = %order.server, limit = order.limit, reply = ?reply);
+fn grant_permit(api: &RelayApi, request: &PermitOrder) -> PermitReply {
+    let reply = api.permits.borrow_mut().give(request, api.change_feed.now());
+    tracing::info!(event = "permit", server = %request.server, limit = request.limit, reply = ?reply);
     reply
 }
 
--- a/toucanrail-gateway/src/store_watch.rs
+++ b/toucanrail-gateway/src/store_watch.rs
@@ -228,7 +228,7 @@
     let boards = boards::pick_boards(&gateway.store.lenders());
     let available =
         boards.iter().filter(|(name, _)| !gateway.failed_boards.is_active(name, gateway.now()));
-    let order = NewsOrder { kind: Arc::from(kind), after, wait: Handler::BOARD_WAIT };
+    let query = NewsOrder { kind: Arc::from(kind), after, wait: Handler::BOARD_WAIT };
     let mut stale = false;
     for (board, address) in available {
         if gateway.stale_boards.is_active(board, gateway.now()) {
@@ -237,7 +237,7 @@
         }
         let timeout = Handler::BOARD_WAIT + BOARD_SLACK;
         let result =
-            relay_client::call_relay(gateway, board, *address, CHANGES_PATH, &order, timeout).await;
+            relay_client::call_relay(gateway, board, *address, CHANGES_PATH, &query, timeout).await;
         let reason = match result {
             // A listing that is older than the known revision would bring back servers that have left.
             Ok(NewsReply::Listing { revision, .. }) if after.is_some_and(|at| revision < at) => {
--- a/toucanrail-gateway/tests/cold_servers.rs
+++ b/toucanrail-gateway/tests/cold_servers.rs
@@ -1,4 +1,4 @@
-//! Servers that have just started get no more than they bear.
+//! Cold servers, which have just started, receive no more requests than their configured rate allows.
 
 mod platform;
 
@@ -8,10 +8,11 @@
 use platform::{Action, Backend, Process, Store, request};
 use serde_json::json;
 
-/// Requests in a second that a cold server bears, by the settings and the configuration below.
-const BOUND: usize = 20;
+/// Maximum number of requests that reach a cold server within one second, from the configured rate and the
+/// slack in the settings.
+const MAX_REQUESTS: usize = 20;
 
-/// A store and one server, whose service has cold servers.
+/// Starts a store and one backend server, and configures its service with a cold start.
 fn start_server() -> (Store, Backend) {
     let store = Store::start();
     let backend = Backend::start("i-1", |_, _| Action::Respond(platform::signed_response("seven")));
@@ -21,7 +22,7 @@
     (store, backend)
 }
 
-/// Starts two gateways that do not know one another, and waits until they have listed the relays.
+/// Starts two gateways, which do not coordinate, and waits until they have listed the relays.
 fn start_gateways(store: &Store) -> Vec<Process> {
     let gateways = (0..2).map(|_| Process::start_with_limits(store)).collect();
     // Relays are listed within a second.
@@ -29,7 +30,7 @@
     gateways
 }
 
-/// A store, one server, the relay beside it and two gateways.
+/// Starts a store, one server, the relay beside it and two gateways.
 fn start_service() -> (Store, Backend, Process, Vec<Process>) {
     let (store, backend) = start_server();
     let relay = Process::start_relay_beside(&store, "side-1", &backend);
@@ -37,58 +38,58 @@
     (store, backend, relay, gateways)
 }
 
-/// Counts the requests that a server got, without the relay's questions for its load.
-fn count_seen(backend: &Backend) -> usize {
+/// Counts the requests that a server received, leaving out the relay's calls for its load report.
+fn count_requests(backend: &Backend) -> usize {
     backend.seen().iter().filter(|message| message.head.starts_with("POST ")).count()
 }
 
-/// Sends a burst through all gateways at once; returns how many were answered.
+/// Sends a burst of requests through all gateways concurrently. Returns how many succeeded.
 fn send_burst(gateways: &[Process], count: usize) -> usize {
     let senders: Vec<_> = (0..count)
         .map(|number| {
             let callers = gateways[number % gateways.len()].callers;
             thread::spawn(move || {
                 let text = request("POST", "/once/a", &format!("r{number}"), "", "x");
-                platform::call(callers, &text).is_some_and(|answer| answer.status() == 200)
+                platform::call(callers, &text).is_some_and(|response| response.status() == 200)
             })
         })
         .collect();
     senders.into_iter().filter_map(|sender| sender.join().ok()).filter(|served| *served).count()
 }
 
-/// A server is back, cold and idle, and two gateways turn to it with all that callers send. It gets what it
-/// bears; the other requests are refused as not run.
+/// An idle cold server joins and two gateways send it a burst. Guards against overload of a cold server: it
+/// receives only as many requests as permits allow, and the others are refused without running.
 #[test]
 fn cold_burst() {
     let (store, backend, _relay, gateways) = start_service();
     platform::register(&store, &backend, "a", 60_000);
     thread::sleep(Duration::from_millis(500));
     let served = send_burst(&gateways, 60);
-    let seen = count_seen(&backend);
-    assert!((5..=BOUND).contains(&seen), "{seen}");
-    assert_eq!(served, seen);
+    let received = count_requests(&backend);
+    assert!((5..=MAX_REQUESTS).contains(&received), "{received}");
+    assert_eq!(served, received);
 }
 
-/// The relay beside a cold server is dead. Nothing is sent without its permit.
+/// The relay beside a cold server is dead. Nothing is sent to the server without a permit.
 #[test]
 fn dead_relay() {
     let (store, backend, relay, gateways) = start_service();
     relay.signal("KILL");
     platform::register(&store, &backend, "a", 60_000);
     thread::sleep(Duration::from_millis(500));
-    assert_eq!((send_burst(&gateways, 10), count_seen(&backend)), (0, 0));
+    assert_eq!((send_burst(&gateways, 10), count_requests(&backend)), (0, 0));
 }
 
-/// A server that is not cold gets everything, without a question.
+/// A warm server receives all requests; no permits are needed.
 #[test]
 fn warm_burst() {
     let (_store, backend, _relay, gateways) = start_service();
     assert_eq!(send_burst(&gateways, 60), 60);
-    assert_eq!(count_seen(&backend), 60);
+    assert_eq!(count_requests(&backend), 60);
 }
 
-/// The relay beside a cold server is not known yet, and another one is. Were it asked, each of the two would
-/// give as many permits as the server bears.
+/// The relay beside a cold server is not listed yet, but another one is. If gateways asked the other relay for
+/// permits, the two relays would together grant twice what the server can take.
 #[test]
 fn unlisted_relay() {
     let (store, backend) = start_server();
@@ -101,5 +102,5 @@
     let gateways = start_gateways(&store);
     platform::register(&store, &backend, "a", 60_000);
     thread::sleep(Duration::from_millis(500));
-    assert_eq!((send_burst(&gateways, 10), count_seen(&backend)), (0, 0));
+    assert_eq!((send_burst(&gateways, 10), count_requests(&backend)), (0, 0));
 }
--- a/toucanrail-gateway/tests/evacuations.rs
+++ b/toucanrail-gateway/tests/evacuations.rs
@@ -1,4 +1,4 @@
-//! Data centres that the operator empties while a gateway runs, and regions that requests may not leave.
+//! Evacuations of data centres while a gateway runs, and regions that requests must not leave.
 
 mod platform;
 
@@ -8,10 +8,10 @@
 use platform::{Action, Backend, Process, Store, request};
 use serde_json::json;
 
-/// Time in which an evacuation must be in force.
-const BOUND: Duration = Duration::from_secs(5);
+/// Time within which an evacuation must be in force.
+const EVACUATION_LIMIT: Duration = Duration::from_secs(5);
 
-/// A store, a server in each of the data centres `a` and `b`, and a gateway in `a`.
+/// Starts a store, one server in each of the data centres `a` and `b`, and a gateway in `a`.
 fn start_pair() -> (Store, Backend, Backend, Process) {
     let store = Store::start();
     let near = Backend::start("i-a", |_, _| Action::Respond(platform::signed_response("near")));
@@ -22,74 +22,76 @@
     (store, near, far, gateway)
 }
 
-fn ask(gateway: &Process, id: &str) -> (u16, String) {
-    let answer = platform::call(gateway.callers, &request("POST", "/once/a", id, "", "x"));
-    let answer = answer.expect("an answer");
-    (answer.status(), String::from_utf8_lossy(&answer.body).into_owned())
+/// Sends one request. Returns the status and the body of the response.
+fn send(gateway: &Process, id: &str) -> (u16, String) {
+    let response = platform::call(gateway.callers, &request("POST", "/once/a", id, "", "x"));
+    let response = response.expect("a response");
+    (response.status(), String::from_utf8_lossy(&response.body).into_owned())
 }
 
-/// Asks until all answers of a moment are this one; tells how long that took.
-fn wait_answers(gateway: &Process, wanted: &str) -> Duration {
+/// Sends groups of requests until all responses of a group have this body. Returns how long that took.
+fn wait_for_body(gateway: &Process, expected: &str) -> Duration {
     let start = Instant::now();
     let mut number = 0;
-    platform::wait_until(wanted, || {
+    platform::wait_until(expected, || {
         number += 1;
-        (0..8).all(|at| ask(gateway, &format!("r{number}.{at}")) == (200, wanted.to_owned()))
+        (0..8).all(|at| send(gateway, &format!("r{number}.{at}")) == (200, expected.to_owned()))
     });
     start.elapsed()
 }
 
-/// A plain service has one server in each data centre. The near one gets nothing once its data centre is
-/// emptied, and serves again once it is taken back.
+/// The nearer of two servers receives no requests once its data centre is evacuated, and serves again when the
+/// evacuation is removed.
 #[test]
-fn near_emptied() {
+fn near_evacuated() {
     let (store, near, _far, gateway) = start_pair();
-    assert_eq!(ask(&gateway, "r"), (200, "near".into()));
+    assert_eq!(send(&gateway, "r"), (200, "near".into()));
     store.put("evacuations", "a", json!({}));
-    assert!(wait_answers(&gateway, "far") < BOUND / 2);
-    let seen = near.seen().len();
-    wait_answers(&gateway, "far");
-    assert_eq!(near.seen().len(), seen);
+    assert!(wait_for_body(&gateway, "far") < EVACUATION_LIMIT / 2);
+    let received = near.seen().len();
+    wait_for_body(&gateway, "far");
+    assert_eq!(near.seen().len(), received);
     store.remove("evacuations", "a");
-    wait_answers(&gateway, "near");
+    wait_for_body(&gateway, "near");
 }
 
-/// Both data centres are emptied: callers are refused at once, as not run, with a time to come back.
+/// Both data centres are evacuated: requests are refused immediately with a `Retry-After`, and are not run.
 #[test]
-fn both_emptied() {
+fn both_evacuated() {
     let (store, near, far, gateway) = start_pair();
     store.put("evacuations", "a", json!({}));
     store.put("evacuations", "b", json!({}));
-    thread::sleep(BOUND / 2);
-    let seen = near.seen().len() + far.seen().len();
+    thread::sleep(EVACUATION_LIMIT / 2);
+    let received = near.seen().len() + far.seen().len();
     let start = Instant::now();
     let text = request("POST", "/once/a", "r", "", "x");
-    let answer = platform::call(gateway.callers, &text).expect("an answer");
-    assert_eq!(answer.status(), 503);
-    assert!(answer.field("retry-after").is_some());
+    let response = platform::call(gateway.callers, &text).expect("a response");
+    assert_eq!(response.status(), 503);
+    assert!(response.field("retry-after").is_some());
     assert!(start.elapsed() < Duration::from_millis(500));
-    assert_eq!(near.seen().len() + far.seen().len(), seen);
+    assert_eq!(near.seen().len() + far.seen().len(), received);
 }
 
-/// The store forgets its history with the news of the evacuation in it: no watch sees it.
+/// The store discards its history together with the evacuation's event, so that no watch reports it; the gateway
+/// must learn of the evacuation from a listing.
 #[test]
-fn unseen_evacuation() {
+fn evacuation_without_event() {
     let (store, _near, _far, gateway) = start_pair();
     store.put_without_event("evacuations", "a", json!({}));
-    assert!(wait_answers(&gateway, "far") < BOUND);
+    assert!(wait_for_body(&gateway, "far") < EVACUATION_LIMIT);
 }
 
-/// The store is away while the evacuation is in force. A gateway that knows of it keeps to it, and one that
-/// starts meanwhile sends nothing before it knows.
+/// The store is unavailable while an evacuation is in force. A gateway that knows of the evacuation still
+/// honours it, and one that starts meanwhile sends nothing before it has listed the evacuations.
 #[test]
-fn store_away() {
+fn store_unavailable() {
     let (store, near, _far, mut gateway) = start_pair();
     store.put("evacuations", "a", json!({}));
-    wait_answers(&gateway, "far");
-    let seen = near.seen().len();
+    wait_for_body(&gateway, "far");
+    let received = near.seen().len();
     store.set_blocked("evacuations", true);
     thread::sleep(Duration::from_secs(3));
-    assert_eq!(ask(&gateway, "kept"), (200, "far".into()));
+    assert_eq!(send(&gateway, "kept"), (200, "far".into()));
     gateway.restart();
     platform::wait_until("a listener", || {
         platform::call(gateway.callers, &request("POST", "/once/a", "new", "", "x")).is_some()
@@ -97,21 +99,21 @@
     gateway.wait_ready(false);
     store.set_blocked("evacuations", false);
     gateway.wait_ready(true);
-    assert_eq!(ask(&gateway, "known"), (200, "far".into()));
-    assert_eq!(near.seen().len(), seen);
+    assert_eq!(send(&gateway, "known"), (200, "far".into()));
+    assert_eq!(near.seen().len(), received);
 }
 
-/// Routes and customers name the regions that may run their requests. Both bind, also where no server is
-/// left: a request must not reach a server of another region.
+/// The allowed regions of a route and of a customer both apply. If together they leave no server, the request is
+/// refused and must not reach a server of another region.
 #[test]
-fn bound_regions() {
+fn allowed_regions_apply() {
     let (store, near, far, gateway) = start_pair();
     platform::configure_field(&store, 2, "routes", "allowed_regions", &json!(["south"]));
-    wait_answers(&gateway, "far");
-    let seen = near.seen().len();
+    wait_for_body(&gateway, "far");
+    let received = near.seen().len();
     platform::configure_field(&store, 3, "tenants", "allowed_regions", &json!(["north"]));
-    platform::wait_until("a refusal", || ask(&gateway, "r").0 == 503);
+    platform::wait_until("a refusal", || send(&gateway, "r").0 == 503);
     let served = far.seen().len();
-    assert_eq!(ask(&gateway, "s").0, 503);
-    assert_eq!((near.seen().len(), far.seen().len()), (seen, served));
+    assert_eq!(send(&gateway, "s").0, 503);
+    assert_eq!((near.seen().len(), far.seen().len()), (received, served));
 }
--- a/toucanrail-gateway/tests/fault_soak.rs
+++ b/toucanrail-gateway/tests/fault_soak.rs
@@ -206,7 +206,7 @@
     let mut proxies = Vec::new();
     let mut store = store;
     if with_proxies {
-        proxies = vec![Proxy::start(store.address), Proxy::start(store.inner)];
+        proxies = vec![Proxy::start(store.address), Proxy::start(store.relay_address)];
         store = store.behind(&proxies[0], &proxies[1]);
         let servers = backends.each_ref().map(|backend| Proxy::start(backend.address));
         for (backend, proxy) in backends.iter_mut().zip(&servers) {
--- a/toucanrail-gateway/tests/fleet_boards.rs
+++ b/toucanrail-gateway/tests/fleet_boards.rs
@@ -1,4 +1,4 @@
-//! A relay that watches the store for the entries of a large fleet.
+//! A relay that acts as a board: it watches the store on behalf of the entries of a large fleet.
 
 mod platform;
 
@@ -7,7 +7,7 @@
 
 use platform::{Action, Backend, Process, Store, request};
 
-/// Makes the fleet look large: more names of the one relay that runs.
+/// Starts a relay and registers it under thirty names, so that the fleet is large enough to use boards.
 fn start_fleet(store: &Store) -> Process {
     let relay = Process::start_relay(store, "side-0");
     platform::wait_until("the relay", || store.has("relays", "side-0"));
@@ -18,31 +18,31 @@
     relay
 }
 
-/// A store, a relay that is the board and a gateway that asks it.
+/// Starts a store, a relay that acts as the board and a gateway that queries it.
 fn start_board() -> (Store, Backend, Process, Process) {
     let store = Store::start();
     let backend = Backend::start("i-1", |_, _| Action::Respond(platform::signed_response("seven")));
     platform::configure(&store, 1, &[&backend]);
     let relay = start_fleet(&store);
     let gateway = Process::start_gateway(&store);
-    // Relays are listed a moment after the start; the watches from before end by themselves.
+    // The gateway lists the relays shortly after its start; the watches that it began before then expire.
     thread::sleep(Duration::from_secs(4));
     (store, backend, relay, gateway)
 }
 
-/// Writes a configuration with one more route; it must be in force within two seconds.
+/// Writes a configuration with one more route, and checks that it is in force within two seconds.
 fn expect_change(store: &Store, backend: &Backend, gateway: &Process) {
     platform::configure_extra_route(store, 2, &[backend], "fresh");
     let start = Instant::now();
     let text = request("GET", "/fresh/a", "r0", "", "");
     platform::wait_until("the new route", || {
-        platform::call(gateway.callers, &text).is_some_and(|answer| answer.status() == 200)
+        platform::call(gateway.callers, &text).is_some_and(|response| response.status() == 200)
     });
     assert!(start.elapsed() < Duration::from_secs(2), "{:?}", start.elapsed());
 }
 
-/// Thirty entries that watch the store make half of all its calls, and each change wakes them all. Here
-/// the board watches: the entry does not, and still has a new configuration within two seconds.
+/// The board watches the store in place of the entry, which still has a new configuration within two seconds.
+/// Without boards, thirty entries that watch the store make half of its calls, and each change wakes them all.
 #[test]
 fn board_watches() {
     let (store, backend, _relay, gateway) = start_board();
@@ -52,7 +52,7 @@
     assert_eq!(store.watch_count(), before);
 }
 
-/// The board is killed. Its entries must not wait for it: they watch the store themselves at once.
+/// The board is killed. Its entries must not wait for it but watch the store themselves immediately.
 #[test]
 fn dead_board() {
     let (store, backend, relay, gateway) = start_board();
@@ -60,7 +60,7 @@
     expect_change(&store, &backend, &gateway);
 }
 
-/// The board stands still with all its connections open. It says nothing, and its entries notice.
+/// The board freezes with its connections open. Its entries must notice that it does not response.
 #[test]
 fn frozen_board() {
     let (store, backend, relay, gateway) = start_board();
@@ -69,15 +69,15 @@
     relay.signal("CONT");
 }
 
-/// The store does not answer for some seconds. Once it is back the board is asked again: entries that went
-/// on to watch for themselves were all woken by each server that registered anew.
+/// The store does not response for some seconds, and the board is queried again once the store is back. If the
+/// entries continued to watch the store themselves, each server that registers anew would wake them all.
 #[test]
 fn stale_board() {
     let (store, backend, _relay, gateway) = start_board();
-    for hold in [true, false] {
-        store.set_blocked("config", hold);
-        store.set_blocked("servers", hold);
-        thread::sleep(Duration::from_millis(if hold { 4_500 } else { 2_500 }));
+    for blocked in [true, false] {
+        store.set_blocked("config", blocked);
+        store.set_blocked("servers", blocked);
+        thread::sleep(Duration::from_millis(if blocked { 4_500 } else { 2_500 }));
     }
     let before = store.watch_count();
     thread::sleep(Duration::from_millis(2_500));
--- a/toucanrail-gateway/tests/hosted_relays.rs
+++ b/toucanrail-gateway/tests/hosted_relays.rs
@@ -1,4 +1,4 @@
-//! Fleets without VMs for relays: entries lend to one another.
+//! Fleets without VMs for relays, in which entries host relays and lend to one another.
 
 mod platform;
 
@@ -7,31 +7,35 @@
 
 use platform::{Action, Backend, Process, Store, request};
 
+/// Starts a store, a backend server and two entries.
 fn start_entries() -> (Store, Backend, [Process; 2]) {
     let store = Store::start();
     let events = platform::chunk("id: 1\ndata: x\n\n");
-    let answer = [platform::STREAM_HEAD, &events, "0\r\n\r\n"].concat();
-    let backend = Backend::start("i-1", move |_, _| Action::Respond(answer.clone()));
+    let response = [platform::STREAM_HEAD, &events, "0\r\n\r\n"].concat();
+    let backend = Backend::start("i-1", move |_, _| Action::Respond(response.clone()));
     platform::configure_prepaid(&store, 1, &[&backend], 100_000);
     let entries = ["front-1", "front-2"].map(|vm| Process::start_gateway_on(&store, vm));
     (store, backend, entries)
 }
 
+/// Sends a request that must succeed.
 fn serve(entry: &Process, id: &str) {
-    let more = format!("{}Connection: close\r\n", platform::PROMPT_HEADERS);
-    let answer = platform::call_raw(entry.callers, &request("POST", "/stream/a", id, &more, "p"));
-    assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
+    let headers = format!("{}Connection: close\r\n", platform::PROMPT_HEADERS);
+    let response =
+        platform::call_raw(entry.callers, &request("POST", "/stream/a", id, &headers, "p"));
+    assert!(response.starts_with("HTTP/1.1 200"), "{response}");
 }
 
+/// Waits until both entries host a relay and have listed the relays.
 fn wait_hosted(store: &Store) {
     let names = ["front-1", "front-2"];
     platform::wait_until("the relays", || names.iter().all(|vm| store.has("relays", vm)));
-    // The entries list them a moment later.
+    // The entries list the relays shortly afterwards.
     thread::sleep(Duration::from_secs(2));
 }
 
-/// Each entry held grants of its own: they took what was left of a budget from one another, and lost most
-/// races for it. One of them lends to both.
+/// Only one of two entries holds a grant, and lends to both. Guards against entries that each hold their own
+/// grants, compete for the rest of a budget and lose most writes to version conflicts.
 #[test]
 fn one_lender() {
     let (store, _backend, entries) = start_entries();
@@ -42,7 +46,7 @@
     assert_eq!(store.granted("acme").len(), 1, "{:?}", store.granted("acme"));
 }
 
-/// The entry that lends is stopped: nothing stays granted to it, and the other one serves on.
+/// The lending entry is stopped: no grant remains with it, and the other entry continues to serve.
 #[test]
 fn stopped_host() {
     let (store, _backend, mut entries) = start_entries();
@@ -58,9 +62,9 @@
     assert!(granted.keys().all(|known| *known != holder), "{granted:?}");
 }
 
-/// Relays on VMs of their own go before those that entries host.
+/// A relay on a VM of its own takes precedence over hosted relays.
 #[test]
-fn own_relay() {
+fn dedicated_relay() {
     let (store, _backend, entries) = start_entries();
     wait_hosted(&store);
     let _relay = Process::start_relay(&store, "side-1");
--- a/toucanrail-gateway/tests/lender_shutdown.rs
+++ b/toucanrail-gateway/tests/lender_shutdown.rs
@@ -1,4 +1,4 @@
-//! A lender that is stopped, or freezes.
+//! Lenders that are stopped or freeze.
 
 mod platform;
 
@@ -7,10 +7,10 @@
 
 use platform::{Action, Backend, Process, Store, request};
 
-/// A lender is told to stop while a stream that it lent the budget for is under way. It gave its unused
-/// grants back and ended at once; the entry could end the loan nowhere, the stream was never billed, and
-/// what it had not used stayed granted to the dead lender: a tenth of a customer's budget was lost with
-/// each VM that was taken away.
+/// A lender is stopped while a stream that it lent the budget for is in progress. It must stay until the loan
+/// has ended. If it exited at once, the entry could not end the loan, the stream would never be billed, and
+/// its unused budget would stay granted to the dead lender: a tenth of a customer's budget was lost in this
+/// way with each VM that was removed.
 #[test]
 fn open_loan() {
     let store = Store::start();
@@ -24,21 +24,21 @@
     let gateway = Process::start_gateway(&store);
     let address = gateway.callers;
     let caller = thread::spawn(move || {
-        let more = format!("{}Connection: close\r\n", platform::PROMPT_HEADERS);
-        platform::call_raw(address, &request("POST", "/stream/a", "r1", &more, "p"))
+        let headers = format!("{}Connection: close\r\n", platform::PROMPT_HEADERS);
+        platform::call_raw(address, &request("POST", "/stream/a", "r1", &headers, "p"))
     });
     platform::wait_until("the request", || !backend.seen().is_empty());
     assert!(store.granted("acme").keys().any(|holder| holder.starts_with("side-1")));
     relay.signal("TERM");
-    let answer = caller.join().unwrap();
-    assert!(answer.contains("id: 60") && answer.ends_with("0\r\n\r\n"), "{answer}");
+    let response = caller.join().unwrap();
+    assert!(response.contains("id: 60") && response.ends_with("0\r\n\r\n"), "{response}");
     assert!(relay.wait_end());
     assert!(store.granted("acme").is_empty(), "{:?}", store.granted("acme"));
     // 60 events of 6 tokens are more than the 60 tokens that the request may get.
     assert_eq!(store.billed("acme"), 160);
 }
 
-/// A lender that leaves lends no more: the next request is served all the same.
+/// A lender that is stopping lends no more; the next request is served all the same.
 #[test]
 fn leaving_lender() {
     let store = Store::start();
@@ -49,9 +49,9 @@
     let mut relay = Process::start_relay(&store, "side-1");
     platform::wait_until("the relay", || store.has("relays", "side-1"));
     let gateway = Process::start_gateway(&store);
-    let more = format!("{}Connection: close\r\n", platform::PROMPT_HEADERS);
+    let headers = format!("{}Connection: close\r\n", platform::PROMPT_HEADERS);
     let call = |id: &str| {
-        platform::call_raw(gateway.callers, &request("POST", "/stream/a", id, &more, "p"))
+        platform::call_raw(gateway.callers, &request("POST", "/stream/a", id, &headers, "p"))
     };
     assert!(call("r1").starts_with("HTTP/1.1 200"));
     relay.signal("TERM");
@@ -61,24 +61,24 @@
     assert!(!store.granted("acme").keys().any(|holder| holder.starts_with("side-1")));
 }
 
-/// A relay's VM freezes. Its process answers nothing, while its kernel still takes connections: each
-/// request of its customers waited for 650 ms until the lender was passed over, and a first event that
-/// is due within half a second was late. A second lender has the budget well before that.
+/// A relay's VM freezes: the process does not response while its kernel still accepts connections. If each
+/// request waited for the full timeout of 650 ms, a first event that is due within half a second would be
+/// late. The entry must turn to the second lender well before that.
 #[test]
 fn frozen_lender() {
     let store = Store::start();
     let events = platform::chunk("id: 1\ndata: x\n\n");
-    let answer = [platform::STREAM_HEAD, &events, "0\r\n\r\n"].concat();
-    let backend = Backend::start("i-1", move |_, _| Action::Respond(answer.clone()));
+    let response = [platform::STREAM_HEAD, &events, "0\r\n\r\n"].concat();
+    let backend = Backend::start("i-1", move |_, _| Action::Respond(response.clone()));
     platform::configure_prepaid(&store, 1, &[&backend], 100_000);
     let relays = ["side-1", "side-2"].map(|vm| Process::start_relay(&store, vm));
     let gateway = Process::start_gateway(&store);
     thread::sleep(Duration::from_millis(1_200));
-    // Whichever of the two lends: one of these is the time of a frozen lender.
+    // It is not known which of the two lends, so each is frozen in turn.
     for relay in &relays {
         relay.signal("STOP");
-        let more = format!("{}Connection: close\r\n", platform::PROMPT_HEADERS);
-        let text = request("POST", "/stream/a", "r1", &more, "p");
+        let headers = format!("{}Connection: close\r\n", platform::PROMPT_HEADERS);
+        let text = request("POST", "/stream/a", "r1", &headers, "p");
         let start = Instant::now();
         let got = platform::call_raw(gateway.callers, &text);
         assert!(got.contains("id: 1"), "{got}");
--- a/toucanrail-gateway/tests/platform/mod.rs
+++ b/toucanrail-gateway/tests/platform/mod.rs
@@ -1,7 +1,8 @@
-//! The users' platform for tests: a store, backend servers and callers written by hand, byte by byte,
-//! so that they do not share the adapter's idea of the wire; gateway and relay are real processes.
+//! The users' platform for tests. The store, the backend servers and the callers are fakes that read and write
+//! raw bytes, so that they do not share the adapter's view of the wire format; gateway and relay are real
+//! processes.
 
-// Each test file uses its own part of this.
+// Each test file uses only a part of this module.
 #![allow(dead_code)]
 
 pub mod proxies;
@@ -19,25 +20,27 @@
 use self::proxies::Proxy;
 use serde_json::{Value, json};
 
-/// Longest wait for anything that a test waits for; a failure, not a pace.
-const BOUND: Duration = Duration::from_secs(20);
-const STEP: Duration = Duration::from_millis(10);
-/// The key of the customer `acme`.
+/// Timeout of everything that a test waits for. Reaching it is a failure; no test depends on its length.
+const TIMEOUT: Duration = Duration::from_secs(20);
+/// Polling interval.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// API key of the customer `acme`.
 pub const KEY: &str = "acme-key";
 
 static NEXT_PORT: AtomicU16 = AtomicU16::new(0);
 
-/// Ports of one test program, and the first of all: below those that the kernel gives to connections,
-/// which took one now and then between its choice and its use.
+/// Number of ports of one test program, and the first port of all programs. They lie below the kernel's range
+/// of ephemeral ports: a port in that range was sometimes taken by an outgoing connection between being
+/// chosen and being used.
 const PORT_COUNT: u16 = 100;
 const PORT_BASE: u16 = 10_000;
-/// Test programs that get different ports.
+/// Number of test programs with disjoint port ranges.
 const PORT_BLOCKS: u32 = 200;
 
-/// Ports of one process towards the others, which follow one another.
-const INNER_PORTS: u16 = 3;
+/// Number of consecutive ports on which one process is reached by other processes.
+const INTERNAL_PORTS: u16 = 3;
 
-/// Returns the first of some ports in a row that nobody listens on.
+/// Returns the first of `count` consecutive ports on which nothing listens.
 fn free_ports(count: u16) -> u16 {
     loop {
         let base = PORT_BASE + (std::process::id() % PORT_BLOCKS) as u16 * PORT_COUNT;
@@ -49,6 +52,7 @@
     }
 }
 
+/// Serves each connection to a new loopback port in a thread of its own. Returns the address.
 fn spawn_server<Handler>(handler: Handler) -> SocketAddr
 where
     Handler: Fn(TcpStream) + Send + Sync + 'static,
@@ -65,7 +69,7 @@
     address
 }
 
-/// One message as it came.
+/// One received HTTP message.
 #[derive(Debug, Clone)]
 pub struct Message {
     pub head: String,
@@ -73,6 +77,7 @@
 }
 
 impl Message {
+    /// Returns the value of a header field.
     pub fn field(&self, name: &str) -> Option<&str> {
         let lines = self.head.lines().skip(1).filter_map(|line| line.split_once(": "));
         lines
@@ -81,6 +86,7 @@
             .map(|(_, value)| value)
     }
 
+    /// Returns the second word of the first line: the target of a request, or the status of a response.
     pub fn target(&self) -> &str {
         self.head.split(' ').nth(1).unwrap_or_default()
     }
@@ -90,7 +96,7 @@
     }
 }
 
-/// Reads a message with a stated length or without a body.
+/// Reads a message with a `Content-Length`, or without a body.
 fn read_message(stream: &mut TcpStream) -> Option<Message> {
     let mut message = read_head(stream)?;
     read_body(stream, &mut message)?;
@@ -115,50 +121,52 @@
     stream.read_exact(&mut message.body).ok()
 }
 
+/// Objects and history of the fake store.
 #[derive(Debug, Default)]
 struct StoreState {
     revision: u64,
     objects: BTreeMap<(String, String), (u64, Value)>,
     events: Vec<(u64, String, Value)>,
-    /// The history up to this revision is gone.
-    forgotten: u64,
+    /// Revision up to which the history has been discarded.
+    discarded_until: u64,
 }
 
-/// The platform's store.
+/// A fake of the platform's store.
 #[derive(Debug, Clone)]
 pub struct Store {
     state: Arc<Mutex<StoreState>>,
-    /// Where gateways reach it; can be cut.
+    /// Address for gateways; it can be cut off.
     pub address: SocketAddr,
-    /// Where relays reach it.
-    pub inner: SocketAddr,
-    cut: Arc<AtomicBool>,
+    /// Address for relays.
+    pub relay_address: SocketAddr,
+    cut_off: Arc<AtomicBool>,
     blocked: Arc<Mutex<BTreeSet<String>>>,
     watches: Arc<AtomicU64>,
 }
 
 impl Store {
+    /// Starts an empty store.
     pub fn start() -> Self {
         let state: Arc<Mutex<StoreState>> = Arc::default();
-        let cut = Arc::new(AtomicBool::new(false));
+        let cut_off = Arc::new(AtomicBool::new(false));
         let blocked: Arc<Mutex<BTreeSet<String>>> = Arc::default();
         let watches: Arc<AtomicU64> = Arc::default();
-        let serve = |cut: Option<Arc<AtomicBool>>| {
+        let serve = |cut_off: Option<Arc<AtomicBool>>| {
             let state = Arc::clone(&state);
             let blocked = Arc::clone(&blocked);
             let watches = Arc::clone(&watches);
             spawn_server(move |mut stream| {
                 while let Some(message) = read_message(&mut stream) {
-                    if cut.as_ref().is_some_and(|cut| cut.load(Ordering::Relaxed)) {
+                    if cut_off.as_ref().is_some_and(|flag| flag.load(Ordering::Relaxed)) {
                         return;
                     }
                     while blocked.lock().expect("blocked kinds").contains(kind_of(&message)) {
-                        thread::sleep(STEP);
+                        thread::sleep(POLL_INTERVAL);
                     }
-                    if cut.is_some() && message.target().contains("watch=") {
+                    if cut_off.is_some() && message.target().contains("watch=") {
                         watches.fetch_add(1, Ordering::Relaxed);
                     }
-                    let (status, body) = answer_store(&state, &message);
+                    let (status, body) = handle_store_request(&state, &message);
                     let body = body.to_string();
                     let head =
                         format!("HTTP/1.1 {status} x\r\nContent-Length: {}\r\n\r\n", body.len());
@@ -168,43 +176,43 @@
                 }
             })
         };
-        let address = serve(Some(Arc::clone(&cut)));
-        let inner = serve(None);
-        Self { state, address, inner, cut, blocked, watches }
+        let address = serve(Some(Arc::clone(&cut_off)));
+        let relay_address = serve(None);
+        Self { state, address, relay_address, cut_off, blocked, watches }
     }
 
-    /// Returns the store as it is reached through proxies, by gateways and by relays.
+    /// Returns the store with proxies in front of its address for gateways and its address for relays.
     pub fn behind(&self, gateways: &Proxy, relays: &Proxy) -> Self {
-        Self { address: gateways.address, inner: relays.address, ..self.clone() }
+        Self { address: gateways.address, relay_address: relays.address, ..self.clone() }
     }
 
-    /// Keeps calls for one kind waiting, or lets them go on.
-    pub fn set_blocked(&self, kind: &str, hold: bool) {
+    /// Blocks calls for one kind, or unblocks them.
+    pub fn set_blocked(&self, kind: &str, block: bool) {
         let mut blocked = self.blocked.lock().expect("blocked kinds");
-        if hold {
+        if block {
             blocked.insert(kind.to_owned());
         } else {
             blocked.remove(kind);
         }
     }
 
-    /// Cuts the gateways off, or heals the cut.
-    pub fn set_cut_off(&self, cut: bool) {
-        self.cut.store(cut, Ordering::Relaxed);
+    /// Cuts the gateways off from the store, or reconnects them.
+    pub fn set_cut_off(&self, cut_off: bool) {
+        self.cut_off.store(cut_off, Ordering::Relaxed);
     }
 
-    /// Writes an object as the operator or a server does.
+    /// Writes an object, as the operator or a server would.
     pub fn put(&self, kind: &str, name: &str, spec: Value) {
         let mut state = self.state.lock().expect("the store");
         write(&mut state, kind, name, spec);
     }
 
-    /// Writes an object and forgets all history with it: no watch sees the change.
+    /// Writes an object and discards all history, so that no watch reports the change.
     pub fn put_without_event(&self, kind: &str, name: &str, spec: Value) {
         let mut state = self.state.lock().expect("the store");
         write(&mut state, kind, name, spec);
         state.events.clear();
-        state.forgotten = state.revision;
+        state.discarded_until = state.revision;
     }
 
     /// Removes an object.
@@ -217,7 +225,7 @@
         state.events.push((revision, kind.to_owned(), event));
     }
 
-    /// Returns how often gateways themselves began to watch.
+    /// Returns the number of watches that gateways have begun.
     pub fn watch_count(&self) -> u64 {
         self.watches.load(Ordering::Relaxed)
     }
@@ -234,12 +242,12 @@
         state.objects.contains_key(&(kind.to_owned(), name.to_owned()))
     }
 
-    /// Returns what a customer was billed.
+    /// Returns the tokens that a customer was billed.
     pub fn billed(&self, customer: &str) -> u64 {
         self.account(customer)["billed"].as_u64().unwrap_or(0)
     }
 
-    /// Returns what stands granted of a customer's budget, by holder.
+    /// Returns the tokens of a customer's budget that are granted, by holder.
     pub fn granted(&self, customer: &str) -> BTreeMap<String, u64> {
         let account = self.account(customer);
         let grants = account["grants"].as_object().cloned().unwrap_or_default();
@@ -255,6 +263,7 @@
     }
 }
 
+/// Returns the kind of store objects that a request is for.
 fn kind_of(message: &Message) -> &str {
     let path = message.target().trim_start_matches("/api/objects/");
     path.split(['/', '?']).next().unwrap_or_default()
@@ -264,6 +273,7 @@
     json!({"metadata": {"name": name, "revision": revision, "deleting": false}, "spec": spec})
 }
 
+/// Writes an object at the next revision and adds the event to the history. Returns the object as stored.
 fn write(state: &mut StoreState, kind: &str, name: &str, spec: Value) -> Value {
     state.revision += 1;
     let revision = state.revision;
@@ -274,7 +284,8 @@
     written
 }
 
-fn answer_store(state: &Mutex<StoreState>, message: &Message) -> (u16, Value) {
+/// Answers one request to the store with a status and a body.
+fn handle_store_request(state: &Mutex<StoreState>, message: &Message) -> (u16, Value) {
     let target = message.target().trim_start_matches("/api/objects/").to_owned();
     let (path, query) = target.split_once('?').unwrap_or((&target, ""));
     let (kind, name) = path.split_once('/').unwrap_or((path, ""));
@@ -314,11 +325,12 @@
     }
 }
 
+/// Waits for events of a kind after a revision, for at most `wait` milliseconds.
 fn watch(state: &Mutex<StoreState>, kind: &str, after: u64, wait: u64) -> (u16, Value) {
     let start = Instant::now();
     loop {
         let state = state.lock().expect("the store");
-        if after < state.forgotten {
+        if after < state.discarded_until {
             return (410, Value::Null);
         }
         let new =
@@ -328,20 +340,21 @@
             return (200, json!({"events": events, "store_revision": state.revision}));
         }
         drop(state);
-        thread::sleep(STEP);
+        thread::sleep(POLL_INTERVAL);
     }
 }
 
-/// What a backend server does with a request.
+/// How a fake backend server reacts to a request.
 #[derive(Debug, Clone)]
 pub enum Action {
-    /// Writes these bytes, in which `ID` stands for the attempt's id, then waits for the next.
+    /// Writes these bytes, in which `ID` stands for the attempt's id and `PAUSE` for a pause of 30 ms, then waits
+    /// for the next request.
     Respond(String),
-    /// Writes these bytes and resets or closes the connection.
+    /// Writes these bytes and closes or resets the connection.
     Disconnect(String),
 }
 
-/// A backend server.
+/// A fake backend server.
 #[derive(Debug, Clone)]
 pub struct Backend {
     pub id: String,
@@ -350,19 +363,19 @@
 }
 
 impl Backend {
-    /// Starts one that does what `script` says of each request it gets, by its number from 0.
+    /// Starts a server that reacts to each request as `script` says, which gets the request's number from 0.
     pub fn start<Script>(id: &str, script: Script) -> Self
     where
         Script: Fn(usize, &Message) -> Action + Send + Sync + 'static,
     {
         let seen: Arc<Mutex<Vec<Message>>> = Arc::default();
-        let known = Arc::clone(&seen);
+        let received = Arc::clone(&seen);
         let address = spawn_server(move |mut stream| {
             while let Some(message) = read_message(&mut stream) {
                 let number = {
-                    let mut known = known.lock().expect("requests");
-                    known.push(message.clone());
-                    known.len() - 1
+                    let mut received = received.lock().expect("requests");
+                    received.push(message.clone());
+                    received.len() - 1
                 };
                 let id = message.field("x-attempt-id").unwrap_or_default().to_owned();
                 let (text, breaks) = match script(number, &message) {
@@ -383,10 +396,10 @@
         Self { id: id.to_owned(), address, seen }
     }
 
-    /// Starts one that answers as soon as it has a request's head, and reads its body later.
+    /// Starts a server that responds as soon as it has read a request's head, and reads the body later.
     pub fn start_early_responder(id: &str) -> Self {
         let seen: Arc<Mutex<Vec<Message>>> = Arc::default();
-        let known = Arc::clone(&seen);
+        let received = Arc::clone(&seen);
         let address = spawn_server(move |mut stream| {
             while let Some(mut message) = read_head(&mut stream) {
                 let id = message.field("x-attempt-id").unwrap_or_default().to_owned();
@@ -398,22 +411,23 @@
                 if read_body(&mut stream, &mut message).is_none() {
                     return;
                 }
-                known.lock().expect("requests").push(message);
+                received.lock().expect("requests").push(message);
             }
         });
         Self { id: id.to_owned(), address, seen }
     }
 
-    /// Returns the server as it is reached through a proxy.
+    /// Returns the server with a proxy in front of it.
     pub fn behind(&self, proxy: &Proxy) -> Self {
         Self { address: proxy.address, ..self.clone() }
     }
 
-    /// Returns the requests it got.
+    /// Returns the requests that it received.
     pub fn seen(&self) -> Vec<Message> {
         self.seen.lock().expect("requests").clone()
     }
 
+    /// Returns its registration for a service.
     fn entry(&self, service: &str) -> Value {
         json!({
             "service": service, "address": self.address.to_string(), "zone": "a",
@@ -422,7 +436,7 @@
     }
 }
 
-/// An answer with a body, signed.
+/// Returns a signed response with a body.
 pub fn signed_response(body: &str) -> String {
     format!(
         "HTTP/1.1 200 OK\r\nX-Attempt-Id: ID\r\nX-Replica-Signature: s\r\nContent-Length: {}\r\n\r\n{body}",
@@ -430,11 +444,11 @@
     )
 }
 
-/// The start of a stream, signed, up to its first chunk.
+/// Head of a signed streaming response, up to its first chunk.
 pub const STREAM_HEAD: &str = "HTTP/1.1 200 OK\r\nX-Attempt-Id: ID\r\nX-Replica-Signature: s\r\n\
     Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-/// One chunk.
+/// Encodes one chunk of a chunked body.
 pub fn chunk(data: &str) -> String {
     format!("{:x}\r\n{data}\r\n", data.len())
 }
@@ -446,13 +460,13 @@
     child: Child,
     pub callers: SocketAddr,
     pub readiness: SocketAddr,
-    /// The address that it opens last.
+    /// The address that the process opens last.
     last_address: SocketAddr,
     settings: PathBuf,
 }
 
-/// Bounds of settings where data centres are emptied and cold servers spared.
-const PLACE_BOUNDS: &str = "evac_ms = 5000\ncold_over = 1.5\ncold_slack = 5\n";
+/// Settings that turn on evacuations and limits for cold servers.
+const LIMIT_SETTINGS: &str = "evac_ms = 5000\ncold_over = 1.5\ncold_slack = 5\n";
 
 static NEXT_FILE: AtomicU64 = AtomicU64::new(0);
 
@@ -464,7 +478,7 @@
         process
     }
 
-    /// Starts a gateway on a VM of this name and waits until it is ready.
+    /// Starts a gateway on a VM with this name and waits until it is ready.
     pub fn start_gateway_on(store: &Store, vm: &str) -> Self {
         let program = env!("CARGO_BIN_EXE_toucanrail-gateway");
         let process = Self::start(program, store.address, vm, None);
@@ -472,34 +486,34 @@
         process
     }
 
-    /// Starts a gateway that finds no configuration.
+    /// Starts a gateway without waiting for it to be ready, such as one that finds no configuration.
     pub fn start_unready(store: &Store) -> Self {
         Self::start(env!("CARGO_BIN_EXE_toucanrail-gateway"), store.address, "front-1", None)
     }
 
-    /// Starts a gateway where data centres are emptied and cold servers spared, and waits until it is ready.
+    /// Starts a gateway with evacuations and limits for cold servers turned on, and waits until it is ready.
     pub fn start_with_limits(store: &Store) -> Self {
         let program = env!("CARGO_BIN_EXE_toucanrail-gateway");
-        let process = Self::start_with(program, store.address, "front-1", None, PLACE_BOUNDS);
+        let process = Self::start_with(program, store.address, "front-1", None, LIMIT_SETTINGS);
         process.wait_ready(true);
         process
     }
 
     /// Starts a relay.
     pub fn start_relay(store: &Store, vm: &str) -> Self {
-        Self::start(env!("CARGO_BIN_EXE_toucanrail-relay"), store.inner, vm, None)
+        Self::start(env!("CARGO_BIN_EXE_toucanrail-relay"), store.relay_address, vm, None)
     }
 
-    /// Starts the relay beside a backend server and waits until the store knows it.
+    /// Starts the relay beside a backend server and waits until it is registered in the store.
     pub fn start_relay_beside(store: &Store, vm: &str, backend: &Backend) -> Self {
         let program = env!("CARGO_BIN_EXE_toucanrail-relay");
-        let process = Self::start(program, store.inner, vm, Some(backend.address));
+        let process = Self::start(program, store.relay_address, vm, Some(backend.address));
         wait_until("the relay", || store.has("relays", vm));
         process
     }
 
-    /// Starts a process and waits until it listens; another one with other ports where it ended first,
-    /// as when a port was taken meanwhile.
+    /// Starts a process and waits until it listens. If it exits first, as when another process has taken one of
+    /// its ports, starts another one with other ports.
     fn start(program: &'static str, store: SocketAddr, vm: &str, app: Option<SocketAddr>) -> Self {
         Self::start_with(program, store, vm, app, "")
     }
@@ -509,18 +523,18 @@
         store: SocketAddr,
         vm: &str,
         app: Option<SocketAddr>,
-        bounds: &str,
+        extra_bounds: &str,
     ) -> Self {
         loop {
-            let mut process = Self::try_start(program, store, vm, app, bounds);
-            if process.listens() {
+            let mut process = Self::try_start(program, store, vm, app, extra_bounds);
+            if process.wait_listening() {
                 return process;
             }
         }
     }
 
-    /// Tells whether the process came to listen; false if it ended.
-    fn listens(&mut self) -> bool {
+    /// Waits until the process listens. Returns false if it exits instead.
+    fn wait_listening(&mut self) -> bool {
         let last = self.last_address;
         let mut ended = false;
         wait_until("a listener", || {
@@ -535,27 +549,27 @@
         store: SocketAddr,
         vm: &str,
         app: Option<SocketAddr>,
-        bounds: &str,
+        extra_bounds: &str,
     ) -> Self {
         let port = || SocketAddr::from(([127, 0, 0, 1], free_ports(1)));
-        let (callers, readiness, inner) = (port(), port(), free_ports(INNER_PORTS));
+        let (callers, readiness, internal_port) = (port(), port(), free_ports(INTERNAL_PORTS));
         let app = app.map_or(String::new(), |app| format!("app = \"{app}\"\n"));
         let text = format!(
-            "{app}node = \"{vm}\"\nzone = \"a\"\nip = \"127.0.0.1\"\ninternal_ports = [{inner}, {}]\n\
+            "{app}node = \"{vm}\"\nzone = \"a\"\nip = \"127.0.0.1\"\ninternal_ports = [{internal_port}, {}]\n\
              [listen]\nfront = \"{callers}\"\nreadiness_address = \"{readiness}\"\n\
              [bounds]\ngrace_s = 4\nretry_budget_ratio = 0.2\nbudget_slack = 52\nbudget_window_s = 10\n\
-             {bounds}[zones]\na = \"north\"\nb = \"south\"\n\
+             {extra_bounds}[zones]\na = \"north\"\nb = \"south\"\n\
              [provider]\naddress = \"{store}\"\n",
-            inner + 9
+            internal_port + 9
         );
         let number = NEXT_FILE.fetch_add(1, Ordering::Relaxed);
         let name = format!("toucanrail-{}-{number}.toml", std::process::id());
         let settings = std::env::temp_dir().join(name);
         std::fs::write(&settings, text).expect("a settings file");
         let child = Self::spawn(program, &settings);
-        // A gateway opens its inner address last, a relay that for loans, one port behind.
-        let last = inner + u16::from(program.ends_with("relay"));
-        let last_address = SocketAddr::from(([127, 0, 0, 1], last));
+        // A gateway opens its first internal port last; a relay the next one, on which it answers entries.
+        let last_port = internal_port + u16::from(program.ends_with("relay"));
+        let last_address = SocketAddr::from(([127, 0, 0, 1], last_port));
         Self { program, child, callers, readiness, last_address, settings }
     }
 
@@ -567,20 +581,20 @@
 
     /// Kills the process and starts it again with the same settings.
     pub fn restart(&mut self) {
-        // It may have ended by itself, as after SIGTERM.
+        // The process may have exited already, as after SIGTERM.
         self.child.kill().ok();
         self.child.wait().ok();
         self.child = Self::spawn(self.program, &self.settings);
     }
 
-    /// Sends a signal by name.
+    /// Sends a signal, given by its name without `SIG`.
     pub fn signal(&self, name: &str) {
         let pid = self.child.id().to_string();
         let sent = Command::new("kill").args([&format!("-{name}"), &pid]).status();
         assert!(sent.expect("kill").success());
     }
 
-    /// Waits until the process has ended, and tells whether it ended well.
+    /// Waits until the process has exited. Returns whether it exited successfully.
     pub fn wait_end(&mut self) -> bool {
         let mut status = None;
         wait_until("the end of the process", || {
@@ -590,91 +604,91 @@
         status.is_some_and(|status| status.success())
     }
 
-    /// Waits until the process says that it is ready, or that it is not.
+    /// Waits until the process reports that it is ready, or that it is not.
     pub fn wait_ready(&self, ready: bool) {
         wait_until("readiness", || {
-            let asked = call(self.readiness, "GET /api/ready HTTP/1.1\r\nHost: x\r\n\r\n");
-            asked.is_some_and(|answer| (answer.status() == 200) == ready)
+            let reply = call(self.readiness, "GET /api/ready HTTP/1.1\r\nHost: x\r\n\r\n");
+            reply.is_some_and(|response| (response.status() == 200) == ready)
         });
     }
 }
 
 impl Drop for Process {
     fn drop(&mut self) {
-        // Both may be gone already.
+        // The process may have exited already.
         self.child.kill().ok();
         self.child.wait().ok();
         std::fs::remove_file(&self.settings).ok();
     }
 }
 
-/// Waits until something holds.
+/// Waits until a condition holds; `what` describes it in the failure message.
 pub fn wait_until<Condition>(what: &str, mut condition: Condition)
 where
     Condition: FnMut() -> bool,
 {
     let start = Instant::now();
     while !condition() {
-        assert!(start.elapsed() < BOUND, "no {what} in {BOUND:?}");
-        thread::sleep(STEP);
+        assert!(start.elapsed() < TIMEOUT, "no {what} in {TIMEOUT:?}");
+        thread::sleep(POLL_INTERVAL);
     }
 }
 
-/// Sends bytes and reads one answer with a stated length.
+/// Sends a request and reads one response with a `Content-Length`.
 pub fn call(address: SocketAddr, bytes: &str) -> Option<Message> {
     let mut stream = TcpStream::connect(address).ok()?;
-    stream.set_read_timeout(Some(BOUND)).ok()?;
+    stream.set_read_timeout(Some(TIMEOUT)).ok()?;
     stream.write_all(bytes.as_bytes()).ok()?;
     read_message(&mut stream)
 }
 
-/// Sends bytes and reads all that comes until the connection ends.
+/// Sends a request and reads everything until the connection ends.
 pub fn call_raw(address: SocketAddr, bytes: &str) -> String {
     let mut stream = TcpStream::connect(address).expect("a connection");
-    stream.set_read_timeout(Some(BOUND)).expect("a timeout");
+    stream.set_read_timeout(Some(TIMEOUT)).expect("a timeout");
     stream.write_all(bytes.as_bytes()).expect("to write");
-    let mut answer = Vec::new();
-    // A reset is an end as well; what came before it counts.
-    stream.read_to_end(&mut answer).ok();
-    String::from_utf8_lossy(&answer).into_owned()
+    let mut response = Vec::new();
+    // A reset also ends the connection; the bytes received before it count.
+    stream.read_to_end(&mut response).ok();
+    String::from_utf8_lossy(&response).into_owned()
 }
 
-/// Like [`call_raw`], but none where no connection is to be had or nothing came.
+/// Like [`call_raw`], but returns `None` if the connection fails or nothing is received.
 pub fn try_raw(address: SocketAddr, bytes: &str) -> Option<String> {
     let mut stream = TcpStream::connect(address).ok()?;
     stream.set_read_timeout(Some(Duration::from_secs(8))).ok()?;
     stream.write_all(bytes.as_bytes()).ok()?;
-    let mut answer = Vec::new();
-    // A reset is an end as well; what came before it counts.
-    stream.read_to_end(&mut answer).ok();
-    Some(String::from_utf8_lossy(&answer).into_owned()).filter(|text| !text.is_empty())
+    let mut response = Vec::new();
+    // A reset also ends the connection; the bytes received before it count.
+    stream.read_to_end(&mut response).ok();
+    Some(String::from_utf8_lossy(&response).into_owned()).filter(|text| !text.is_empty())
 }
 
-/// A caller's request.
-pub fn request(method: &str, path: &str, id: &str, more: &str, body: &str) -> String {
+/// Builds a caller's request.
+pub fn request(method: &str, path: &str, id: &str, headers: &str, body: &str) -> String {
     let length =
         if method == "GET" { String::new() } else { format!("Content-Length: {}\r\n", body.len()) };
     format!(
         "{method} {path} HTTP/1.1\r\nHost: shop.example\r\nX-Attempt-Id: {id}\r\nX-Timeout-Ms: 8000\r\n\
-         Authorization: Bearer {KEY}\r\n{more}{length}\r\n{body}"
+         Authorization: Bearer {KEY}\r\n{headers}{length}\r\n{body}"
     )
 }
 
-/// Fields of a request for a model.
+/// Header fields of a request for a model.
 pub const PROMPT_HEADERS: &str =
     "X-Model: m\r\nX-Token-Usage: 100,60\r\nX-Prefix-Hash: a:60,b:40\r\n";
 
-/// Writes the configuration: plain routes `/once/` and `/safe/`, streams `/stream/` and `/resume/`.
+/// Writes a configuration with plain routes `/once/` and `/safe/` and streaming routes `/stream/` and `/resume/`.
 pub fn configure(store: &Store, version: u64, backends: &[&Backend]) {
     configure_prepaid(store, version, backends, 1_000);
 }
 
-/// Writes the same with another total of the customer.
+/// Like [`configure`], with another prepaid total of the customer.
 pub fn configure_prepaid(store: &Store, version: u64, backends: &[&Backend], total: u64) {
     configure_all(store, version, backends, total, None);
 }
 
-/// Writes a server's registration anew, in a data centre and with the time for which it is cold.
+/// Writes a server's registration with a data centre and the remaining time for which it is cold.
 pub fn register(store: &Store, backend: &Backend, data_centre: &str, cold_ms: u64) {
     let mut entry = backend.entry("desk");
     entry["zone"] = json!(data_centre);
@@ -682,7 +696,7 @@
     store.put("servers", &backend.id, entry);
 }
 
-/// Writes the configuration with another value of one field of all routes, customers or services.
+/// Changes one field of all routes, customers or services in the current configuration.
 pub fn configure_field(store: &Store, version: u64, table: &str, field: &str, value: &Value) {
     let mut config = current_config(store);
     config["version"] = json!(version);
@@ -692,12 +706,12 @@
     store.put("config", "main", config);
 }
 
-/// Returns the configuration as last written.
+/// Returns the current configuration.
 pub fn current_config(store: &Store) -> Value {
     store.get("config", "main").expect("a configuration")
 }
 
-/// Writes the same with one more plain route, `/NAME/`.
+/// Like [`configure`], with one more plain route, `/NAME/`.
 pub fn configure_extra_route(store: &Store, version: u64, backends: &[&Backend], name: &str) {
     configure_all(store, version, backends, 1_000, Some(name));
 }
--- a/toucanrail-gateway/tests/platform/proxies.rs
+++ b/toucanrail-gateway/tests/platform/proxies.rs
@@ -1,4 +1,4 @@
-//! A loopback proxy that harms the connections that pass through it.
+//! A loopback proxy that injects faults into the connections passing through it.
 
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
@@ -9,119 +9,126 @@
 
 use super::spawn_server;
 
-/// What a proxy does with bytes that arrive.
+/// What a proxy does with the bytes it receives.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ProxyFault {
-    /// Passes them on.
+    /// Forwards them.
     None,
-    /// Passes them on late.
+    /// Forwards them after a delay.
     Delay(Duration),
-    /// Loses what servers send.
+    /// Drops what servers send.
     DropResponses,
-    /// Loses what callers send.
+    /// Drops what callers send.
     DropRequests,
 }
 
-/// One connection, as both of its directions see it.
+/// One proxied connection, shared by the threads of its two directions.
 #[derive(Debug, Clone)]
-struct Passage {
-    near: Arc<TcpStream>,
-    far: Arc<TcpStream>,
-    silent: Arc<AtomicBool>,
+struct ProxiedConnection {
+    client: Arc<TcpStream>,
+    server: Arc<TcpStream>,
+    stalled: Arc<AtomicBool>,
 }
 
-/// A proxy before one address.
+/// A proxy in front of one address.
 #[derive(Debug, Clone)]
 pub struct Proxy {
     pub address: SocketAddr,
-    harm: Arc<Mutex<ProxyFault>>,
-    open: Arc<Mutex<Vec<Passage>>>,
+    fault: Arc<Mutex<ProxyFault>>,
+    open: Arc<Mutex<Vec<ProxiedConnection>>>,
 }
 
 impl Proxy {
-    /// Starts a proxy that harms nothing yet.
+    /// Starts a proxy without a fault.
     pub fn start(target: SocketAddr) -> Self {
-        let harm = Arc::new(Mutex::new(ProxyFault::None));
-        let open: Arc<Mutex<Vec<Passage>>> = Arc::default();
-        let (known, opened) = (Arc::clone(&harm), Arc::clone(&open));
-        let address = spawn_server(move |near| {
-            let Ok(far) = TcpStream::connect(target) else {
+        let fault = Arc::new(Mutex::new(ProxyFault::None));
+        let open: Arc<Mutex<Vec<ProxiedConnection>>> = Arc::default();
+        let (shared, opened) = (Arc::clone(&fault), Arc::clone(&open));
+        let address = spawn_server(move |client| {
+            let Ok(server) = TcpStream::connect(target) else {
                 return;
             };
-            let silent = Arc::default();
-            let passage = Passage { near: Arc::new(near), far: Arc::new(far), silent };
-            opened.lock().expect("passages").push(passage.clone());
-            let (back, harm) = (passage.clone(), Arc::clone(&known));
-            let answers = thread::spawn(move || {
-                pass_bytes(&back.far, &back.near, &back.silent, &harm, ProxyFault::DropResponses);
+            let stalled = Arc::default();
+            let connection =
+                ProxiedConnection { client: Arc::new(client), server: Arc::new(server), stalled };
+            opened.lock().expect("connections").push(connection.clone());
+            let (back, fault) = (connection.clone(), Arc::clone(&shared));
+            let responses = thread::spawn(move || {
+                forward_bytes(
+                    &back.server,
+                    &back.client,
+                    &back.stalled,
+                    &fault,
+                    ProxyFault::DropResponses,
+                );
             });
-            pass_bytes(
-                &passage.near,
-                &passage.far,
-                &passage.silent,
-                &known,
+            forward_bytes(
+                &connection.client,
+                &connection.server,
+                &connection.stalled,
+                &shared,
                 ProxyFault::DropRequests,
             );
-            answers.join().expect("the other direction");
+            responses.join().expect("the other direction");
         });
-        Self { address, harm, open }
+        Self { address, fault, open }
     }
 
-    /// Harms what arrives from now on, on old connections and new ones.
-    pub fn set_fault(&self, harm: ProxyFault) {
-        *self.harm.lock().expect("harm") = harm;
+    /// Applies a fault to all bytes received from now on, on existing and new connections.
+    pub fn set_fault(&self, fault: ProxyFault) {
+        *self.fault.lock().expect("fault") = fault;
     }
 
-    /// Ends all open connections.
+    /// Closes all open connections.
     pub fn reset_connections(&self) {
-        for passage in self.open.lock().expect("passages").drain(..) {
-            close(&passage.near, &passage.far);
+        for connection in self.open.lock().expect("connections").drain(..) {
+            close(&connection.client, &connection.server);
         }
     }
 
-    /// Lets all open connections go silent for good; new ones work.
+    /// Stalls all open connections permanently, without closing them. New connections work.
     pub fn stall_connections(&self) {
-        for passage in self.open.lock().expect("passages").drain(..) {
-            passage.silent.store(true, Ordering::Relaxed);
+        for connection in self.open.lock().expect("connections").drain(..) {
+            connection.stalled.store(true, Ordering::Relaxed);
         }
     }
 }
 
-fn close(near: &TcpStream, far: &TcpStream) {
+fn close(client: &TcpStream, server: &TcpStream) {
     // Either may be closed already.
-    near.shutdown(Shutdown::Both).ok();
-    far.shutdown(Shutdown::Both).ok();
+    client.shutdown(Shutdown::Both).ok();
+    server.shutdown(Shutdown::Both).ok();
 }
 
-/// Passes one direction on until either end closes. A direction that lost bytes is silent for good, as
-/// one whose peer never gets what is missing.
-fn pass_bytes(
+/// Forwards one direction until either end closes. A direction that dropped bytes forwards nothing more, like a
+/// TCP connection whose peer never receives the missing segment.
+fn forward_bytes(
     mut from: &TcpStream,
     mut to: &TcpStream,
-    silent: &AtomicBool,
-    harm: &Mutex<ProxyFault>,
-    losing: ProxyFault,
+    stalled: &AtomicBool,
+    fault: &Mutex<ProxyFault>,
+    dropping: ProxyFault,
 ) {
     let mut buffer = [0; 4_096];
-    let mut lost = false;
+    let mut dropped = false;
     while let Ok(count) = from.read(&mut buffer) {
         if count == 0 {
             break;
         }
-        let now = *harm.lock().expect("harm");
-        lost |= now == losing;
-        if lost || silent.load(Ordering::Relaxed) {
+        let active = *fault.lock().expect("fault");
+        dropped |= active == dropping;
+        if dropped || stalled.load(Ordering::Relaxed) {
             continue;
         }
-        if let ProxyFault::Delay(time) = now {
-            thread::sleep(time);
+        if let ProxyFault::Delay(delay) = active {
+            thread::sleep(delay);
         }
         if to.write_all(&buffer[..count]).is_err() {
             break;
         }
     }
-    // The end of a silent connection does not arrive either.
-    if !lost && !silent.load(Ordering::Relaxed) {
+    // The close of a stalled connection is not forwarded either.
+    if !dropped && !stalled.load(Ordering::Relaxed) {
         close(from, to);
     }
 }
--- a/toucanrail-gateway/tests/relay_registration.rs
+++ b/toucanrail-gateway/tests/relay_registration.rs
@@ -1,4 +1,4 @@
-//! A relay's entry in the store.
+//! A relay's registration in the store.
 
 mod platform;
 
@@ -8,8 +8,9 @@
 use platform::{Process, Store};
 use serde_json::json;
 
-/// A relay starts again, as all do after a power loss. It overwrote the pace that its earlier run had
-/// measured, and wrote it once more when it had measured it again: two calls a relay, all at once.
+/// A restarted relay keeps the pace in its entry that its earlier run measured. If it cleared the pace and
+/// wrote it again once measured, all relays that restart after a power loss would make two more calls each, at
+/// the same time.
 #[test]
 fn kept_pace() {
     let store = Store::start();
