--- a/toucanrail-gateway/src/relay_registration.rs
+++ b/toucanrail-gateway/src/relay_registration.rs
@@ -66,7 +66,7 @@
     };
     let (server, clock) = (report_client.server, ProcessClock::start());
     let mut meter = PaceMeter::default();
-    let mut written = clock.now();
+    let mut written_at = clock.now();
     loop {
         let pause = if meter.wants_reports() { MEASURING_INTERVAL } else { MONITORING_INTERVAL };
         smol::Timer::after(pause).await;
@@ -76,12 +76,13 @@
             Err(failure) => tracing::debug!(event = "report_failed", %server, %failure),
         }
         let known = registration.entry.pace_us.map(Duration::from_micros);
-        let may_write = clock.now().saturating_sub(written) > MIN_WRITE_INTERVAL || known.is_none();
+        let may_write =
+            clock.now().saturating_sub(written_at) > MIN_WRITE_INTERVAL || known.is_none();
         if may_write && paces::is_news(known, meter.pace()) {
             registration.entry.pace_us = meter.pace().map(|pace| pace.as_micros() as u64);
             tracing::info!(event = "server_pace", %server, pace_us = registration.entry.pace_us);
             registration.write().await;
-            written = clock.now();
+            written_at = clock.now();
         }
     }
 }
--- a/toucanrail-gateway/src/store_access.rs
+++ b/toucanrail-gateway/src/store_access.rs
@@ -48,7 +48,7 @@
     /// Notified when another endpoint is used from now on.
     endpoint_changed: Event,
     clock: ProcessClock,
-    /// Time of the store's last answer to any call.
+    /// Time of the last answer to any use of the store.
     answered_at: Cell<Option<Duration>>,
     /// Uses of the store whose last call was not answered, and since when.
     unanswered: RefCell<BTreeMap<&'static str, Duration>>,
--- a/toucanrail-gateway/tests/cold_servers.rs
+++ b/toucanrail-gateway/tests/cold_servers.rs
@@ -8,8 +8,8 @@
 use platform::{Action, Backend, Process, Store, request};
 use serde_json::json;
 
-/// Maximum number of requests that reach a cold server within one second, from the configured rate and the
-/// slack in the settings.
+/// Maximum number of requests per second to a cold server: the configured rate of 10, times `cold_over` of 1.5,
+/// plus `cold_slack` of 5.
 const MAX_REQUESTS: usize = 20;
 
 /// Starts a store and one backend server, and configures its service with a cold start.
--- a/toucanrail-gateway/tests/fleet_boards.rs
+++ b/toucanrail-gateway/tests/fleet_boards.rs
@@ -60,7 +60,7 @@
     expect_change(&store, &backend, &gateway);
 }
 
-/// The board freezes with its connections open. Its entries must notice that it does not response.
+/// The board freezes with its connections open. Its entries must notice that it does not answer.
 #[test]
 fn frozen_board() {
     let (store, backend, relay, gateway) = start_board();
@@ -69,7 +69,7 @@
     relay.signal("CONT");
 }
 
-/// The store does not response for some seconds, and the board is queried again once the store is back. If the
+/// The store does not answer for some seconds, and the board is queried again once the store is back. If the
 /// entries continued to watch the store themselves, each server that registers anew would wake them all.
 #[test]
 fn stale_board() {
--- a/toucanrail-gateway/tests/lender_shutdown.rs
+++ b/toucanrail-gateway/tests/lender_shutdown.rs
@@ -61,7 +61,7 @@
     assert!(!store.granted("acme").keys().any(|holder| holder.starts_with("side-1")));
 }
 
-/// A relay's VM freezes: the process does not response while its kernel still accepts connections. If each
+/// A relay's VM freezes: the process does not answer while its kernel still accepts connections. If each
 /// request waited for the full timeout of 650 ms, a first event that is due within half a second would be
 /// late. The entry must turn to the second lender well before that.
 #[test]
