--- a/toucanrail-daemons/src/attempts.rs
+++ b/toucanrail-daemons/src/attempts.rs
@@ -178,7 +178,11 @@
                     received += bytes.len() as u64;
                     if std::mem::take(&mut first) {
                         let now = entry.now();
-                        entry.lock().servers.note_first(&target.agent, started.elapsed(), now);
+                        entry.lock().servers.note_first_token(
+                            &target.agent,
+                            started.elapsed(),
+                            now,
+                        );
                     }
                     if !sink.take_body(bytes, tokens).await {
                         return Err(FrameFault::Gone);
--- a/toucanrail-daemons/src/reclaiming.rs
+++ b/toucanrail-daemons/src/reclaiming.rs
@@ -78,8 +78,8 @@
     let known = tables.members.peers().find(|peer| peer.node.id == *dead);
     let gone = known.is_none_or(|peer| peer.gone);
     gone || tables.servers.rows().all(|row| {
-        let silent = row.heard_at.is_none_or(|at| now.saturating_sub(at) > servers::SILENCE_LIMIT);
-        !silent || tables.members.is_gone_vm(&row.vm)
+        let silent = row.heard_at.is_none_or(|at| now.saturating_sub(at) > servers::AGENT_TIMEOUT);
+        !silent || tables.members.is_vm_gone(&row.vm)
     })
 }
 
@@ -160,7 +160,7 @@
         }
         state.nodes.get(agent).and_then(storecalls::decode_value)
     };
-    node.is_none_or(|node| entry.lock().members.is_gone_vm(&node.vm))
+    node.is_none_or(|node| entry.lock().members.is_vm_gone(&node.vm))
 }
 
 async fn drop_runs(entry: &Arc<Entry>, runs: BTreeMap<AgentId, Vec<RunId>>) {
--- a/toucanrail-daemons/src/serving.rs
+++ b/toucanrail-daemons/src/serving.rs
@@ -184,7 +184,7 @@
             if slots == 0 {
                 return Err(Box::new(self.refusal(codetable::NO_BACKEND_SERVER)));
             }
-            tables.retries.note_fresh(now);
+            tables.retries.note_request(now);
             let (class, weight) = (customer.class, customer.weight);
             tables.limits.admit(&service, &customer.name, class, weight, known)
         };
@@ -318,10 +318,13 @@
 
     fn pick_server(&mut self) -> Option<AttemptTarget> {
         let now = self.entry.now();
-        let query =
-            RouteQuery { prefix: self.plan.prefix, dice: [fastrand::f64(), fastrand::f64()], now };
+        let query = RouteQuery {
+            prefix: self.plan.prefix,
+            random: [fastrand::f64(), fastrand::f64()],
+            now,
+        };
         let mut tables = self.entry.lock();
-        tables.servers.turn = tables.servers.turn.wrapping_add(1);
+        tables.servers.next_index = tables.servers.next_index.wrapping_add(1);
         let usable = tables.grants.usable_agents(&self.plan.customer.name)?;
         let service = &self.plan.service.name;
         let eligible = tables.servers.eligible(service, usable, &self.tried, now, fastrand::f64());
--- a/toucanrail-daemons/src/settling.rs
+++ b/toucanrail-daemons/src/settling.rs
@@ -144,7 +144,7 @@
     let mut tables = entry.lock();
     let gone = match &reply {
         Ok(reply) => reply.agent != *agent,
-        Err(_) => tables.members.is_gone_vm(&vm),
+        Err(_) => tables.members.is_vm_gone(&vm),
     };
     if gone || reply.is_ok() {
         let dropped: BTreeSet<RunId> = order.runs.into_iter().collect();
--- a/toucanrail-daemons/src/watching.rs
+++ b/toucanrail-daemons/src/watching.rs
@@ -36,7 +36,7 @@
 fn is_watcher(entry: &Entry) -> bool {
     let tables = entry.lock();
     let data_centre = &entry.settings.common.data_centre;
-    let alive = tables.members.alive_in(&entry.id, data_centre, entry.now());
+    let alive = tables.members.live_entries(&entry.id, data_centre, entry.now());
     members::pick_watchers(&alive, data_centre).contains(&entry.id)
 }
 
@@ -68,7 +68,7 @@
     let watchers: Vec<SocketAddr> = {
         let tables = entry.lock();
         let data_centre = &entry.settings.common.data_centre;
-        let alive = tables.members.alive_in(&entry.id, data_centre, entry.now());
+        let alive = tables.members.live_entries(&entry.id, data_centre, entry.now());
         let watchers = members::pick_watchers(&alive, data_centre);
         let peers = tables.members.peers().filter(|peer| watchers.contains(&peer.node.id));
         peers.map(|peer| peer.node.address).collect()
@@ -88,11 +88,11 @@
     entry.board.in_force.set(version.cast_signed());
     {
         let mut tables = entry.lock();
-        tables.servers.take_nodes(nodes.iter());
-        tables.members.take_nodes(&entry.id, nodes.iter(), entry.now());
-        tables.members.take_vms(vms);
+        tables.servers.apply_nodes(nodes.iter());
+        tables.members.apply_nodes(&entry.id, nodes.iter(), entry.now());
+        tables.members.apply_vms(vms);
         let leaving = tables.members.leaving_vms();
-        tables.servers.take_leaving_vms(&leaving);
+        tables.servers.mark_leaving_vms(&leaving);
         let agents = tables.servers.choose_agents(&entry.id);
         tables.grants.want_agents(agents);
         for customer in customers {
@@ -113,7 +113,7 @@
     let gone: Vec<AgentId> = {
         let tables = entry.lock();
         let agents = nodes.iter().filter(|node| node.role == NodeRole::Agent);
-        let gone = agents.filter(|node| tables.members.is_gone_vm(&node.vm));
+        let gone = agents.filter(|node| tables.members.is_vm_gone(&node.vm));
         gone.map(|node| Arc::clone(&node.id)).collect()
     };
     for agent in gone {
@@ -138,7 +138,7 @@
 async fn send_heartbeats(entry: Arc<Entry>) {
     loop {
         let now = entry.now();
-        let targets = entry.lock().members.choose_heartbeats(&entry.id, now);
+        let targets = entry.lock().members.update_heartbeat_targets(&entry.id, now);
         for (peer, address) in targets {
             smol::spawn(send_heartbeat(Arc::clone(&entry), peer, address)).detach();
         }
@@ -185,7 +185,7 @@
     if report.agent == agent {
         let now = entry.now();
         let mut tables = entry.lock();
-        tables.servers.take_report(&report, own, asked, now);
+        tables.servers.apply_report(&report, own, asked, now);
         let agents = tables.servers.choose_agents(&entry.id);
         tables.grants.want_agents(agents);
         return;
--- a/toucanrail-gateway/src/admitting.rs
+++ b/toucanrail-gateway/src/admitting.rs
@@ -8,7 +8,7 @@
 use toucanrail::codes::{ResultCode, RunState};
 use toucanrail::codetable;
 use toucanrail::matching::{CustomerFacts, RouteRule};
-use toucanrail::returns::{self, RefusalCause};
+use toucanrail::retry_delays::{self, RefusalCause};
 use toucanrail_platform::requests::{self, RequestFacts};
 use toucanrail_wire::heads::RequestHead;
 
@@ -105,7 +105,7 @@
     };
     check_load(gateway, &plan)?;
     plan.budget = hold_budget(gateway, &plan).await?;
-    gateway.note_fresh(&plan.service);
+    gateway.note_request(&plan.service);
     Ok(plan)
 }
 
@@ -130,7 +130,7 @@
     if gateway.admits(&plan.service, query) {
         return Ok(());
     }
-    let wait = returns::pick_wait(RefusalCause::Overload, waits, fastrand::f64());
+    let wait = retry_delays::pick_delay(RefusalCause::Overload, waits, fastrand::f64());
     Err(EntryRefusal { code: codetable::OVERLOADED, retry_after: Some(wait) })
 }
 
@@ -141,7 +141,7 @@
 ) -> Result<(Arc<RouteRule>, Option<Arc<CustomerFacts>>), EntryRefusal> {
     let tables = gateway.tables.borrow();
     let left = facts.timeout.unwrap_or(Duration::MAX);
-    let later = Some(returns::pick_wait(RefusalCause::Uninformed, left, fastrand::f64()));
+    let later = Some(retry_delays::pick_delay(RefusalCause::Uninformed, left, fastrand::f64()));
     if tables.routes.version() == 0 {
         return Err(EntryRefusal { code: codetable::STORE_UNAVAILABLE, retry_after: later });
     }
@@ -195,7 +195,7 @@
         HoldFailure::Short => {
             let is_outage = gateway.store.age() > OUTAGE_LEAST && !gateway.desk.unanswered.get();
             let cause = if is_outage { RefusalCause::Outage } else { RefusalCause::Unconfirmed };
-            let wait = returns::pick_wait(cause, plan.left(), fastrand::f64());
+            let wait = retry_delays::pick_delay(cause, plan.left(), fastrand::f64());
             EntryRefusal { code: codetable::BUDGET_UNCONFIRMED, retry_after: Some(wait) }
         }
     })
--- a/toucanrail-gateway/src/calls.rs
+++ b/toucanrail-gateway/src/calls.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use toucanrail::attempting::AttemptFate;
+use toucanrail::attempts::AttemptOutcome;
 use toucanrail::backends::BackendEntry;
 use toucanrail::events::EventScanner;
 use toucanrail::framing::BodyFramer;
@@ -96,7 +96,7 @@
     /// The server answered with a failure, which the caller does not have yet.
     Failed(FailedAnswer),
     /// There is no answer.
-    Ended(AttemptFate),
+    Ended(AttemptOutcome),
     /// The caller takes no answer any more.
     CallerGone,
 }
--- a/toucanrail-gateway/src/dispatching.rs
+++ b/toucanrail-gateway/src/dispatching.rs
@@ -6,14 +6,14 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use toucanrail::attempting::{AttemptFate, AttemptTally, NextStep};
+use toucanrail::attempts::{AttemptHistory, AttemptOutcome, NextStep};
 use toucanrail::backends::{BackendEntry, BackendId, BackendRow, BackendTable};
 use toucanrail::codes::{ResultCode, RunState};
 use toucanrail::codetable;
 use toucanrail::matching;
-use toucanrail::placing::{self, PlaceQuery};
+use toucanrail::placement::{self, PlacementQuery};
 use toucanrail::probes::{self, ProbeRow};
-use toucanrail::returns::{self, RefusalCause};
+use toucanrail::retry_delays::{self, RefusalCause};
 use toucanrail_wire::clocks;
 
 use crate::answering::{self, CallerSide};
@@ -47,7 +47,7 @@
     let mut run = DispatchRun {
         gateway,
         plan,
-        tally: AttemptTally::new(plan.route.kind, plan.route.attempts),
+        tally: AttemptHistory::new(plan.route.kind, plan.route.attempts),
         tried: Vec::new(),
         stream: StreamState::new(plan.facts.last_event),
         failure: None,
@@ -62,7 +62,7 @@
 struct DispatchRun<'run, 'call> {
     gateway: &'run Rc<Gateway>,
     plan: &'run CallPlan<'call>,
-    tally: AttemptTally,
+    tally: AttemptHistory,
     tried: Vec<BackendId>,
     stream: StreamState,
     failure: Option<FailedAnswer>,
@@ -84,11 +84,11 @@
         loop {
             let probed = self.probe_servers().await;
             let Some((target, source)) = self.pick_target(&probed) else {
-                let step = self.tally.give_up(self.last_fate());
+                let step = self.tally.final_step(self.last_fate());
                 return self.finish(step, caller).await;
             };
             if !self.wait_permits(&target).await {
-                let step = self.tally.give_up(self.last_fate());
+                let step = self.tally.final_step(self.last_fate());
                 return self.finish(step, caller).await;
             }
             let permit = permitting::take_permit(self.gateway, &target).await;
@@ -101,14 +101,14 @@
                 AttemptEnd::CallerGone => return RequestEnd::CallerGone,
                 AttemptEnd::Failed(answer) => {
                     self.failure = Some(answer);
-                    AttemptFate::Failed
+                    AttemptOutcome::Failed
                 }
                 AttemptEnd::Ended(fate) => fate,
             };
             self.note_fate(&target, fate);
-            let step = match self.tally.decide(fate, self.plan.left()) {
-                NextStep::Again if self.may_try_again() => continue,
-                NextStep::Again => self.tally.give_up(fate),
+            let step = match self.tally.next_step(fate, self.plan.left()) {
+                NextStep::Retry if self.may_try_again() => continue,
+                NextStep::Retry => self.tally.final_step(fate),
                 step => step,
             };
             return self.finish(step, caller).await;
@@ -122,7 +122,7 @@
         let wait = {
             let tables = self.gateway.tables.borrow();
             let row = tables.backends.get(&target.id);
-            row.map_or(Duration::ZERO, |row| row.permit_wait(now))
+            row.map_or(Duration::ZERO, |row| row.permit_delay(now))
         };
         if wait.is_zero() {
             return true;
@@ -145,18 +145,18 @@
         allowed
     }
 
-    fn last_fate(&self) -> AttemptFate {
-        if self.failure.is_some() { AttemptFate::Failed } else { AttemptFate::NotSent }
+    fn last_fate(&self) -> AttemptOutcome {
+        if self.failure.is_some() { AttemptOutcome::Failed } else { AttemptOutcome::NotSent }
     }
 
-    fn place_query(&self) -> PlaceQuery<'_> {
+    fn place_query(&self) -> PlacementQuery<'_> {
         let prompt = self.plan.facts.prompt.as_ref();
-        PlaceQuery {
+        PlacementQuery {
             data_centre: &self.gateway.settings.data_centre,
             parts: prompt.map_or(&[], |prompt| &prompt.parts),
             prompt: prompt.map_or(0, |prompt| prompt.prompt),
             now: self.gateway.now(),
-            dice: fastrand::f64(),
+            random: fastrand::f64(),
         }
     }
 
@@ -186,14 +186,14 @@
         let Some(prompt) = &self.plan.facts.prompt else {
             return Vec::new();
         };
-        if !probes::is_long(prompt.prompt) && !self.gateway.wants_probe(&self.plan.service) {
+        if !probes::is_long(prompt.prompt) && !self.gateway.should_probe(&self.plan.service) {
             return Vec::new();
         }
         let query = self.place_query();
         let candidates = {
             let tables = self.gateway.tables.borrow();
             let eligible = self.list_eligible(&tables.backends, query.now);
-            let dice: [f64; probes::SAMPLE_COUNT] = std::array::from_fn(|_| fastrand::f64());
+            let dice: [f64; probes::PROBE_SAMPLES] = std::array::from_fn(|_| fastrand::f64());
             probes::pick_candidates(&eligible, &query, &dice)
         };
         let probing = candidates.into_iter().map(|entry| {
@@ -208,7 +208,7 @@
         for task in probing.collect::<Vec<_>>() {
             probed.push(task.await);
         }
-        self.gateway.take_reports(&self.plan.service, &probed);
+        self.gateway.record_reports(&self.plan.service, &probed);
         self.log_probes(&probed);
         probed
     }
@@ -230,10 +230,10 @@
         let tables = self.gateway.tables.borrow();
         let eligible = self.list_eligible(&tables.backends, query.now);
         let chosen = probes::pick_probed(&eligible, &query, probed, self.plan.route.aim);
-        let row = chosen.or_else(|| placing::pick_backend(&eligible, &query))?;
-        let mut sources = tables.backends.sources(&self.plan.service, &self.tried, query.now);
+        let row = chosen.or_else(|| placement::pick_backend(&eligible, &query))?;
+        let mut sources = tables.backends.fetch_sources(&self.plan.service, &self.tried, query.now);
         sources.retain(|row| self.allows(row));
-        let source = placing::pick_source(&sources, &query, row);
+        let source = placement::pick_fetch_source(&sources, &query, row);
         Some((row.entry.clone(), source.map(|source| source.entry.address)))
     }
 
@@ -245,7 +245,7 @@
         caller: &mut CallerSide,
     ) -> AttemptEnd {
         // A further attempt must be possible for an early end of this one to be of use.
-        let spare = AttemptTally { sent: self.tally.sent + 1, may_have_run: true, ..self.tally };
+        let spare = AttemptHistory { sent: self.tally.sent + 1, may_have_run: true, ..self.tally };
         let may_move = spare.may_send(self.plan.left());
         let (gateway, plan) = (self.gateway, self.plan);
         let context = AttemptContext { gateway, plan, target, source, permit, may_move };
@@ -254,22 +254,22 @@
         end
     }
 
-    fn note_fate(&mut self, target: &BackendEntry, fate: AttemptFate) {
+    fn note_fate(&mut self, target: &BackendEntry, fate: AttemptOutcome) {
         let now = self.gateway.now();
-        self.tally.note(fate);
+        self.tally.record(fate);
         if let Some(budget) = &self.plan.budget {
             budget.note_sent(self.tally.may_have_run);
         }
         let mut tables = self.gateway.tables.borrow_mut();
         match fate {
-            AttemptFate::NotSent => tables.backends.note_down(&target.id, now),
-            AttemptFate::Declined | AttemptFate::Withheld => {}
-            AttemptFate::Failed
-            | AttemptFate::Lost
-            | AttemptFate::Broken
-            | AttemptFate::TimedOut => tables.backends.note_failure(&target.id, now),
+            AttemptOutcome::NotSent => tables.backends.note_connect_failure(&target.id, now),
+            AttemptOutcome::Declined | AttemptOutcome::Withheld => {}
+            AttemptOutcome::Failed
+            | AttemptOutcome::Lost
+            | AttemptOutcome::Broken
+            | AttemptOutcome::TimedOut => tables.backends.note_failure(&target.id, now),
         }
-        if matches!(fate, AttemptFate::NotSent | AttemptFate::Lost | AttemptFate::Broken) {
+        if matches!(fate, AttemptOutcome::NotSent | AttemptOutcome::Lost | AttemptOutcome::Broken) {
             // It may be gone and start anew before its next registration is known here.
             if let Some(rule) = tables.routes.cold_rule(&target.service) {
                 tables.backends.note_cold(&target.id, rule.time, now);
@@ -285,7 +285,7 @@
 
     async fn finish(&mut self, step: NextStep, caller: &mut CallerSide) -> RequestEnd {
         match step {
-            NextStep::Deliver => match self.failure.take() {
+            NextStep::Forward => match self.failure.take() {
                 Some(answer) => {
                     // A caller that is gone needs no answer.
                     caller.send_whole(&answer.head, &answer.body).await.ok();
@@ -293,14 +293,15 @@
                 }
                 None => self.refuse(codetable::BACKEND_FAILED, caller).await,
             },
-            NextStep::Answer(code) => self.refuse(code, caller).await,
-            NextStep::Cut | NextStep::Again => RequestEnd::Cut,
+            NextStep::Fail(code) => self.refuse(code, caller).await,
+            NextStep::Truncate | NextStep::Retry => RequestEnd::Cut,
         }
     }
 
     async fn refuse(&self, code: ResultCode, caller: &mut CallerSide) -> RequestEnd {
         let run = self.tally.run_state();
-        let wait = returns::pick_wait(RefusalCause::Declined, self.plan.left(), fastrand::f64());
+        let wait =
+            retry_delays::pick_delay(RefusalCause::Declined, self.plan.left(), fastrand::f64());
         let wait = (run == RunState::NotRun).then_some(wait);
         let note = answering::make_note(code, run, wait);
         // A caller that is gone needs no refusal.
--- a/toucanrail-gateway/src/following.rs
+++ b/toucanrail-gateway/src/following.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use toucanrail::boards::{self, OutageTimer};
+use toucanrail::boards::{self, OutageBackoff};
 use toucanrail::ids::Version;
 use toucanrail::messages::{MirrorChange, MirrorObject, NewsOrder, NewsReply};
 use toucanrail_platform::stores::{ListFreshness, StoreFailure};
@@ -79,12 +79,12 @@
     loop {
         smol::Timer::after(SWEEP).await;
         let now = gateway.now();
-        let over = gateway.tables.borrow_mut().backends.drop_lapsed(now);
+        let over = gateway.tables.borrow_mut().backends.drop_expired(now);
         for id in over {
             tracing::info!(event = "server_gone", server = %id, reason = "lapsed");
             gateway.channels.forget(&id);
         }
-        gateway.tables.borrow_mut().backends.take_paces(&gateway.store.paces());
+        gateway.tables.borrow_mut().backends.apply_paces(&gateway.store.paces());
         gateway.channels.sweep();
         let tables = gateway.tables.borrow();
         gateway.sights.retain(|server| tables.backends.get(server).is_some());
@@ -102,14 +102,14 @@
     /// The last answer.
     heard: Duration,
     /// When the store is asked although no board hears from it.
-    outage: OutageTimer,
+    outage: OutageBackoff,
 }
 
 async fn follow<Taker>(gateway: Rc<Gateway>, mut taker: Taker)
 where
     Taker: KindTaker,
 {
-    let outage = OutageTimer::default();
+    let outage = OutageBackoff::default();
     let mut state = FollowState { revision: None, heard: gateway.now(), outage };
     let mut pause = PAUSE_LEAST;
     loop {
@@ -176,7 +176,7 @@
     kind: &str,
     state: &mut FollowState,
 ) -> Result<NewsReply, StoreFailure> {
-    if !state.outage.is_over(gateway.now()) {
+    if !state.outage.may_ask(gateway.now()) {
         return Err(no_answer());
     }
     let asked = ask_store(gateway, kind, state.revision).await;
@@ -319,14 +319,15 @@
                         address = %entry.address, draining = entry.draining,
                         cold_ms = entry.cold.as_millis() as u64, revision = object.version,
                     );
-                    let reborn = known.as_ref().is_some_and(|known| known.born != entry.born);
+                    let reborn =
+                        known.as_ref().is_some_and(|known| known.started_at != entry.started_at);
                     if reborn || entry.draining {
                         gateway.channels.forget(&entry.id);
                     }
                 }
                 // A listing repeats what was said some time ago.
                 let cold = if known.as_ref() == Some(&entry) { Duration::ZERO } else { entry.cold };
-                tables.backends.take_entry(entry);
+                tables.backends.apply_entry(entry);
                 if !cold.is_zero() {
                     tables.backends.note_cold(&object.name, cold, now);
                 }
@@ -369,7 +370,7 @@
         for id in known.iter().filter(|id| !listed.contains(*id)) {
             self.note_missing(gateway, id);
         }
-        gateway.tables.borrow_mut().backends.note_listed();
+        gateway.tables.borrow_mut().backends.mark_listed();
     }
 
     fn take_change(&mut self, gateway: &Gateway, change: &MirrorChange) {
@@ -395,7 +396,7 @@
         let now = gateway.now();
         let mut tables = gateway.tables.borrow_mut();
         let GatewayTables { routes, backends, .. } = &mut *tables;
-        backends.reopen(data_centre, now, |service| {
+        backends.end_evacuation(data_centre, now, |service| {
             routes.cold_rule(service).map_or(Duration::ZERO, |rule| rule.time)
         });
         tracing::info!(event = "evacuation_over", data_centre);
@@ -409,7 +410,7 @@
     fn take_all(&mut self, gateway: &Gateway, objects: &[MirrorObject]) {
         let listed = objects.iter().map(|object| Arc::clone(&object.name)).collect();
         let now = gateway.now();
-        let over = gateway.tables.borrow_mut().backends.evacuations.take_listing(&listed, now);
+        let over = gateway.tables.borrow_mut().backends.evacuations.apply_listing(&listed, now);
         for data_centre in &over {
             Self::reopen(gateway, data_centre);
         }
@@ -423,7 +424,7 @@
             return;
         }
         let now = gateway.now();
-        gateway.tables.borrow_mut().backends.evacuations.note_closed(data_centre, self.age, now);
+        gateway.tables.borrow_mut().backends.evacuations.begin(data_centre, self.age, now);
         let (age_ms, revision) = (self.age.as_millis() as u64, change.object.version);
         tracing::info!(event = "evacuation", %data_centre, age_ms, revision);
     }
--- a/toucanrail-gateway/src/gauging.rs
+++ b/toucanrail-gateway/src/gauging.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use toucanrail::paces::LoadReport;
+use toucanrail::paces::BackendReport;
 use toucanrail_platform::stores::{StoreClient, StoreFailure};
 
 /// Longest wait for a report; the server is on the same VM.
@@ -24,12 +24,12 @@
     }
 
     /// Reads a report.
-    pub async fn read(&self) -> Result<LoadReport, StoreFailure> {
+    pub async fn read(&self) -> Result<BackendReport, StoreFailure> {
         self.client.read_report(self.server, REPORT_BOUND).await
     }
 
     /// Reads a report for an entry; none if the server does not report.
-    pub async fn see(&self) -> Option<LoadReport> {
+    pub async fn see(&self) -> Option<BackendReport> {
         match self.read().await {
             Ok(report) => Some(report),
             Err(failure) => {
--- a/toucanrail-gateway/src/lending.rs
+++ b/toucanrail-gateway/src/lending.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use smol::{Async, LocalExecutor};
-use toucanrail::coldstarts::{PermitOrder, PermitReply, PermitTable};
+use toucanrail::coldstarts::{PermitReply, PermitRequest, PermitTable};
 use toucanrail::loans::{LoanEnd, LoanOrder, LoanReply, LoanTable};
 use toucanrail_wire::calling;
 use toucanrail_wire::channels::BufferedChannel;
@@ -23,11 +23,11 @@
 /// Call with some [`LoanEnd`]s, answered with `true`.
 pub const END_PATH: &str = "/loans/end";
 
-/// Call with nothing, answered with the [`LoadReport`](toucanrail::paces::LoadReport) of the server beside
+/// Call with nothing, answered with the [`BackendReport`](toucanrail::paces::BackendReport) of the server beside
 /// the lender, if there is one.
 pub const REPORT_PATH: &str = "/report";
 
-/// Call with a [`PermitOrder`], answered with a [`PermitReply`].
+/// Call with a [`PermitRequest`], answered with a [`PermitReply`].
 pub const PERMIT_PATH: &str = "/permit";
 
 /// Call with nothing, answered with `true` at once.
@@ -130,8 +130,8 @@
     }
 }
 
-fn give_permit(office: &LoanOffice, order: &PermitOrder) -> PermitReply {
-    let reply = office.permits.borrow_mut().give(order, office.news.now());
+fn give_permit(office: &LoanOffice, order: &PermitRequest) -> PermitReply {
+    let reply = office.permits.borrow_mut().grant(order, office.news.now());
     tracing::info!(event = "permit", server = %order.server, limit = order.limit, reply = ?reply);
     reply
 }
--- a/toucanrail-gateway/src/mirroring.rs
+++ b/toucanrail-gateway/src/mirroring.rs
@@ -51,7 +51,7 @@
     }
 
     fn empty_table(wait: Duration) -> BoardTable {
-        BoardTable::with_freshness(wait + STALE_SLACK)
+        BoardTable::with_max_age(wait + STALE_SLACK)
     }
 
     fn forget(&self) {
@@ -97,7 +97,9 @@
         let waiting = async {
             loop {
                 let changed = board.changed.listen();
-                if let Some(reply) = board.table.borrow().news(order.after, self.store.now()) {
+                if let Some(reply) =
+                    board.table.borrow().updates_since(order.after, self.store.now())
+                {
                     return reply;
                 }
                 changed.await;
@@ -106,7 +108,7 @@
         let patience = async {
             smol::Timer::after(order.wait.min(ORDER_LIMIT)).await;
             let after = order.after.unwrap_or_default();
-            board.table.borrow().no_news(after, self.store.now())
+            board.table.borrow().empty_update(after, self.store.now())
         };
         waiting.or(patience).await
     }
@@ -129,7 +131,7 @@
             Err(failure) => {
                 tracing::debug!(event = "store_failed", kind, %failure);
                 // Those who wait learn it now, and not when their wait is over.
-                board.table.borrow_mut().note_silence();
+                board.table.borrow_mut().note_store_failure();
                 board.changed.notify(usize::MAX);
                 smol::Timer::after(FAILURE_PAUSE).await;
             }
@@ -147,11 +149,11 @@
     let Some(revision) = known else {
         let bound = *wait + ANSWER_SLACK;
         let listing = store.list_kind(kind, ListFreshness::Latest, bound).await?;
-        table.borrow_mut().take_listing(listing.objects, listing.revision, store.now());
+        table.borrow_mut().apply_listing(listing.objects, listing.revision, store.now());
         return Ok(true);
     };
     let watched = store.watch_kind(kind, revision, *wait, ANSWER_SLACK).await?;
     let changed = !watched.changes.is_empty();
-    table.borrow_mut().take_changes(watched.changes, watched.revision, store.now());
+    table.borrow_mut().apply_changes(watched.changes, watched.revision, store.now());
     Ok(changed)
 }
--- a/toucanrail-gateway/src/permitting.rs
+++ b/toucanrail-gateway/src/permitting.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use toucanrail::backends::BackendEntry;
-use toucanrail::coldstarts::{self, PERMIT_TIME, PermitOrder, PermitReply};
+use toucanrail::coldstarts::{self, PERMIT_VALIDITY, PermitReply, PermitRequest};
 use toucanrail::detours::RelayName;
 use toucanrail::loans;
 
@@ -47,10 +47,10 @@
     };
     let asked = Instant::now();
     let PermitReply::After(wait) = ask_relay(gateway, target, limit).await else {
-        return SendPermit::Until(asked + PERMIT_TIME);
+        return SendPermit::Until(asked + PERMIT_VALIDITY);
     };
     let until = gateway.now() + wait;
-    gateway.tables.borrow_mut().backends.note_no_permit(&target.id, until);
+    gateway.tables.borrow_mut().backends.note_permit_denied(&target.id, until);
     gateway.board.count_event("permits_denied");
     tracing::info!(
         event = "permit_denied", server = %target.id, limit, wait_ms = wait.as_millis() as u64,
@@ -72,7 +72,7 @@
     let Some((relay, address)) = find_relay(gateway, target) else {
         return PermitReply::After(SILENCE_TIME);
     };
-    let order = PermitOrder { server: Arc::clone(server), limit };
+    let order = PermitRequest { server: Arc::clone(server), limit };
     let bound = PERMIT_BOUND;
     let asked = peering::call_peer(gateway, &relay, address, PERMIT_PATH, &order, bound).await;
     asked.unwrap_or_else(|error| {
--- a/toucanrail-gateway/src/registering.rs
+++ b/toucanrail-gateway/src/registering.rs
@@ -61,16 +61,16 @@
     let mut meter = PaceMeter::default();
     let mut written = clock.now();
     loop {
-        let pause = if meter.wants_reports() { REPORT_PAUSE } else { CALM_PAUSE };
+        let pause = if meter.needs_reports() { REPORT_PAUSE } else { CALM_PAUSE };
         smol::Timer::after(pause).await;
         match gauge.read().await {
-            Ok(report) => meter.take_report(&report, clock.now()),
+            Ok(report) => meter.apply_report(&report, clock.now()),
             // A server that is not there has no pace; the entries learn of its end from the store.
             Err(failure) => tracing::debug!(event = "report_failed", %server, %failure),
         }
         let known = registration.entry.pace_us.map(Duration::from_micros);
         let rested = clock.now().saturating_sub(written) > CHANGE_PAUSE || known.is_none();
-        if rested && paces::is_news(known, meter.pace()) {
+        if rested && paces::is_significant_change(known, meter.pace()) {
             registration.entry.pace_us = meter.pace().map(|pace| pace.as_micros() as u64);
             tracing::info!(event = "server_pace", %server, pace_us = registration.entry.pace_us);
             registration.write().await;
--- a/toucanrail-gateway/src/relaying.rs
+++ b/toucanrail-gateway/src/relaying.rs
@@ -5,9 +5,9 @@
 
 use smol::Timer;
 use smol::future::FutureExt;
-use toucanrail::attempting::AttemptFate;
+use toucanrail::attempts::AttemptOutcome;
 use toucanrail::framing::BodyFramer;
-use toucanrail::silences::SilenceWatch;
+use toucanrail::silences::SilenceDetector;
 use toucanrail_wire::clocks;
 
 use crate::answering::CallerSide;
@@ -54,9 +54,9 @@
     match clocks::within(context.plan.left(), read_rest(&mut exchange, &mut body)).await {
         Ok(()) => {}
         Err(error) if error.kind() == io::ErrorKind::TimedOut => {
-            return AttemptEnd::Ended(AttemptFate::TimedOut);
+            return AttemptEnd::Ended(AttemptOutcome::TimedOut);
         }
-        Err(_) => return AttemptEnd::Ended(AttemptFate::Lost),
+        Err(_) => return AttemptEnd::Ended(AttemptOutcome::Lost),
     }
     let head = exchange.head.clone();
     exchange.keep_channel(context.gateway, &context.target.id);
@@ -84,7 +84,7 @@
     let mut tick = Timer::interval(TICK);
     let mut pending = Vec::new();
     let mut heard = Instant::now();
-    let mut watch = SilenceWatch::default();
+    let mut watch = SilenceDetector::default();
     let before = stream.scanner.count;
     loop {
         let taken = exchange.framer.feed(&exchange.channel.buffer, &mut pending);
@@ -96,7 +96,7 @@
                 stream.pause = stream.pause.max(heard.elapsed());
             }
             heard = Instant::now();
-            flight.note_begun();
+            flight.note_first_event();
             if let Some(budget) = &plan.budget {
                 budget.add_output((stream.scanner.count - known) * stride);
             }
@@ -115,7 +115,7 @@
             ReadEnd::Bytes => {}
             ReadEnd::Tick => {
                 if plan.left().is_zero() {
-                    return AttemptEnd::Ended(AttemptFate::TimedOut);
+                    return AttemptEnd::Ended(AttemptOutcome::TimedOut);
                 }
                 let received = stream.scanner.count - before;
                 let stalled = context.may_move && heard.elapsed() > stall;
@@ -156,8 +156,8 @@
     reading.or(ticking).await
 }
 
-fn cut_fate(caller: &CallerSide) -> AttemptFate {
-    if caller.begun { AttemptFate::Broken } else { AttemptFate::Lost }
+fn cut_fate(caller: &CallerSide) -> AttemptOutcome {
+    if caller.begun { AttemptOutcome::Broken } else { AttemptOutcome::Lost }
 }
 
 async fn pass_events(
--- a/toucanrail-gateway/src/sending.rs
+++ b/toucanrail-gateway/src/sending.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 
 use smol::future::FutureExt;
-use toucanrail::admissions::WaitRow;
-use toucanrail::attempting::AttemptFate;
+use toucanrail::admissions::PendingRow;
+use toucanrail::attempts::AttemptOutcome;
 use toucanrail::backends::{BackendEntry, FlightRow};
 use toucanrail::framing::BodyFramer;
 use toucanrail::matching::RouteKind;
@@ -58,12 +58,12 @@
     let done = (200..300).contains(&exchange.head.status);
     if done && !facts.signed {
         // No server made this answer.
-        return AttemptEnd::Ended(AttemptFate::Lost);
+        return AttemptEnd::Ended(AttemptOutcome::Lost);
     }
     if done && plan.route.kind.is_stream() {
         return relaying::relay_stream(context, exchange, caller, stream, &flight).await;
     }
-    flight.note_begun();
+    flight.note_first_event();
     relaying::relay_whole(context, exchange, caller, stream).await
 }
 
@@ -71,13 +71,13 @@
     let mut tables = gateway.tables.borrow_mut();
     let prompt = plan.facts.prompt.as_ref();
     let parts = prompt.map_or(&[][..], |prompt| &prompt.parts);
-    let fresh = prompt.map_or(0, |prompt| {
+    let uncached = prompt.map_or(0, |prompt| {
         let row = tables.backends.get(&target.id);
-        row.map_or(prompt.prompt, |row| row.fresh_tokens(parts, prompt.prompt))
+        row.map_or(prompt.prompt, |row| row.uncached_tokens(parts, prompt.prompt))
     });
-    let row = FlightRow { sent_at: gateway.now(), fresh, begun: false };
+    let row = FlightRow { sent_at: gateway.now(), uncached, begun: false };
     let number = tables.backends.note_sent(&target.id, row, parts);
-    let row = WaitRow { sent_at: row.sent_at, aim: plan.route.aim };
+    let row = PendingRow { sent_at: row.sent_at, latency_target: plan.route.aim };
     tables.limits.entry(Arc::clone(&target.service)).or_default().note_sent(number, row);
     drop(tables);
     FlightGuard::new(gateway, target, number)
@@ -96,7 +96,7 @@
 async fn open_exchange(
     context: &AttemptContext<'_, '_>,
     last_event: Option<u64>,
-) -> Result<OpenExchange, AttemptFate> {
+) -> Result<OpenExchange, AttemptOutcome> {
     let AttemptContext { plan, target, .. } = *context;
     let mut channel = open_channel(context).await?;
     let bodiless = plan.body.is_empty() && plan.head.fields.get("content-length").is_none();
@@ -110,7 +110,7 @@
         body: (!bodiless).then_some(plan.body.len()),
     };
     if !context.permit.is_valid() {
-        return Err(AttemptFate::Withheld);
+        return Err(AttemptOutcome::Withheld);
     }
     if let Some(budget) = &plan.budget {
         // From here on the server may read the prompt, whether the caller stays or not.
@@ -124,18 +124,18 @@
         Ok(found) => found,
         Err(error) if error.kind() == io::ErrorKind::TimedOut => {
             let over = plan.left_to_begin().is_zero();
-            return Err(if over { AttemptFate::TimedOut } else { AttemptFate::Lost });
+            return Err(if over { AttemptOutcome::TimedOut } else { AttemptOutcome::Lost });
         }
         Err(error) => {
             tracing::debug!(event = "exchange_broken", server = %target.id, %error);
-            return Err(AttemptFate::Lost);
+            return Err(AttemptOutcome::Lost);
         }
     };
     let framer = BodyFramer::of_answer(head.length);
     Ok(OpenExchange { channel, head, framer, sent_whole })
 }
 
-async fn open_channel(context: &AttemptContext<'_, '_>) -> Result<BufferedChannel, AttemptFate> {
+async fn open_channel(context: &AttemptContext<'_, '_>) -> Result<BufferedChannel, AttemptOutcome> {
     let AttemptContext { gateway, plan, target, .. } = *context;
     let idle = match plan.route.kind {
         RouteKind::Once | RouteKind::Stream { resumable: false } => ONCE_IDLE,
@@ -152,7 +152,7 @@
             event = "connect_failed", request = %plan.facts.id, server = %target.id,
             address = %target.address, %error,
         );
-        AttemptFate::NotSent
+        AttemptOutcome::NotSent
     })
 }
 
@@ -231,5 +231,5 @@
     if read.is_ok() && status != 421 {
         exchange.keep_channel(gateway, &target.id);
     }
-    AttemptEnd::Ended(AttemptFate::Declined)
+    AttemptEnd::Ended(AttemptOutcome::Declined)
 }
--- a/toucanrail-gateway/src/sighting.rs
+++ b/toucanrail-gateway/src/sighting.rs
@@ -8,8 +8,8 @@
 
 use smol::lock::Mutex;
 use toucanrail::backends::{BackendEntry, BackendId};
-use toucanrail::paces::LoadReport;
-use toucanrail::silences::{RunSight, SilenceVerdict, SilenceWatch};
+use toucanrail::paces::BackendReport;
+use toucanrail::silences::{RunStatus, SilenceDetector, SilenceVerdict};
 
 use crate::calls::AttemptContext;
 use crate::lending::REPORT_PATH;
@@ -26,7 +26,7 @@
 #[derive(Debug)]
 struct SightRow {
     taken_at: Duration,
-    report: Option<LoadReport>,
+    report: Option<BackendReport>,
 }
 
 /// The last report of each server that was looked at.
@@ -52,7 +52,7 @@
 
 /// Returns a server's load as its relay tells it, some tenths of a second old at most; none where either
 /// of them does not answer.
-pub async fn see_load(gateway: &Gateway, target: &BackendEntry) -> Option<LoadReport> {
+pub async fn see_load(gateway: &Gateway, target: &BackendEntry) -> Option<BackendReport> {
     let row = gateway.sights.row(&target.id);
     // Held through the look: who comes meanwhile waits for this one.
     let mut row = row.lock().await;
@@ -66,7 +66,7 @@
     report
 }
 
-async fn ask_report(gateway: &Gateway, server: &BackendEntry) -> Option<LoadReport> {
+async fn ask_report(gateway: &Gateway, server: &BackendEntry) -> Option<BackendReport> {
     let (relay, address) = gateway.store.relay_at(server.address.ip())?;
     let bound = SIGHT_BOUND;
     let asked = peering::call_peer(gateway, &relay, address, REPORT_PATH, &(), bound).await;
@@ -78,7 +78,7 @@
 
 /// Waits until a server that does not answer is to be given up.
 pub async fn watch_silence(context: &AttemptContext<'_, '_>, patience: Duration) {
-    let mut watch = SilenceWatch::default();
+    let mut watch = SilenceDetector::default();
     smol::Timer::after(patience).await;
     while !is_lost(context, &mut watch, 0).await {
         smol::Timer::after(SIGHT_PAUSE).await;
@@ -89,12 +89,12 @@
 /// answer will come, or there is no sign of the server and another one may be tried instead.
 pub async fn is_lost(
     context: &AttemptContext<'_, '_>,
-    watch: &mut SilenceWatch,
+    watch: &mut SilenceDetector,
     received: u64,
 ) -> bool {
     let AttemptContext { gateway, plan, target, .. } = *context;
     let report = see_load(gateway, target).await;
-    let sight = report.as_ref().map(|report| RunSight::find(report, &plan.facts.id));
+    let sight = report.as_ref().map(|report| RunStatus::find(report, &plan.facts.id));
     let verdict = watch.judge(sight, received);
     let lost = match verdict {
         SilenceVerdict::Works => false,
--- a/toucanrail-gateway/src/starting.rs
+++ b/toucanrail-gateway/src/starting.rs
@@ -76,7 +76,8 @@
     let store = Rc::new(StoreAccess::new(StoreClient::new(STORE_CONNECT), ways, clock));
     let keeper =
         BudgetKeeper::new(&id, Rc::clone(&store), tuning, board.clone(), Rc::clone(&executor));
-    let evacuations = settings.evacuation_bound.map(EvacuationTable::awaiting).unwrap_or_default();
+    let evacuations =
+        settings.evacuation_bound.map(EvacuationTable::awaiting_listing).unwrap_or_default();
     let tables = GatewayTables {
         routes: RouteTable::new(),
         backends: BackendTable::with_evacuations(evacuations),
--- a/toucanrail-gateway/src/states.rs
+++ b/toucanrail-gateway/src/states.rs
@@ -12,7 +12,7 @@
 use toucanrail::backends::{BackendEntry, BackendId, BackendTable, FlightId};
 use toucanrail::ids::{EntryId, ServiceName};
 use toucanrail::matching::RouteTable;
-use toucanrail::probes::{PlaceGauge, ProbeRow};
+use toucanrail::probes::{ProbeRow, SlotGauge};
 use toucanrail::retries::{RetryBounds, RetryBudget};
 use toucanrail_daemons::observing::MetricBoard;
 use toucanrail_daemons::starting::ProcessClock;
@@ -50,7 +50,7 @@
     /// Unread work and its limit, by service.
     pub limits: BTreeMap<ServiceName, AdmissionLimit>,
     /// Free places at the servers, by service.
-    pub places: BTreeMap<ServiceName, PlaceGauge>,
+    pub places: BTreeMap<ServiceName, SlotGauge>,
 }
 
 /// One running gateway.
@@ -126,9 +126,9 @@
     }
 
     /// Notes a fresh request for a service in its retry budget.
-    pub fn note_fresh(&self, service: &ServiceName) {
+    pub fn note_request(&self, service: &ServiceName) {
         let now = self.now();
-        self.with_budget(service, |budget| budget.note_fresh(now));
+        self.with_budget(service, |budget| budget.note_request(now));
     }
 
     /// Takes a retry out of a service's budget, if there is one.
@@ -161,18 +161,18 @@
 
     /// Tells whether servers of a service are to be asked for their load before a request is placed:
     /// requests wait longer for their first event than they should, and places may be scarce.
-    pub fn wants_probe(&self, service: &ServiceName) -> bool {
+    pub fn should_probe(&self, service: &ServiceName) -> bool {
         let now = self.now();
         let tables = self.tables.borrow();
         let places = tables.places.get(service).copied().unwrap_or_default();
-        let pressed = tables.limits.get(service).is_some_and(|limit| limit.is_pressed(now));
-        pressed && places.wants_probe(fastrand::f64())
+        let pressed = tables.limits.get(service).is_some_and(|limit| limit.is_congested(now));
+        pressed && places.should_probe(fastrand::f64())
     }
 
     /// Takes what servers of a service reported.
-    pub fn take_reports(&self, service: &ServiceName, probed: &[ProbeRow]) {
+    pub fn record_reports(&self, service: &ServiceName, probed: &[ProbeRow]) {
         let mut tables = self.tables.borrow_mut();
-        tables.places.entry(Arc::clone(service)).or_default().take_reports(probed);
+        tables.places.entry(Arc::clone(service)).or_default().record_reports(probed);
     }
 
     fn with_budget<Value, Work>(&self, service: &ServiceName, work: Work) -> Value
@@ -243,12 +243,12 @@
     }
 
     /// Notes that the answer has begun.
-    pub fn note_begun(&self) {
+    pub fn note_first_event(&self) {
         let now = self.gateway.now();
         let mut tables = self.gateway.tables.borrow_mut();
-        tables.backends.note_begun(&self.backend, self.number, now);
+        tables.backends.note_first_event(&self.backend, self.number, now);
         if let Some(limit) = tables.limits.get_mut(&self.service) {
-            limit.note_begun(self.number, now);
+            limit.note_first_event(self.number, now);
         }
     }
 }
--- a/toucanrail-gateway/src/storing.rs
+++ b/toucanrail-gateway/src/storing.rs
@@ -11,8 +11,8 @@
 use smol::future::FutureExt;
 use toucanrail::detours::{DetourTable, RelayEntry, RelayName, StoreWay};
 use toucanrail::ids::Version;
-use toucanrail::patience::AnswerPatience;
 use toucanrail::storecalls::{self, StoreCall, StoreReply};
+use toucanrail::timeouts::AdaptiveTimeout;
 use toucanrail_daemons::starting::ProcessClock;
 use toucanrail_platform::names;
 use toucanrail_platform::stores::{
@@ -41,7 +41,7 @@
 #[derive(Debug)]
 pub struct StoreAccess {
     client: StoreClient,
-    patience: Cell<AnswerPatience>,
+    patience: Cell<AdaptiveTimeout>,
     ways: RefCell<DetourTable>,
     relays_listed: Cell<bool>,
     moved: Event,
@@ -55,7 +55,7 @@
 impl StoreAccess {
     /// Makes the access of one process.
     pub fn new(client: StoreClient, ways: DetourTable, clock: ProcessClock) -> Self {
-        let patience = Cell::new(AnswerPatience::new());
+        let patience = Cell::new(AdaptiveTimeout::new());
         Self {
             client,
             patience,
@@ -153,7 +153,7 @@
         // Calls run at the same time: what another one learnt meanwhile counts too.
         let mut patience = self.patience.get();
         if reply == StoreReply::Unavailable {
-            patience.note_silence(wait);
+            patience.note_timeout(wait);
             self.note_failure(&way);
         } else {
             patience.note_answer(self.now().saturating_sub(asked));
--- a/toucanrail/src/admissions.rs
+++ b/toucanrail/src/admissions.rs
@@ -37,16 +37,17 @@
 
 /// A request that was sent and has no first event yet.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
-pub struct WaitRow {
+pub struct PendingRow {
     /// When it was sent.
     pub sent_at: Duration,
     /// Time within which its first event is hoped for.
-    pub aim: Duration,
+    #[serde(rename = "aim")]
+    pub latency_target: Duration,
 }
 
-impl WaitRow {
+impl PendingRow {
     fn is_late(&self, now: Duration) -> bool {
-        now.saturating_sub(self.sent_at) > self.aim
+        now.saturating_sub(self.sent_at) > self.latency_target
     }
 }
 
@@ -63,14 +64,15 @@
 #[derive(Debug, Default, Serialize)]
 pub struct AdmissionLimit {
     limit: Option<f64>,
-    rows: BTreeMap<FlightId, WaitRow>,
+    rows: BTreeMap<FlightId, PendingRow>,
     /// Most of them in this step.
     peak: usize,
     /// First events in this step, and, smoothed, in a second.
     begun: u32,
     rate: f64,
     /// The smoothed hoped-for time.
-    aim: Duration,
+    #[serde(rename = "aim")]
+    latency_target: Duration,
     timely: u32,
     late: u32,
     refused: u32,
@@ -105,8 +107,9 @@
 
     /// Tells whether requests wait longer than they should: there is a limit, or one of them has waited for
     /// half of its hoped-for time.
-    pub fn is_pressed(&self, now: Duration) -> bool {
-        let waits_long = |row: &WaitRow| now.saturating_sub(row.sent_at) > row.aim / 2;
+    pub fn is_congested(&self, now: Duration) -> bool {
+        let waits_long =
+            |row: &PendingRow| now.saturating_sub(row.sent_at) > row.latency_target / 2;
         self.limit.is_some() || self.rows.values().any(waits_long)
     }
 
@@ -116,16 +119,17 @@
     }
 
     /// Notes a request that was sent.
-    pub fn note_sent(&mut self, number: FlightId, row: WaitRow) {
+    pub fn note_sent(&mut self, number: FlightId, row: PendingRow) {
         self.end_step(row.sent_at);
-        let weight = if self.aim.is_zero() { 1.0 } else { AIM_WEIGHT };
-        self.aim = self.aim.mul_f64(1.0 - weight) + row.aim.mul_f64(weight);
+        let weight = if self.latency_target.is_zero() { 1.0 } else { AIM_WEIGHT };
+        self.latency_target =
+            self.latency_target.mul_f64(1.0 - weight) + row.latency_target.mul_f64(weight);
         self.rows.insert(number, row);
         self.peak = self.peak.max(self.rows.len());
     }
 
     /// Notes a first event.
-    pub fn note_begun(&mut self, number: FlightId, now: Duration) {
+    pub fn note_first_event(&mut self, number: FlightId, now: Duration) {
         self.begun += u32::from(self.note_done(number, now));
     }
 
@@ -151,7 +155,7 @@
     /// Changes the limit by what the last step brought, once it is over.
     fn end_step(&mut self, now: Duration) {
         let lasted = now.saturating_sub(self.step_began);
-        if lasted < (self.aim / 2).max(STEP_LEAST) {
+        if lasted < (self.latency_target / 2).max(STEP_LEAST) {
             return;
         }
         if lasted < STEP_LIMIT && self.count_done(now).1 < SAMPLE_LEAST {
@@ -201,6 +205,6 @@
     /// They are busy then, and what they begin for this entry is its part of them. Requests that wait for
     /// a shorter time than this raise the rate, and so the limit.
     fn target(&self) -> f64 {
-        self.rate * self.aim.as_secs_f64() * WAIT_PART
+        self.rate * self.latency_target.as_secs_f64() * WAIT_PART
     }
 }
--- a/toucanrail/src/attempting.rs
+++ b/toucanrail/src/attempts.rs
@@ -15,7 +15,7 @@
 
 /// How one attempt ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum AttemptFate {
+pub enum AttemptOutcome {
     /// Nothing of the request reached a server.
     NotSent,
     /// Nothing was sent, through no fault of the server's.
@@ -34,7 +34,7 @@
 
 /// The attempts of one request so far.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct AttemptTally {
+pub struct AttemptHistory {
     /// What may be repeated.
     pub kind: RouteKind,
     /// Most servers that it may be sent to.
@@ -51,30 +51,30 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NextStep {
     /// Another server, if the retry budget allows it.
-    Again,
+    Retry,
     /// The server's own failure, as it came.
-    Deliver,
+    Forward,
     /// A failure or refusal of the fleet's own.
-    Answer(ResultCode),
+    Fail(ResultCode),
     /// The stream ends visibly cut.
-    Cut,
+    Truncate,
 }
 
-impl AttemptTally {
+impl AttemptHistory {
     /// Starts the tally of a request.
     pub fn new(kind: RouteKind, limit: u32) -> Self {
         Self { kind, limit: limit.max(1), sent: 0, may_have_run: false, begun: false }
     }
 
     /// Notes how an attempt ended.
-    pub fn note(&mut self, fate: AttemptFate) {
+    pub fn record(&mut self, fate: AttemptOutcome) {
         match fate {
-            AttemptFate::NotSent | AttemptFate::Withheld => {}
-            AttemptFate::Declined => self.sent += 1,
-            AttemptFate::Failed
-            | AttemptFate::Lost
-            | AttemptFate::Broken
-            | AttemptFate::TimedOut => {
+            AttemptOutcome::NotSent | AttemptOutcome::Withheld => {}
+            AttemptOutcome::Declined => self.sent += 1,
+            AttemptOutcome::Failed
+            | AttemptOutcome::Lost
+            | AttemptOutcome::Broken
+            | AttemptOutcome::TimedOut => {
                 self.sent += 1;
                 self.may_have_run = true;
             }
@@ -97,31 +97,31 @@
     /// # Examples
     /// ```
     /// use std::time::Duration;
-    /// use toucanrail::attempting::{AttemptFate, AttemptTally, NextStep};
+    /// use toucanrail::attempts::{AttemptOutcome, AttemptHistory, NextStep};
     /// use toucanrail::{codetable, matching::RouteKind};
-    /// let mut tally = AttemptTally::new(RouteKind::Once, 2);
-    /// tally.note(AttemptFate::Lost);
-    /// let step = tally.decide(AttemptFate::Lost, Duration::from_secs(1));
-    /// assert_eq!(step, NextStep::Answer(codetable::BACKEND_FAILED));
+    /// let mut tally = AttemptHistory::new(RouteKind::Once, 2);
+    /// tally.record(AttemptOutcome::Lost);
+    /// let step = tally.next_step(AttemptOutcome::Lost, Duration::from_secs(1));
+    /// assert_eq!(step, NextStep::Fail(codetable::BACKEND_FAILED));
     /// ```
-    pub fn decide(&self, fate: AttemptFate, left: Duration) -> NextStep {
-        if fate != AttemptFate::TimedOut && self.may_send(left) {
-            return NextStep::Again;
+    pub fn next_step(&self, fate: AttemptOutcome, left: Duration) -> NextStep {
+        if fate != AttemptOutcome::TimedOut && self.may_send(left) {
+            return NextStep::Retry;
         }
-        self.give_up(fate)
+        self.final_step(fate)
     }
 
     /// Decides what the caller gets where no further attempt is made.
-    pub fn give_up(&self, fate: AttemptFate) -> NextStep {
+    pub fn final_step(&self, fate: AttemptOutcome) -> NextStep {
         if self.begun {
-            return NextStep::Cut;
+            return NextStep::Truncate;
         }
         match fate {
-            AttemptFate::Failed => NextStep::Deliver,
-            AttemptFate::TimedOut => NextStep::Answer(codetable::SILENT_CONNECTION),
-            _ if self.may_have_run => NextStep::Answer(codetable::BACKEND_FAILED),
-            AttemptFate::Declined => NextStep::Answer(codetable::OVERLOADED),
-            _ => NextStep::Answer(codetable::NO_BACKEND_SERVER),
+            AttemptOutcome::Failed => NextStep::Forward,
+            AttemptOutcome::TimedOut => NextStep::Fail(codetable::SILENT_CONNECTION),
+            _ if self.may_have_run => NextStep::Fail(codetable::BACKEND_FAILED),
+            AttemptOutcome::Declined => NextStep::Fail(codetable::OVERLOADED),
+            _ => NextStep::Fail(codetable::NO_BACKEND_SERVER),
         }
     }
 }
--- a/toucanrail/src/backends.rs
+++ b/toucanrail/src/backends.rs
@@ -25,7 +25,7 @@
 /// store's return. Live servers are back within about two seconds; one that has left without a word
 /// looks the same and may get no work two seconds after its entry went, so that the way to it and a
 /// request's own preparation must fit in too.
-pub const LAPSE_GRACE: Duration = Duration::from_millis(1_700);
+pub const MISSING_GRACE: Duration = Duration::from_millis(1_700);
 /// Time out of rotation after a connection was refused or not opened in time; doubles with each
 /// failure in a row, so that a dead server costs few connection timeouts.
 const DOWN_TIME: Duration = Duration::from_millis(400);
@@ -60,7 +60,8 @@
     /// Whether it is leaving.
     pub draining: bool,
     /// When it started, in Unix milliseconds; another time under the same id is another process.
-    pub born: u64,
+    #[serde(rename = "born")]
+    pub started_at: u64,
     /// How much longer it was cold when it wrote this.
     pub cold: Duration,
     /// The store's revision of this entry.
@@ -73,7 +74,8 @@
     /// When it was sent.
     pub sent_at: Duration,
     /// Prompt tokens that the server must read.
-    pub fresh: Tokens,
+    #[serde(rename = "fresh")]
+    pub uncached: Tokens,
     /// Whether its answer has begun.
     pub begun: bool,
 }
@@ -89,11 +91,13 @@
     pub ejection: EjectionState,
     /// End of the time in which no connection is tried.
     pub down_until: Duration,
-    downs: u32,
+    #[serde(rename = "downs")]
+    connect_failures: u32,
     /// End of the time in which it is cold, or may be, and gets nothing without a permit.
     pub cold_until: Duration,
     /// End of the time in which no permit for it is asked for.
-    pub permits_until: Duration,
+    #[serde(rename = "permits_until")]
+    pub permit_retry_at: Duration,
     /// Smoothed time to an answer, or to a stream's first event, in seconds.
     pub latency: f64,
     /// When its entry went missing; it may come back.
@@ -113,9 +117,9 @@
             flights: BTreeMap::new(),
             ejection: EjectionState::default(),
             down_until: Duration::ZERO,
-            downs: 0,
+            connect_failures: 0,
             cold_until: Duration::ZERO,
-            permits_until: Duration::ZERO,
+            permit_retry_at: Duration::ZERO,
             latency: 0.0,
             missing_since: None,
             replaced: false,
@@ -125,16 +129,16 @@
     }
 
     /// Tells whether new work may go there.
-    pub fn takes_work(&self, now: Duration) -> bool {
+    pub fn accepts_work(&self, now: Duration) -> bool {
         !self.entry.draining
             && now >= self.down_until
-            && self.permit_wait(now).is_zero()
+            && self.permit_delay(now).is_zero()
             && !self.ejection.is_ejected(now)
     }
 
     /// Returns the time until a permit for it may be had again; none is needed once it is not cold.
-    pub fn permit_wait(&self, now: Duration) -> Duration {
-        if self.is_cold(now) { self.permits_until.saturating_sub(now) } else { Duration::ZERO }
+    pub fn permit_delay(&self, now: Duration) -> Duration {
+        if self.is_cold(now) { self.permit_retry_at.saturating_sub(now) } else { Duration::ZERO }
     }
 
     /// Tells whether it gets nothing without a permit.
@@ -143,20 +147,20 @@
     }
 
     /// Tells whether its entry went missing and did not come back in time.
-    fn is_lapsed(&self, now: Duration) -> bool {
-        self.missing_since.is_some_and(|since| now.saturating_sub(since) > LAPSE_GRACE)
+    fn is_expired(&self, now: Duration) -> bool {
+        self.missing_since.is_some_and(|since| now.saturating_sub(since) > MISSING_GRACE)
     }
 
     /// Returns how many tokens of a chain of parts the server is known to hold: those up to the first
     /// part that it is not known to have read.
-    pub fn held_tokens(&self, parts: &[PromptPart]) -> Tokens {
+    pub fn cached_tokens(&self, parts: &[PromptPart]) -> Tokens {
         let held = parts.iter().take_while(|part| self.parts.contains_key(&part.id));
         held.map(|part| part.tokens).sum()
     }
 
     /// Returns how many prompt tokens the server must read.
-    pub fn fresh_tokens(&self, parts: &[PromptPart], prompt: Tokens) -> Tokens {
-        prompt.saturating_sub(self.held_tokens(parts))
+    pub fn uncached_tokens(&self, parts: &[PromptPart], prompt: Tokens) -> Tokens {
+        prompt.saturating_sub(self.cached_tokens(parts))
     }
 
     fn note_parts(&mut self, parts: &[PromptPart], now: Duration) {
@@ -197,10 +201,13 @@
     ///
     /// A server that started again under its id holds and knows nothing of before, so its row
     /// starts anew.
-    pub fn take_entry(&mut self, entry: BackendEntry) {
+    pub fn apply_entry(&mut self, entry: BackendEntry) {
         let address = entry.address;
         match self.rows.get_mut(&entry.id) {
-            Some(row) if row.entry.born == entry.born && row.entry.address == entry.address => {
+            Some(row)
+                if row.entry.started_at == entry.started_at
+                    && row.entry.address == entry.address =>
+            {
                 row.entry = entry;
                 row.missing_since = None;
             }
@@ -227,7 +234,7 @@
     /// Notes that a server's entry is gone from the store.
     ///
     /// After an outage of the store, which returned at `returned`, an entry may be missing although
-    /// its server lives: it is used until [`LAPSE_GRACE`] has passed since then. Otherwise the server
+    /// its server lives: it is used until [`MISSING_GRACE`] has passed since then. Otherwise the server
     /// has left or died, and gets no work.
     pub fn note_missing(&mut self, id: &str, returned: Option<Duration>) {
         match (returned, self.rows.get_mut(id)) {
@@ -241,8 +248,8 @@
     }
 
     /// Drops the servers whose entries did not come back; returns their ids.
-    pub fn drop_lapsed(&mut self, now: Duration) -> Vec<BackendId> {
-        let over = self.rows.values().filter(|row| row.is_lapsed(now));
+    pub fn drop_expired(&mut self, now: Duration) -> Vec<BackendId> {
+        let over = self.rows.values().filter(|row| row.is_expired(now));
         let over: Vec<BackendId> = over.map(|row| Arc::clone(&row.entry.id)).collect();
         for id in &over {
             self.rows.remove(id);
@@ -251,7 +258,7 @@
     }
 
     /// Notes that all servers of the store were taken.
-    pub fn note_listed(&mut self) {
+    pub fn mark_listed(&mut self) {
         self.is_listed = true;
     }
 
@@ -283,24 +290,24 @@
     ) -> Vec<&'table BackendRow> {
         let rows = self.list_untried(service, tried, now).filter(|row| {
             let BackendEntry { id, data_centre, draining, .. } = &row.entry;
-            !draining && self.evacuations.takes_work(data_centre, id, now)
+            !draining && self.evacuations.accepts_work(data_centre, id, now)
         });
         let rows: Vec<&BackendRow> = rows.collect();
         let working: Vec<&BackendRow> =
-            rows.iter().copied().filter(|row| row.takes_work(now)).collect();
+            rows.iter().copied().filter(|row| row.accepts_work(now)).collect();
         if working.is_empty() { rows } else { working }
     }
 
     /// Returns the servers of a service that prompt parts may be fetched from: those that may take work, and
     /// those that a moment ago might.
-    pub fn sources<'table>(
+    pub fn fetch_sources<'table>(
         &'table self,
         service: &str,
         tried: &[BackendId],
         now: Duration,
     ) -> Vec<&'table BackendRow> {
         let rows = self.list_untried(service, tried, now).filter(|row| {
-            row.takes_work(now) && self.evacuations.allows_fetch(&row.entry.data_centre, now)
+            row.accepts_work(now) && self.evacuations.allows_fetch(&row.entry.data_centre, now)
         });
         rows.collect()
     }
@@ -315,7 +322,7 @@
         self.rows.values().filter(move |row| {
             *row.entry.service == *service
                 && !row.replaced
-                && !row.is_lapsed(now)
+                && !row.is_expired(now)
                 && !tried.contains(&row.entry.id)
         })
     }
@@ -326,7 +333,7 @@
     /// ```
     /// use toucanrail::backends::{BackendTable, FlightRow};
     /// let mut table = BackendTable::new();
-    /// let row = FlightRow { sent_at: Default::default(), fresh: 0, begun: false };
+    /// let row = FlightRow { sent_at: Default::default(), uncached: 0, begun: false };
     /// assert_ne!(table.note_sent("a", row, &[]), table.note_sent("a", row, &[]));
     /// ```
     pub fn note_sent(&mut self, id: &str, flight: FlightRow, parts: &[PromptPart]) -> FlightId {
@@ -339,11 +346,11 @@
     }
 
     /// Notes that the answer to a request has begun.
-    pub fn note_begun(&mut self, id: &str, number: FlightId, now: Duration) {
+    pub fn note_first_event(&mut self, id: &str, number: FlightId, now: Duration) {
         let Some(row) = self.rows.get_mut(id) else {
             return;
         };
-        row.downs = 0;
+        row.connect_failures = 0;
         row.ejection.note_success(now);
         if let Some(flight) = row.flights.get_mut(&number) {
             flight.begun = true;
@@ -354,7 +361,7 @@
     }
 
     /// Takes what relays measured of the servers on their VMs.
-    pub fn take_paces(&mut self, paces: &BTreeMap<IpAddr, Duration>) {
+    pub fn apply_paces(&mut self, paces: &BTreeMap<IpAddr, Duration>) {
         for row in self.rows.values_mut() {
             row.pace = paces.get(&row.entry.address.ip()).copied();
         }
@@ -375,11 +382,11 @@
     }
 
     /// Notes that no connection could be opened.
-    pub fn note_down(&mut self, id: &str, now: Duration) {
+    pub fn note_connect_failure(&mut self, id: &str, now: Duration) {
         if let Some(row) = self.rows.get_mut(id) {
-            let time = DOWN_TIME.saturating_mul(1 << row.downs.min(8)).min(DOWN_LIMIT);
+            let time = DOWN_TIME.saturating_mul(1 << row.connect_failures.min(8)).min(DOWN_LIMIT);
             row.down_until = now + time;
-            row.downs += 1;
+            row.connect_failures += 1;
         }
     }
 
@@ -391,9 +398,9 @@
     }
 
     /// Notes that no permit for a cold server is to be had for some time.
-    pub fn note_no_permit(&mut self, id: &str, until: Duration) {
+    pub fn note_permit_denied(&mut self, id: &str, until: Duration) {
         if let Some(row) = self.rows.get_mut(id) {
-            row.permits_until = until;
+            row.permit_retry_at = until;
         }
     }
 
@@ -401,11 +408,15 @@
     ///
     /// They may have been started anew while it was empty, and what they say of it comes by another way: all
     /// of them count as cold, for the time that `cold_time` tells of their service.
-    pub fn reopen<ColdTime>(&mut self, data_centre: &str, now: Duration, cold_time: ColdTime)
-    where
+    pub fn end_evacuation<ColdTime>(
+        &mut self,
+        data_centre: &str,
+        now: Duration,
+        cold_time: ColdTime,
+    ) where
         ColdTime: Fn(&str) -> Duration,
     {
-        self.evacuations.note_reopened(data_centre);
+        self.evacuations.end(data_centre);
         for row in self.rows.values_mut().filter(|row| *row.entry.data_centre == *data_centre) {
             row.cold_until = row.cold_until.max(now + cold_time(&row.entry.service));
         }
--- a/toucanrail/src/boards.rs
+++ b/toucanrail/src/boards.rs
@@ -18,7 +18,7 @@
 
 /// Usual time since the store's last answer from which a board answers nothing: an entry then asks the store
 /// itself, well within the two seconds in which a change must be known. A board's watch waits for less.
-pub const FRESH_BOUND: Duration = Duration::from_millis(900);
+pub const MAX_AGE: Duration = Duration::from_millis(900);
 /// Changes kept for entries that are behind; a release of a large service makes some hundred.
 const CHANGE_LIMIT: usize = 1_024;
 /// Fewest relays of a fleet that uses boards: in a smaller one few entries watch, and a board's short
@@ -37,7 +37,8 @@
 #[derive(Debug, Serialize)]
 pub struct BoardTable {
     /// Time since the store's last answer from which the table is stale.
-    fresh: Duration,
+    #[serde(rename = "fresh")]
+    max_age: Duration,
     objects: BTreeMap<Arc<str>, MirrorObject>,
     changes: VecDeque<(Version, MirrorChange)>,
     /// All changes behind this revision are in `changes`.
@@ -50,13 +51,13 @@
 impl BoardTable {
     /// Makes an empty table, which has no news.
     pub fn new() -> Self {
-        Self::with_freshness(FRESH_BOUND)
+        Self::with_max_age(MAX_AGE)
     }
 
     /// Makes an empty table that is stale some time after the store's last answer.
-    pub fn with_freshness(fresh: Duration) -> Self {
+    pub fn with_max_age(max_age: Duration) -> Self {
         Self {
-            fresh,
+            max_age,
             objects: BTreeMap::new(),
             changes: VecDeque::new(),
             complete_after: 0,
@@ -72,7 +73,7 @@
     }
 
     /// Takes all objects at a revision of the store.
-    pub fn take_listing(&mut self, objects: Vec<MirrorObject>, revision: Version, now: Duration) {
+    pub fn apply_listing(&mut self, objects: Vec<MirrorObject>, revision: Version, now: Duration) {
         let rows = objects.into_iter().map(|object| (Arc::clone(&object.name), object));
         self.objects = rows.collect();
         self.changes.clear();
@@ -83,12 +84,12 @@
     }
 
     /// Notes that the store did not answer: the board is stale until it does.
-    pub fn note_silence(&mut self) {
+    pub fn note_store_failure(&mut self) {
         self.is_silent = true;
     }
 
     /// Takes the changes up to a revision of the store.
-    pub fn take_changes(&mut self, changes: Vec<MirrorChange>, revision: Version, now: Duration) {
+    pub fn apply_changes(&mut self, changes: Vec<MirrorChange>, revision: Version, now: Duration) {
         self.revision = self.revision.max(revision);
         self.heard_at = Some(now);
         self.is_silent = false;
@@ -110,7 +111,7 @@
 
     /// Tells whether the store's last call had no answer, or it has been silent for too long.
     pub fn is_stale(&self, now: Duration) -> bool {
-        let old = self.heard_at.is_none_or(|heard| now.saturating_sub(heard) > self.fresh);
+        let old = self.heard_at.is_none_or(|heard| now.saturating_sub(heard) > self.max_age);
         old || self.is_silent
     }
 
@@ -122,12 +123,12 @@
     /// use std::time::Duration;
     /// use toucanrail::{boards::BoardTable, messages::NewsReply};
     /// let mut table = BoardTable::new();
-    /// assert_eq!(table.news(Some(7), Duration::ZERO), None);
-    /// table.take_listing(Vec::new(), 7, Duration::ZERO);
-    /// assert_eq!(table.news(Some(7), Duration::ZERO), None);
-    /// assert!(matches!(table.news(None, Duration::ZERO), Some(NewsReply::Listing { .. })));
+    /// assert_eq!(table.updates_since(Some(7), Duration::ZERO), None);
+    /// table.apply_listing(Vec::new(), 7, Duration::ZERO);
+    /// assert_eq!(table.updates_since(Some(7), Duration::ZERO), None);
+    /// assert!(matches!(table.updates_since(None, Duration::ZERO), Some(NewsReply::Listing { .. })));
     /// ```
-    pub fn news(&self, after: Option<Version>, now: Duration) -> Option<NewsReply> {
+    pub fn updates_since(&self, after: Option<Version>, now: Duration) -> Option<NewsReply> {
         if self.heard_at.is_none() && !self.is_silent {
             return None;
         }
@@ -145,7 +146,7 @@
     }
 
     /// Returns the answer to one who has waited in vain.
-    pub fn no_news(&self, after: Version, now: Duration) -> NewsReply {
+    pub fn empty_update(&self, after: Version, now: Duration) -> NewsReply {
         if self.is_stale(now) {
             return NewsReply::Stale;
         }
@@ -164,29 +165,29 @@
 /// The store may turn the boards' VMs away and serve the entry's, so it has to try; but where the store is
 /// down for all, tens of entries that retry make most of a fleet's calls.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
-pub struct OutageTimer {
+pub struct OutageBackoff {
     until: Duration,
 }
 
-impl OutageTimer {
+impl OutageBackoff {
     /// Tells whether the entry may ask now.
     ///
     /// # Examples
     /// ```
     /// use std::time::Duration;
-    /// let mut timer = toucanrail::boards::OutageTimer::default();
-    /// assert!(timer.is_over(Duration::ZERO));
+    /// let mut timer = toucanrail::boards::OutageBackoff::default();
+    /// assert!(timer.may_ask(Duration::ZERO));
     /// timer.note_failure(Duration::ZERO, 0.5);
-    /// assert!(!timer.is_over(Duration::from_secs(1)));
-    /// assert!(timer.is_over(Duration::from_secs(2)));
+    /// assert!(!timer.may_ask(Duration::from_secs(1)));
+    /// assert!(timer.may_ask(Duration::from_secs(2)));
     /// ```
-    pub fn is_over(&self, now: Duration) -> bool {
+    pub fn may_ask(&self, now: Duration) -> bool {
         now >= self.until
     }
 
-    /// Notes that the store did not answer; `dice` in `0..1` spreads entries.
-    pub fn note_failure(&mut self, now: Duration, dice: f64) {
-        self.until = now + OUTAGE_PAUSE.mul_f64(0.5 + 0.5 * dice);
+    /// Notes that the store did not answer; `random` in `0..1` spreads entries.
+    pub fn note_failure(&mut self, now: Duration, random: f64) {
+        self.until = now + OUTAGE_PAUSE.mul_f64(0.5 + 0.5 * random);
     }
 }
 
--- a/toucanrail/src/coldstarts.rs
+++ b/toucanrail/src/coldstarts.rs
@@ -16,7 +16,7 @@
 use crate::backends::BackendId;
 
 /// Time from the question for a permit in which the request must be sent.
-pub const PERMIT_TIME: Duration = Duration::from_millis(150);
+pub const PERMIT_VALIDITY: Duration = Duration::from_millis(150);
 /// The span in which arrivals at a cold server are counted.
 const RATE_SPAN: Duration = Duration::from_secs(1);
 /// Part of the arrivals that a cold server bears for which permits are given.
@@ -59,7 +59,7 @@
 
 /// An entry asks whether it may send one request to a cold server.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PermitOrder {
+pub struct PermitRequest {
     /// The server.
     pub server: BackendId,
     /// Permits in the time that is counted.
@@ -85,7 +85,7 @@
 impl PermitTable {
     /// Time over which permits are counted. Those that arrive at a server within one second were given in
     /// the second before the last of them was sent or in the time that a permit is good for.
-    pub const SPAN: Duration = RATE_SPAN.saturating_add(PERMIT_TIME);
+    pub const WINDOW: Duration = RATE_SPAN.saturating_add(PERMIT_VALIDITY);
 
     /// Makes a table at its relay's start.
     pub fn new(started: Duration) -> Self {
@@ -100,27 +100,27 @@
     /// # Examples
     /// ```
     /// use std::{sync::Arc, time::Duration};
-    /// use toucanrail::coldstarts::{PermitOrder, PermitReply, PermitTable};
+    /// use toucanrail::coldstarts::{PermitRequest, PermitReply, PermitTable};
     /// let mut table = PermitTable::new(Duration::ZERO);
-    /// let order = PermitOrder { server: Arc::from("s"), limit: 1 };
+    /// let order = PermitRequest { server: Arc::from("s"), limit: 1 };
     /// let now = Duration::from_secs(2);
-    /// assert_eq!(table.give(&order, now), PermitReply::Given);
-    /// assert_eq!(table.give(&order, now), PermitReply::After(PermitTable::SPAN));
+    /// assert_eq!(table.grant(&order, now), PermitReply::Given);
+    /// assert_eq!(table.grant(&order, now), PermitReply::After(PermitTable::WINDOW));
     /// ```
-    pub fn give(&mut self, order: &PermitOrder, now: Duration) -> PermitReply {
+    pub fn grant(&mut self, order: &PermitRequest, now: Duration) -> PermitReply {
         let age = |given: &Duration| now.saturating_sub(*given);
-        self.rows.retain(|_, row| row.back().is_some_and(|given| age(given) < Self::SPAN));
+        self.rows.retain(|_, row| row.back().is_some_and(|given| age(given) < Self::WINDOW));
         let row = self.rows.entry(Arc::clone(&order.server)).or_default();
-        while row.front().is_some_and(|given| age(given) >= Self::SPAN) {
+        while row.front().is_some_and(|given| age(given) >= Self::WINDOW) {
             row.pop_front();
         }
-        let young = age(&self.started) < Self::SPAN;
+        let young = age(&self.started) < Self::WINDOW;
         let part = if young { START_PART } else { 1.0 };
         if row.len() < (order.limit as f64 * part).ceil() as usize {
             row.push_back(now);
             return PermitReply::Given;
         }
         let oldest = if young { self.started } else { row.front().copied().unwrap_or(now) };
-        PermitReply::After(Self::SPAN.saturating_sub(age(&oldest)))
+        PermitReply::After(Self::WINDOW.saturating_sub(age(&oldest)))
     }
 }
--- a/toucanrail/src/ejections.rs
+++ b/toucanrail/src/ejections.rs
@@ -59,8 +59,8 @@
     }
 
     /// Tells whether a returning server takes this request; its share grows from nearly nothing.
-    pub fn is_ramped(&self, now: Duration, dice: f64) -> bool {
+    pub fn passes_ramp(&self, now: Duration, random: f64) -> bool {
         let back = now.saturating_sub(self.until).as_secs_f64();
-        self.ejections == 0 || dice < (back / RETURN_RAMP.as_secs_f64()).max(RETURN_SHARE)
+        self.ejections == 0 || random < (back / RETURN_RAMP.as_secs_f64()).max(RETURN_SHARE)
     }
 }
--- a/toucanrail/src/evacuations.rs
+++ b/toucanrail/src/evacuations.rs
@@ -23,7 +23,7 @@
 
 /// One data centre that is being emptied.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
-struct ClosingRow {
+struct EvacuationRow {
     /// When its first server closes.
     from: Duration,
     /// When all of them are closed.
@@ -37,13 +37,13 @@
 pub struct EvacuationTable {
     bound: Duration,
     awaits_listing: bool,
-    rows: BTreeMap<DataCentre, ClosingRow>,
+    rows: BTreeMap<DataCentre, EvacuationRow>,
 }
 
 impl EvacuationTable {
     /// Makes a table that lets no server take work before the evacuations were listed: one may be in force
     /// since long before this process began. Each must be in force within `bound`.
-    pub fn awaiting(bound: Duration) -> Self {
+    pub fn awaiting_listing(bound: Duration) -> Self {
         Self { bound, awaits_listing: true, rows: BTreeMap::new() }
     }
 
@@ -55,7 +55,7 @@
     /// Takes all evacuations in force; returns the data centres that were taken back.
     ///
     /// A listing does not tell when one began, so that what is new in it is in force at once.
-    pub fn take_listing(
+    pub fn apply_listing(
         &mut self,
         listed: &BTreeSet<DataCentre>,
         now: Duration,
@@ -65,7 +65,7 @@
         let over: Vec<DataCentre> = over.cloned().collect();
         self.rows.retain(|known, _| listed.contains(known));
         for data_centre in listed {
-            self.note_closed(data_centre, self.bound, now);
+            self.begin(data_centre, self.bound, now);
         }
         over
     }
@@ -77,24 +77,24 @@
     /// use std::{sync::Arc, time::Duration};
     /// use toucanrail::evacuations::EvacuationTable;
     /// let mut table = EvacuationTable::default();
-    /// table.note_closed(&Arc::from("a"), Duration::ZERO, Duration::ZERO);
-    /// assert!(!table.takes_work("a", "server-1", Duration::ZERO));
-    /// assert!(table.takes_work("b", "server-2", Duration::ZERO));
+    /// table.begin(&Arc::from("a"), Duration::ZERO, Duration::ZERO);
+    /// assert!(!table.accepts_work("a", "server-1", Duration::ZERO));
+    /// assert!(table.accepts_work("b", "server-2", Duration::ZERO));
     /// ```
-    pub fn note_closed(&mut self, data_centre: &DataCentre, age: Duration, now: Duration) {
+    pub fn begin(&mut self, data_centre: &DataCentre, age: Duration, now: Duration) {
         let left = |part: f64| now + self.bound.mul_f64(part).saturating_sub(age);
         let row =
-            ClosingRow { from: now, until: left(CLOSING_PART), fetch_until: left(FETCH_PART) };
+            EvacuationRow { from: now, until: left(CLOSING_PART), fetch_until: left(FETCH_PART) };
         self.rows.entry(Arc::clone(data_centre)).or_insert(row);
     }
 
     /// Notes that a data centre is taken back.
-    pub fn note_reopened(&mut self, data_centre: &str) {
+    pub fn end(&mut self, data_centre: &str) {
         self.rows.remove(data_centre);
     }
 
     /// Tells whether a server may get new work.
-    pub fn takes_work(&self, data_centre: &str, server: &str, now: Duration) -> bool {
+    pub fn accepts_work(&self, data_centre: &str, server: &str, now: Duration) -> bool {
         if self.awaits_listing {
             return false;
         }
--- a/toucanrail/src/members.rs
+++ b/toucanrail/src/members.rs
@@ -13,11 +13,11 @@
 use crate::servers::{NodeEntry, NodeRole};
 
 /// Entries of a data centre that watch the platform's object API for the others.
-pub const WATCHERS: usize = 2;
+pub const WATCHER_COUNT: usize = 2;
 /// Peers that each entry sends heartbeats to; in a small fleet, all.
-pub const HEARTBEAT_PEERS: usize = 8;
+pub const HEARTBEAT_TARGETS: usize = 8;
 /// Silence after which a peer counts as gone, if nothing tells so earlier.
-pub const PEER_SILENCE: Duration = Duration::from_secs(3);
+pub const PEER_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Returns the entries of a data centre that watch, by rendezvous rank among those alive.
 ///
@@ -31,17 +31,17 @@
     let seed = xxh3::xxh3_64(data_centre.as_bytes());
     let mut ranked: Vec<&EntryId> = alive.iter().collect();
     ranked.sort_by_key(|entry| xxh3::xxh3_64_with_seed(entry.as_bytes(), seed));
-    ranked.into_iter().take(WATCHERS).map(Arc::clone).collect()
+    ranked.into_iter().take(WATCHER_COUNT).map(Arc::clone).collect()
 }
 
 /// Returns the peers that an entry sends heartbeats to: its successors on a ring of hashes, so
 /// that every entry is watched by as many.
-pub fn pick_heartbeats(me: &EntryId, peers: &[EntryId]) -> Vec<EntryId> {
+pub fn pick_heartbeat_targets(me: &EntryId, peers: &[EntryId]) -> Vec<EntryId> {
     let place = |entry: &EntryId| xxh3::xxh3_64(entry.as_bytes());
     let mut ring: Vec<&EntryId> = peers.iter().filter(|peer| *peer != me).collect();
     let own = place(me);
     ring.sort_by_key(|peer| place(peer).wrapping_sub(own));
-    ring.into_iter().take(HEARTBEAT_PEERS).map(Arc::clone).collect()
+    ring.into_iter().take(HEARTBEAT_TARGETS).map(Arc::clone).collect()
 }
 
 /// Returns the live entries that send heartbeats to `peer`, nearest on the ring first: those that
@@ -57,7 +57,7 @@
     let mut all = live.to_vec();
     all.push(Arc::clone(peer));
     let place = |entry: &EntryId| xxh3::xxh3_64(entry.as_bytes());
-    let watches = |entry: &&EntryId| pick_heartbeats(entry, &all).contains(peer);
+    let watches = |entry: &&EntryId| pick_heartbeat_targets(entry, &all).contains(peer);
     let mut observers: Vec<EntryId> = live.iter().filter(watches).map(Arc::clone).collect();
     observers.sort_by_key(|entry| place(peer).wrapping_sub(place(entry)));
     observers
@@ -94,7 +94,7 @@
     }
 
     /// Takes the registrations of entries other than `me`.
-    pub fn take_nodes<'nodes, Nodes>(&mut self, me: &EntryId, nodes: Nodes, now: Duration)
+    pub fn apply_nodes<'nodes, Nodes>(&mut self, me: &EntryId, nodes: Nodes, now: Duration)
     where
         Nodes: Iterator<Item = &'nodes NodeEntry>,
     {
@@ -112,7 +112,7 @@
 
     /// Takes a VM list. A VM is gone only once it was on the list and no longer is: the list
     /// lags, so that a new VM is missing from it at first.
-    pub fn take_vms(&mut self, snapshot: VmSnapshot) {
+    pub fn apply_vms(&mut self, snapshot: VmSnapshot) {
         let listed: BTreeSet<VmId> = snapshot.vms.keys().map(Arc::clone).collect();
         self.gone_vms = self.seen_vms.difference(&listed).map(Arc::clone).collect();
         self.seen_vms.extend(listed);
@@ -134,7 +134,7 @@
     }
 
     /// Tells whether a VM has left the list.
-    pub fn is_gone_vm(&self, vm: &VmId) -> bool {
+    pub fn is_vm_gone(&self, vm: &VmId) -> bool {
         self.gone_vms.contains(vm)
     }
 
@@ -151,9 +151,13 @@
 
     /// Chooses the peers to send heartbeats to, with their addresses; a newly chosen one counts as
     /// heard of now.
-    pub fn choose_heartbeats(&mut self, me: &EntryId, now: Duration) -> Vec<(EntryId, SocketAddr)> {
+    pub fn update_heartbeat_targets(
+        &mut self,
+        me: &EntryId,
+        now: Duration,
+    ) -> Vec<(EntryId, SocketAddr)> {
         let ids: Vec<EntryId> = self.peers.keys().map(Arc::clone).collect();
-        let chosen = pick_heartbeats(me, &ids);
+        let chosen = pick_heartbeat_targets(me, &ids);
         for peer in &chosen {
             if let Some(row) = self.peers.get_mut(peer).filter(|_| !self.watched.contains(peer)) {
                 row.heard_at = now;
@@ -178,11 +182,16 @@
 
     fn is_silent(&self, row: &PeerRow, now: Duration) -> bool {
         let watched = self.watched.contains(&row.node.id);
-        watched && now.saturating_sub(row.heard_at) > PEER_SILENCE
+        watched && now.saturating_sub(row.heard_at) > PEER_TIMEOUT
     }
 
     /// Returns the entries of a data centre that seem alive, `me` included.
-    pub fn alive_in(&self, me: &EntryId, data_centre: &DataCentre, now: Duration) -> Vec<EntryId> {
+    pub fn live_entries(
+        &self,
+        me: &EntryId,
+        data_centre: &DataCentre,
+        now: Duration,
+    ) -> Vec<EntryId> {
         let alive = self.peers.values().filter(|row| {
             row.node.data_centre == *data_centre && !row.gone && !self.is_silent(row, now)
         });
--- a/toucanrail/src/paces.rs
+++ b/toucanrail/src/paces.rs
@@ -34,7 +34,7 @@
 
 /// A run, as its server reports it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RunRow {
+pub struct RunProgress {
     /// The request.
     pub request: RequestId,
     /// Events of its answer so far; 0 while its prompt is read.
@@ -43,24 +43,25 @@
 
 /// What a server says of its load.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LoadReport {
+pub struct BackendReport {
     /// When the server started, in Unix milliseconds; after another start all counts begin anew.
-    pub born: u64,
+    #[serde(rename = "born")]
+    pub started_at: u64,
     /// Requests that have not begun to run.
     pub waiting: u64,
     /// What runs.
-    pub runs: Vec<RunRow>,
+    pub runs: Vec<RunProgress>,
 }
 
-impl LoadReport {
+impl BackendReport {
     /// Returns how many prompts are being read, or are about to be.
     ///
     /// # Examples
     /// ```
-    /// use toucanrail::paces::LoadReport;
-    /// assert_eq!(LoadReport { waiting: 2, ..LoadReport::default() }.count_reading(), 2);
+    /// use toucanrail::paces::BackendReport;
+    /// assert_eq!(BackendReport { waiting: 2, ..BackendReport::default() }.count_prefilling(), 2);
     /// ```
-    pub fn count_reading(&self) -> u64 {
+    pub fn count_prefilling(&self) -> u64 {
         self.waiting + self.runs.iter().filter(|run| run.events == 0).count() as u64
     }
 }
@@ -72,7 +73,7 @@
 /// least of them stood for the pace, the busiest slow servers were never told from the fast ones.
 #[derive(Debug, Default)]
 pub struct PaceMeter {
-    born: u64,
+    started_at: u64,
     /// The first report of a time in which no prompt was read.
     anchor: Option<(Duration, BTreeMap<RequestId, u64>)>,
     samples: VecDeque<Duration>,
@@ -82,20 +83,21 @@
 
 impl PaceMeter {
     /// Takes a report.
-    pub fn take_report(&mut self, report: &LoadReport, now: Duration) {
-        if report.born != self.born {
-            *self = Self { born: report.born, ..Self::default() };
+    pub fn apply_report(&mut self, report: &BackendReport, now: Duration) {
+        if report.started_at != self.started_at {
+            *self = Self { started_at: report.started_at, ..Self::default() };
         }
         self.is_busy = !report.runs.is_empty();
         let rows = report.runs.iter().map(|run| (Arc::clone(&run.request), run.events));
         let events: BTreeMap<RequestId, u64> = rows.collect();
         let Some((then, before)) = &self.anchor else {
-            self.anchor = (report.count_reading() == 0).then_some((now, events));
+            self.anchor = (report.count_prefilling() == 0).then_some((now, events));
             return;
         };
-        let read = report.count_reading() > 0 || events.keys().any(|run| !before.contains_key(run));
+        let read =
+            report.count_prefilling() > 0 || events.keys().any(|run| !before.contains_key(run));
         if read {
-            self.anchor = (report.count_reading() == 0).then_some((now, events));
+            self.anchor = (report.count_prefilling() == 0).then_some((now, events));
         } else if let Some(step) = measure_step(before, &events, now.saturating_sub(*then)) {
             self.samples.push_back(step);
             self.samples.drain(..self.samples.len().saturating_sub(SAMPLE_LIMIT));
@@ -108,12 +110,12 @@
     /// # Examples
     /// ```
     /// use std::time::Duration;
-    /// use toucanrail::paces::{LoadReport, PaceMeter, RunRow};
+    /// use toucanrail::paces::{BackendReport, PaceMeter, RunProgress};
     /// let mut meter = PaceMeter::default();
     /// for step in 0..8 {
-    ///     let runs = vec![RunRow { request: "r".into(), events: 1 + step * 10 }];
-    ///     let report = LoadReport { runs, ..LoadReport::default() };
-    ///     meter.take_report(&report, Duration::from_millis(200 * step));
+    ///     let runs = vec![RunProgress { request: "r".into(), events: 1 + step * 10 }];
+    ///     let report = BackendReport { runs, ..BackendReport::default() };
+    ///     meter.apply_report(&report, Duration::from_millis(200 * step));
     /// }
     /// let pace = meter.pace().expect("seven measurements").as_micros();
     /// assert!((19_000..20_000).contains(&pace));
@@ -128,7 +130,7 @@
     }
 
     /// Tells whether reports in quick succession would say more: streams run, and few were measured.
-    pub fn wants_reports(&self) -> bool {
+    pub fn needs_reports(&self) -> bool {
         self.is_busy && self.samples.len() < SAMPLE_LIMIT
     }
 }
@@ -153,7 +155,7 @@
 }
 
 /// Tells whether others should learn of a pace in place of the one that they know.
-pub fn is_news(known: Option<Duration>, pace: Option<Duration>) -> bool {
+pub fn is_significant_change(known: Option<Duration>, pace: Option<Duration>) -> bool {
     match (known, pace) {
         (_, None) => false,
         (None, Some(_)) => true,
@@ -171,11 +173,11 @@
 /// ```
 /// use std::time::Duration;
 /// let paces = [20, 21, 20, 27].map(|millis| Some(Duration::from_millis(millis)));
-/// let factors = toucanrail::paces::compare_paces(&paces);
+/// let factors = toucanrail::paces::relative_slowdowns(&paces);
 /// assert_eq!(factors[..3], [1.0, 1.0, 1.0]);
 /// assert!(factors[3] > 1.3);
 /// ```
-pub fn compare_paces(paces: &[Option<Duration>]) -> Vec<f64> {
+pub fn relative_slowdowns(paces: &[Option<Duration>]) -> Vec<f64> {
     let mut known: Vec<Duration> = paces.iter().flatten().copied().collect();
     if known.len() < KNOWN_LEAST {
         return vec![1.0; paces.len()];
--- a/toucanrail/src/probes.rs
+++ b/toucanrail/src/probes.rs
@@ -11,11 +11,11 @@
 
 use crate::backends::{BackendEntry, BackendRow};
 use crate::ids::Tokens;
-use crate::paces::LoadReport;
-use crate::placing::{self, PlaceQuery};
+use crate::paces::BackendReport;
+use crate::placement::{self, PlacementQuery};
 
 /// Servers that are asked besides the one that would be chosen unasked.
-pub const SAMPLE_COUNT: usize = 4;
+pub const PROBE_SAMPLES: usize = 4;
 /// Hoped-for times for which a request is taken to run: a server with many places frees one of them sooner.
 const RUN_AIMS: f64 = 4.0;
 /// Part of the reports without a free place from which servers are asked before each request.
@@ -36,25 +36,25 @@
 ///
 /// Where servers have places free, a probe tells nothing and delays the request.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Serialize)]
-pub struct PlaceGauge {
+pub struct SlotGauge {
     /// Smoothed part of the reports without a free place.
     full: f64,
 }
 
-impl PlaceGauge {
-    /// Tells whether servers are to be asked before a request; `dice` in `0..1` picks the looks.
+impl SlotGauge {
+    /// Tells whether servers are to be asked before a request; `random` in `0..1` picks the looks.
     ///
     /// # Examples
     /// ```
-    /// let gauge = toucanrail::probes::PlaceGauge::default();
-    /// assert!(gauge.wants_probe(0.0) && !gauge.wants_probe(0.5));
+    /// let gauge = toucanrail::probes::SlotGauge::default();
+    /// assert!(gauge.should_probe(0.0) && !gauge.should_probe(0.5));
     /// ```
-    pub fn wants_probe(&self, dice: f64) -> bool {
-        self.full > SCARCE_PART || dice < LOOK_PART
+    pub fn should_probe(&self, random: f64) -> bool {
+        self.full > SCARCE_PART || random < LOOK_PART
     }
 
     /// Takes what servers reported.
-    pub fn take_reports(&mut self, probed: &[ProbeRow]) {
+    pub fn record_reports(&mut self, probed: &[ProbeRow]) {
         for (entry, report) in probed {
             let Some(report) = report else {
                 continue;
@@ -66,7 +66,7 @@
 }
 
 /// Returns how many requests must end at a server before another one begins.
-fn count_over(entry: &BackendEntry, report: &LoadReport) -> u64 {
+fn count_over(entry: &BackendEntry, report: &BackendReport) -> u64 {
     let taken = report.runs.len() as u64 + report.waiting;
     (taken + 1).saturating_sub(entry.slots)
 }
@@ -82,31 +82,31 @@
 }
 
 /// A server that was asked for its load; without a report where it, or its relay, did not answer.
-pub type ProbeRow = (BackendEntry, Option<LoadReport>);
+pub type ProbeRow = (BackendEntry, Option<BackendReport>);
 
-/// Returns the servers to ask: the one that is expected to be the best, and some that are drawn by `dice`,
+/// Returns the servers to ask: the one that is expected to be the best, and some that are drawn by `random`,
 /// each in `0..1`.
 ///
 /// # Examples
 /// ```
-/// use toucanrail::{placing::PlaceQuery, probes};
-/// let query = PlaceQuery {
-///     data_centre: "a", parts: &[], prompt: 0, now: Default::default(), dice: 0.5,
+/// use toucanrail::{placement::PlacementQuery, probes};
+/// let query = PlacementQuery {
+///     data_centre: "a", parts: &[], prompt: 0, now: Default::default(), random: 0.5,
 /// };
 /// assert!(probes::pick_candidates(&[], &query, &[0.2, 0.7]).is_empty());
 /// ```
 pub fn pick_candidates(
     eligible: &[&BackendRow],
-    query: &PlaceQuery<'_>,
-    dice: &[f64],
+    query: &PlacementQuery<'_>,
+    random: &[f64],
 ) -> Vec<BackendEntry> {
-    let Some(best) = placing::pick_backend(eligible, query) else {
+    let Some(best) = placement::pick_backend(eligible, query) else {
         return Vec::new();
     };
     let others = eligible.iter().copied().filter(|row| row.entry.id != best.entry.id);
     let mut others: Vec<&BackendRow> = others.collect();
     let mut candidates = vec![best.entry.clone()];
-    for draw in dice {
+    for draw in random {
         let Some(last) = others.len().checked_sub(1) else {
             break;
         };
@@ -126,22 +126,22 @@
 /// # Examples
 /// ```
 /// use std::time::Duration;
-/// use toucanrail::{placing::PlaceQuery, probes};
-/// let query = PlaceQuery {
-///     data_centre: "a", parts: &[], prompt: 0, now: Default::default(), dice: 0.5,
+/// use toucanrail::{placement::PlacementQuery, probes};
+/// let query = PlacementQuery {
+///     data_centre: "a", parts: &[], prompt: 0, now: Default::default(), random: 0.5,
 /// };
 /// assert!(probes::pick_probed(&[], &query, &[], Duration::from_secs(1)).is_none());
 /// ```
 pub fn pick_probed<'rows>(
     eligible: &[&'rows BackendRow],
-    query: &PlaceQuery<'_>,
+    query: &PlacementQuery<'_>,
     probed: &[ProbeRow],
     aim: Duration,
 ) -> Option<&'rows BackendRow> {
     if probed.is_empty() {
         return None;
     }
-    let costs = placing::estimate_costs(eligible, query);
+    let costs = placement::estimate_costs(eligible, query);
     let asked = eligible.iter().zip(costs).filter_map(|(row, cost)| {
         let (_, report) = probed.iter().find(|(entry, _)| entry.id == row.entry.id)?;
         let report = report.as_ref();
@@ -154,20 +154,20 @@
 }
 
 /// Returns what a long prompt costs the streams beside it, and what the prompts before it cost, in milliseconds.
-fn estimate_harm(report: &LoadReport, prompt: Tokens) -> f64 {
+fn estimate_harm(report: &BackendReport, prompt: Tokens) -> f64 {
     if !is_long(prompt) {
         return 0.0;
     }
-    let reading = report.count_reading() as f64;
+    let reading = report.count_prefilling() as f64;
     let streams = report.runs.iter().filter(|run| run.events > 0).count() as f64;
-    placing::reading_time(prompt) * (STREAM_PART * streams + QUEUED_PART * reading)
+    placement::prefill_time(prompt) * (STREAM_PART * streams + QUEUED_PART * reading)
 }
 
 /// Returns the expected wait for a place at a server, in milliseconds.
 ///
 /// Prompts that are being read count for nothing: where places are free, a session that moves away from
 /// its server is read twice, which costs more than the wait.
-fn estimate_wait(entry: &BackendEntry, report: &LoadReport, aim: Duration) -> f64 {
+fn estimate_wait(entry: &BackendEntry, report: &BackendReport, aim: Duration) -> f64 {
     let over = count_over(entry, report);
     let run = aim.mul_f64(RUN_AIMS * 1_000.0).as_secs_f64();
     run * over as f64 / entry.slots.max(1) as f64
--- a/toucanrail/src/retries.rs
+++ b/toucanrail/src/retries.rs
@@ -34,7 +34,7 @@
 
 /// What happened in one step of the window.
 #[derive(Debug, Clone, Copy, Default, Serialize)]
-struct WindowStep {
+struct WindowBucket {
     number: u64,
     fresh: u32,
     spent: u32,
@@ -50,7 +50,7 @@
 pub struct RetryBudget {
     bounds: RetryBounds,
     /// The steps of the last window and one more, oldest first.
-    steps: VecDeque<WindowStep>,
+    steps: VecDeque<WindowBucket>,
     /// Retries refused for want of budget.
     pub refused: u64,
 }
@@ -77,7 +77,7 @@
     }
 
     /// Notes a fresh request.
-    pub fn note_fresh(&mut self, now: Duration) {
+    pub fn note_request(&mut self, now: Duration) {
         self.step_at(now).fresh += 1;
     }
 
@@ -121,12 +121,12 @@
     }
 
     /// Returns the step of a moment, and forgets those that no window with it reaches.
-    fn step_at(&mut self, now: Duration) -> &mut WindowStep {
+    fn step_at(&mut self, now: Duration) -> &mut WindowBucket {
         let length = (self.bounds.window / WINDOW_STEPS).max(Duration::from_millis(1));
         let number = (now.as_millis() / length.as_millis()) as u64;
         self.steps.retain(|step| step.number + u64::from(WINDOW_STEPS) >= number);
         if self.steps.back().is_none_or(|step| step.number < number) {
-            self.steps.push_back(WindowStep { number, ..WindowStep::default() });
+            self.steps.push_back(WindowBucket { number, ..WindowBucket::default() });
         }
         let last = self.steps.len() - 1;
         &mut self.steps[last]
@@ -139,14 +139,14 @@
     }
 }
 
-/// Returns how long to wait before a try; `dice` in `0..1` spreads the waits over the whole range.
+/// Returns how long to wait before a try; `random` in `0..1` spreads the waits over the whole range.
 ///
 /// # Examples
 /// ```
 /// use std::time::Duration;
 /// assert_eq!(toucanrail::retries::backoff(1, 0.5), Duration::from_millis(10));
 /// ```
-pub fn backoff(attempt: u32, dice: f64) -> Duration {
+pub fn backoff(attempt: u32, random: f64) -> Duration {
     let grown = BACKOFF_BASE.saturating_mul(1 << attempt.min(10));
-    grown.min(BACKOFF_LIMIT).mul_f64(dice.clamp(0.0, 1.0))
+    grown.min(BACKOFF_LIMIT).mul_f64(random.clamp(0.0, 1.0))
 }
--- a/toucanrail/src/returns.rs
+++ b/toucanrail/src/retry_delays.rs
@@ -33,23 +33,23 @@
     Declined,
 }
 
-/// Returns when a caller with some time left is to come back; `dice` in `0..1` spreads callers.
+/// Returns when a caller with some time left is to come back; `random` in `0..1` spreads callers.
 ///
 /// # Examples
 /// ```
 /// use std::time::Duration;
-/// use toucanrail::returns::{self, RefusalCause};
+/// use toucanrail::retry_delays::{self, RefusalCause};
 /// let left = Duration::from_secs(12);
-/// assert_eq!(returns::pick_wait(RefusalCause::Outage, left, 0.0), Duration::from_secs(4));
-/// assert_eq!(returns::pick_wait(RefusalCause::Declined, left, 0.0), Duration::from_millis(250));
+/// assert_eq!(retry_delays::pick_delay(RefusalCause::Outage, left, 0.0), Duration::from_secs(4));
+/// assert_eq!(retry_delays::pick_delay(RefusalCause::Declined, left, 0.0), Duration::from_millis(250));
 /// ```
-pub fn pick_wait(cause: RefusalCause, left: Duration, dice: f64) -> Duration {
+pub fn pick_delay(cause: RefusalCause, left: Duration, random: f64) -> Duration {
     let longest = left.mul_f64(LONGEST_PART);
     let wait = match cause {
         RefusalCause::Uninformed => ELSEWHERE,
-        RefusalCause::Overload | RefusalCause::Outage => longest.mul_f64(1.0 - SPREAD * dice),
-        RefusalCause::Unconfirmed => GRANT_WAIT.mul_f64(0.75 + 0.5 * dice),
-        RefusalCause::Declined => DECLINED_LEAST + DECLINED_SPREAD.mul_f64(dice),
+        RefusalCause::Overload | RefusalCause::Outage => longest.mul_f64(1.0 - SPREAD * random),
+        RefusalCause::Unconfirmed => GRANT_WAIT.mul_f64(0.75 + 0.5 * random),
+        RefusalCause::Declined => DECLINED_LEAST + DECLINED_SPREAD.mul_f64(random),
     };
     wait.min(longest)
 }
--- a/toucanrail/src/routing.rs
+++ b/toucanrail/src/routing.rs
@@ -59,7 +59,7 @@
     /// Hash of the prompt's prefix; none where nothing is cached.
     pub prefix: Option<u64>,
     /// Two draws in `0..1`.
-    pub dice: [f64; 2],
+    pub random: [f64; 2],
     /// The time, since the process's start.
     pub now: Duration,
 }
@@ -75,22 +75,22 @@
         return None;
     }
     match policy {
-        RoutingPolicy::RoundRobin => Some(eligible[table.turn % eligible.len()]),
-        RoutingPolicy::Random => sample(eligible, query.dice[0]),
+        RoutingPolicy::RoundRobin => Some(eligible[table.next_index % eligible.len()]),
+        RoutingPolicy::Random => sample(eligible, query.random[0]),
         RoutingPolicy::LeastReported => {
             eligible.iter().copied().min_by_key(|row| row.reported / row.slots)
         }
         RoutingPolicy::PureAffinity => match query.prefix {
             Some(prefix) => rank_servers(eligible, prefix).into_iter().next(),
-            None => sample(eligible, query.dice[0]),
+            None => sample(eligible, query.random[0]),
         },
         RoutingPolicy::Balanced => pick_balanced(eligible, query),
     }
 }
 
-fn sample<'rows>(eligible: &[&'rows ServerRow], dice: f64) -> Option<&'rows ServerRow> {
+fn sample<'rows>(eligible: &[&'rows ServerRow], random: f64) -> Option<&'rows ServerRow> {
     let last = eligible.len().saturating_sub(1);
-    eligible.get(((eligible.len() as f64 * dice) as usize).min(last)).copied()
+    eligible.get(((eligible.len() as f64 * random) as usize).min(last)).copied()
 }
 
 /// Ranks servers for a prefix by rendezvous hashing: a server that leaves moves only its own
@@ -121,7 +121,7 @@
     let bound = costs / eligible.len() as f64 * LOAD_BOUND;
     let affine = query.prefix.map(|prefix| rank_servers(eligible, prefix)).unwrap_or_default();
     let affine = affine.into_iter().take(AFFINE_SERVERS).filter(|row| cost(row) <= bound);
-    let sampled = query.dice.iter().filter_map(|dice| sample(eligible, *dice));
+    let sampled = query.random.iter().filter_map(|random| sample(eligible, *random));
     let affine = affine.map(|row| (cost(row) - PREFIX_WORTH, row));
     let sampled = sampled.map(|row| (cost(row), row));
     affine.chain(sampled).min_by(|(left, _), (right, _)| left.total_cmp(right)).map(|(_, row)| row)
--- a/toucanrail/src/servers.rs
+++ b/toucanrail/src/servers.rs
@@ -13,7 +13,7 @@
 use crate::messages::LoadReport;
 
 /// Silence of an agent after which its server gets no new work.
-pub const SILENCE_LIMIT: Duration = Duration::from_secs(2);
+pub const AGENT_TIMEOUT: Duration = Duration::from_secs(2);
 /// Servers of one service that an entry uses; bounds the reports it asks for and the agents that a
 /// reclaim must reach.
 const FAN_OUT: usize = 32;
@@ -96,8 +96,8 @@
     }
 
     /// Tells whether new work may go there.
-    pub fn takes_work(&self, now: Duration) -> bool {
-        let silent = self.heard_at.is_none_or(|at| now.saturating_sub(at) > SILENCE_LIMIT);
+    pub fn accepts_work(&self, now: Duration) -> bool {
+        let silent = self.heard_at.is_none_or(|at| now.saturating_sub(at) > AGENT_TIMEOUT);
         !silent && !self.leaving && self.healthy && !self.ejection.is_ejected(now)
     }
 }
@@ -108,7 +108,7 @@
     rows: BTreeMap<AgentId, ServerRow>,
     /// Next place of the round-robin policy.
     #[serde(skip)]
-    pub turn: usize,
+    pub next_index: usize,
 }
 
 impl ServerTable {
@@ -118,7 +118,7 @@
     }
 
     /// Takes the registrations of agents: adds the new, drops the removed.
-    pub fn take_nodes<'nodes, Nodes>(&mut self, nodes: Nodes)
+    pub fn apply_nodes<'nodes, Nodes>(&mut self, nodes: Nodes)
     where
         Nodes: Iterator<Item = &'nodes NodeEntry>,
     {
@@ -137,7 +137,7 @@
 
     /// Takes a load report that was asked for at `asked`, when `own` requests of this entry were
     /// in flight; it is also the agent's heartbeat.
-    pub fn take_report(&mut self, report: &LoadReport, own: u64, asked: Duration, now: Duration) {
+    pub fn apply_report(&mut self, report: &LoadReport, own: u64, asked: Duration, now: Duration) {
         let Some(row) = self.rows.get_mut(&report.agent) else {
             return;
         };
@@ -152,7 +152,7 @@
     }
 
     /// Takes the VM list's word that VMs are leaving.
-    pub fn take_leaving_vms(&mut self, leaving: &BTreeSet<VmId>) {
+    pub fn mark_leaving_vms(&mut self, leaving: &BTreeSet<VmId>) {
         for row in self.rows.values_mut() {
             row.leaving |= leaving.contains(&row.vm);
         }
@@ -180,7 +180,7 @@
     }
 
     /// Notes the first token of an answer after `wait`.
-    pub fn note_first(&mut self, agent: &AgentId, wait: Duration, now: Duration) {
+    pub fn note_first_token(&mut self, agent: &AgentId, wait: Duration, now: Duration) {
         if let Some(row) = self.rows.get_mut(agent) {
             let wait = wait.as_secs_f64();
             let known = row.first_token > 0.0;
@@ -215,24 +215,24 @@
         usable: &BTreeSet<AgentId>,
         tried: &BTreeSet<AgentId>,
         now: Duration,
-        dice: f64,
+        random: f64,
     ) -> Vec<&'table ServerRow> {
         let fits = |row: &&ServerRow| {
             row.service == *service
                 && usable.contains(&row.agent)
                 && !tried.contains(&row.agent)
-                && row.takes_work(now)
+                && row.accepts_work(now)
         };
         let rows: Vec<&ServerRow> = self.rows.values().filter(fits).collect();
         let ramped: Vec<&ServerRow> =
-            rows.iter().copied().filter(|row| row.ejection.is_ramped(now, dice)).collect();
+            rows.iter().copied().filter(|row| row.ejection.passes_ramp(now, random)).collect();
         if ramped.is_empty() { rows } else { ramped }
     }
 
     /// Returns the slots and the estimated load of a service's working servers.
     pub fn capacity(&self, service: &ServiceName, now: Duration) -> (u64, f64) {
         let working = self.rows.values().filter(|row| row.service == *service);
-        let working = working.filter(|row| row.takes_work(now));
+        let working = working.filter(|row| row.accepts_work(now));
         working.fold((0, 0.0), |(slots, load), row| (slots + row.slots, load + row.load(now)))
     }
 
--- a/toucanrail/src/silences.rs
+++ b/toucanrail/src/silences.rs
@@ -5,7 +5,7 @@
 //! and is sent once more where others wait already.
 
 use crate::ids::RequestId;
-use crate::paces::LoadReport;
+use crate::paces::BackendReport;
 
 /// Looks in a row that must find no trace of a request before it is given up: the answer may be on its
 /// way at the first.
@@ -13,26 +13,26 @@
 
 /// What the relay beside a server sees of one request there.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct RunSight {
+pub struct RunStatus {
     /// Requests in the server's queue; it does not name them.
     pub waiting: u64,
     /// Events made so far; none if the request does not run.
     pub events: Option<u64>,
 }
 
-impl RunSight {
+impl RunStatus {
     /// Finds a request in its server's report.
     ///
     /// # Examples
     /// ```
-    /// use toucanrail::paces::{LoadReport, RunRow};
-    /// use toucanrail::silences::RunSight;
-    /// let runs = vec![RunRow { request: "r".into(), events: 3 }];
-    /// let report = LoadReport { runs, ..LoadReport::default() };
-    /// assert_eq!(RunSight::find(&report, &"r".into()).events, Some(3));
-    /// assert_eq!(RunSight::find(&report, &"s".into()).events, None);
+    /// use toucanrail::paces::{BackendReport, RunProgress};
+    /// use toucanrail::silences::RunStatus;
+    /// let runs = vec![RunProgress { request: "r".into(), events: 3 }];
+    /// let report = BackendReport { runs, ..BackendReport::default() };
+    /// assert_eq!(RunStatus::find(&report, &"r".into()).events, Some(3));
+    /// assert_eq!(RunStatus::find(&report, &"s".into()).events, None);
     /// ```
-    pub fn find(report: &LoadReport, request: &RequestId) -> Self {
+    pub fn find(report: &BackendReport, request: &RequestId) -> Self {
         let run = report.runs.iter().find(|run| run.request == *request);
         Self { waiting: report.waiting, events: run.map(|run| run.events) }
     }
@@ -59,23 +59,23 @@
 
 /// The looks at one silent server.
 #[derive(Debug, Default)]
-pub struct SilenceWatch {
+pub struct SilenceDetector {
     misses: u32,
 }
 
-impl SilenceWatch {
+impl SilenceDetector {
     /// Takes a look, none where the server or its relay did not answer, at a request that has `received`
     /// events.
     ///
     /// # Examples
     /// ```
-    /// use toucanrail::silences::{RunSight, SilenceVerdict, SilenceWatch};
-    /// let mut watch = SilenceWatch::default();
-    /// let queued = RunSight { waiting: 4, events: None };
+    /// use toucanrail::silences::{RunStatus, SilenceVerdict, SilenceDetector};
+    /// let mut watch = SilenceDetector::default();
+    /// let queued = RunStatus { waiting: 4, events: None };
     /// assert_eq!(watch.judge(Some(queued), 0), SilenceVerdict::Works);
     /// assert_eq!(watch.judge(None, 0), SilenceVerdict::Unseen);
     /// ```
-    pub fn judge(&mut self, sight: Option<RunSight>, received: u64) -> SilenceVerdict {
+    pub fn judge(&mut self, sight: Option<RunStatus>, received: u64) -> SilenceVerdict {
         let Some(sight) = sight else {
             return SilenceVerdict::Unseen;
         };
--- a/toucanrail/src/patience.rs
+++ b/toucanrail/src/timeouts.rs
@@ -15,11 +15,11 @@
 
 /// The wait for the next answer.
 #[derive(Debug, Clone, Copy)]
-pub struct AnswerPatience {
+pub struct AdaptiveTimeout {
     wait: Duration,
 }
 
-impl AnswerPatience {
+impl AdaptiveTimeout {
     /// Starts with the least wait.
     pub fn new() -> Self {
         Self { wait: WAIT_LEAST }
@@ -37,7 +37,7 @@
     /// # Examples
     /// ```
     /// use std::time::Duration;
-    /// let mut patience = toucanrail::patience::AnswerPatience::new();
+    /// let mut patience = toucanrail::timeouts::AdaptiveTimeout::new();
     /// patience.note_answer(Duration::from_millis(400));
     /// assert_eq!(patience.wait(), Duration::from_millis(1_200));
     /// ```
@@ -48,12 +48,12 @@
 
     /// Notes that there was no answer within the time that a call waited. Calls that run at the same
     /// time and fail together lengthen the wait once.
-    pub fn note_silence(&mut self, waited: Duration) {
+    pub fn note_timeout(&mut self, waited: Duration) {
         self.wait = self.wait.max(waited * 2).min(WAIT_LIMIT);
     }
 }
 
-impl Default for AnswerPatience {
+impl Default for AdaptiveTimeout {
     fn default() -> Self {
         Self::new()
     }
--- a/toucanrail/tests/admission_limits.rs
+++ b/toucanrail/tests/admission_limits.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-use toucanrail::admissions::{AdmissionLimit, AdmissionQuery, WaitRow};
+use toucanrail::admissions::{AdmissionLimit, AdmissionQuery, PendingRow};
 
 const TICK: Duration = Duration::from_millis(1);
 const AIM: Duration = Duration::from_millis(500);
@@ -15,7 +15,7 @@
     limited: bool,
     limit: AdmissionLimit,
     queue: VecDeque<(u64, Duration, f64)>,
-    dice: fastrand::Rng,
+    rng: fastrand::Rng,
     now: Duration,
     next: u64,
 }
@@ -31,9 +31,9 @@
 
 impl Pool {
     fn new(rate: f64, limited: bool, seed: u64) -> Self {
-        let dice = fastrand::Rng::with_seed(seed);
+        let rng = fastrand::Rng::with_seed(seed);
         let limit = AdmissionLimit::default();
-        Self { rate, limited, limit, queue: VecDeque::new(), dice, now: Duration::ZERO, next: 0 }
+        Self { rate, limited, limit, queue: VecDeque::new(), rng, now: Duration::ZERO, next: 0 }
     }
 
     /// Plays a phase in which `load` times the tokens come that the pool reads.
@@ -50,8 +50,8 @@
 
     fn arrive(&mut self, load: f64, tally: &mut Tally) {
         // Prompts of 400 to 8,000 tokens, most of them short.
-        let work = 400.0 * 20_f64.powf(self.dice.f64().powi(2));
-        if self.dice.f64() >= load * self.rate / 1_540.0 {
+        let work = 400.0 * 20_f64.powf(self.rng.f64().powi(2));
+        if self.rng.f64() >= load * self.rate / 1_540.0 {
             return;
         }
         if self.limited && !self.limit.admits(FIRST, self.now) {
@@ -59,7 +59,7 @@
             return;
         }
         self.next += 1;
-        self.limit.note_sent(self.next, WaitRow { sent_at: self.now, aim: AIM });
+        self.limit.note_sent(self.next, PendingRow { sent_at: self.now, latency_target: AIM });
         self.queue.push_back((self.next, self.now, work));
     }
 
@@ -72,7 +72,7 @@
             }
             tokens -= *work;
             let wait = self.now.saturating_sub(*sent);
-            self.limit.note_begun(*number, self.now);
+            self.limit.note_first_event(*number, self.now);
             tally.waits.push(wait);
             *(if wait > AIM { &mut tally.late } else { &mut tally.timely }) += 1;
             self.queue.pop_front();
--- a/toucanrail/tests/attempt_steps.rs
+++ b/toucanrail/tests/attempt_steps.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use proptest::prelude::*;
-use toucanrail::attempting::{AttemptFate, AttemptTally, NextStep};
+use toucanrail::attempts::{AttemptHistory, AttemptOutcome, NextStep};
 use toucanrail::codes::RunState;
 use toucanrail::matching::RouteKind;
 use toucanrail::retries::{RetryBounds, RetryBudget};
@@ -11,13 +11,13 @@
 const LEFT: Duration = Duration::from_secs(1);
 const WINDOW: Duration = Duration::from_secs(10);
 
-fn any_fate() -> impl Strategy<Value = AttemptFate> {
+fn any_fate() -> impl Strategy<Value = AttemptOutcome> {
     prop::sample::select(vec![
-        AttemptFate::NotSent,
-        AttemptFate::Declined,
-        AttemptFate::Failed,
-        AttemptFate::Lost,
-        AttemptFate::TimedOut,
+        AttemptOutcome::NotSent,
+        AttemptOutcome::Declined,
+        AttemptOutcome::Failed,
+        AttemptOutcome::Lost,
+        AttemptOutcome::TimedOut,
     ])
 }
 
@@ -39,15 +39,15 @@
         limit in 1_u32..4,
         fates in prop::collection::vec(any_fate(), 1..12),
     ) {
-        let mut tally = AttemptTally::new(kind, limit);
+        let mut tally = AttemptHistory::new(kind, limit);
         for fate in fates {
             let ran = tally.may_have_run;
             prop_assert!(tally.sent < limit);
             prop_assert!(kind.is_repeatable() || !ran);
-            tally.note(fate);
-            match tally.decide(fate, LEFT) {
-                NextStep::Again => continue,
-                NextStep::Answer(code) if matches!(code.row().status, 429 | 503) => {
+            tally.record(fate);
+            match tally.next_step(fate, LEFT) {
+                NextStep::Retry => continue,
+                NextStep::Fail(code) if matches!(code.row().status, 429 | 503) => {
                     prop_assert_eq!(tally.run_state(), RunState::NotRun);
                 }
                 _ => {}
@@ -69,7 +69,7 @@
             if retry {
                 retries += u32::from(budget.try_spend(Duration::ZERO));
             } else {
-                budget.note_fresh(Duration::ZERO);
+                budget.note_request(Duration::ZERO);
                 fresh += 1;
             }
         }
@@ -92,7 +92,7 @@
             now += Duration::from_millis(pause);
             let budget = &mut budgets[who % entries];
             if kind == 0 {
-                budget.note_fresh(now);
+                budget.note_request(now);
                 fresh.push(now);
             } else if budget.try_spend(now) {
                 retries.push(now);
@@ -123,7 +123,7 @@
     let requests = (0..2_000).map(|number| Duration::from_secs_f64(f64::from(number) / 13.7));
     let mut refused = 0;
     for (number, now) in requests.enumerate() {
-        budget.note_fresh(now);
+        budget.note_request(now);
         if number > 140 && (number as f64 % group) < 3.0 {
             refused += u32::from(!budget.try_spend(now));
         }
@@ -134,19 +134,19 @@
 /// A stream breaks in the middle and may not be resumed: its caller must see that it is cut.
 #[test]
 fn broken_stream() {
-    let mut tally = AttemptTally::new(RouteKind::Stream { resumable: false }, 2);
+    let mut tally = AttemptHistory::new(RouteKind::Stream { resumable: false }, 2);
     tally.begun = true;
-    tally.note(AttemptFate::Broken);
-    assert_eq!(tally.decide(AttemptFate::Broken, LEFT), NextStep::Cut);
+    tally.record(AttemptOutcome::Broken);
+    assert_eq!(tally.next_step(AttemptOutcome::Broken, LEFT), NextStep::Truncate);
 }
 
 /// A resumable stream breaks with an attempt and time to spare: another server goes on.
 #[test]
 fn resumed_stream() {
-    let mut tally = AttemptTally::new(RouteKind::Stream { resumable: true }, 2);
+    let mut tally = AttemptHistory::new(RouteKind::Stream { resumable: true }, 2);
     tally.begun = true;
-    tally.note(AttemptFate::Broken);
-    assert_eq!(tally.decide(AttemptFate::Broken, LEFT), NextStep::Again);
-    tally.note(AttemptFate::Broken);
-    assert_eq!(tally.decide(AttemptFate::Broken, LEFT), NextStep::Cut);
+    tally.record(AttemptOutcome::Broken);
+    assert_eq!(tally.next_step(AttemptOutcome::Broken, LEFT), NextStep::Retry);
+    tally.record(AttemptOutcome::Broken);
+    assert_eq!(tally.next_step(AttemptOutcome::Broken, LEFT), NextStep::Truncate);
 }
--- a/toucanrail/tests/backend_placing.rs
+++ b/toucanrail/tests/backend_placement.rs
@@ -5,8 +5,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use toucanrail::backends::{BackendEntry, BackendTable, FlightRow, LAPSE_GRACE, PromptPart};
-use toucanrail::placing::{self, PlaceQuery};
+use toucanrail::backends::{BackendEntry, BackendTable, FlightRow, MISSING_GRACE, PromptPart};
+use toucanrail::placement::{self, PlacementQuery};
 
 const NOW: Duration = Duration::from_secs(10);
 
@@ -18,7 +18,7 @@
         data_centre: Arc::from(if id < "s5" { "a" } else { "b" }),
         slots: 64,
         draining: false,
-        born: 1,
+        started_at: 1,
         cold: Duration::ZERO,
         revision: 1,
     }
@@ -27,7 +27,7 @@
 fn make_table() -> BackendTable {
     let mut table = BackendTable::new();
     for at in 0..9 {
-        table.take_entry(entry(&format!("s{at}")));
+        table.apply_entry(entry(&format!("s{at}")));
     }
     table
 }
@@ -44,17 +44,17 @@
     let parts = parts.map(|(id, tokens)| PromptPart { id, tokens });
     let query = make_query(data_centre, &parts);
     let eligible = table.eligible("llm", &[], NOW);
-    placing::pick_backend(&eligible, &query).expect("a server").entry.id.to_string()
+    placement::pick_backend(&eligible, &query).expect("a server").entry.id.to_string()
 }
 
 /// Makes the query of a request whose prompt is these parts.
-fn make_query<'call>(data_centre: &'call str, parts: &'call [PromptPart]) -> PlaceQuery<'call> {
+fn make_query<'call>(data_centre: &'call str, parts: &'call [PromptPart]) -> PlacementQuery<'call> {
     let prompt = parts.iter().map(|part| part.tokens).sum();
-    PlaceQuery { data_centre, parts, prompt, now: NOW, dice: 0.5 }
+    PlacementQuery { data_centre, parts, prompt, now: NOW, random: 0.5 }
 }
 
-fn flight(fresh: u64) -> FlightRow {
-    FlightRow { sent_at: NOW, fresh, begun: false }
+fn flight(uncached: u64) -> FlightRow {
+    FlightRow { sent_at: NOW, uncached, begun: false }
 }
 
 /// Two callers of one session reach entries in two data centres. Sent to two servers, its shared
@@ -98,10 +98,10 @@
         let parts = [(1, 100), (100 + number % 97, shared), (10_000 + number, own)];
         let id = pick_parts(&table, "a", &parts);
         let parts = parts.map(|(id, tokens)| PromptPart { id, tokens });
-        let fresh = table.get(&id).unwrap().fresh_tokens(&parts, 100 + shared + own);
-        table.note_sent(&id, flight(fresh), &parts);
+        let uncached = table.get(&id).unwrap().uncached_tokens(&parts, 100 + shared + own);
+        table.note_sent(&id, flight(uncached), &parts);
         let weight = if slow.contains(&id) { 13 } else { 10 };
-        *sent.entry(id).or_default() += fresh * weight;
+        *sent.entry(id).or_default() += uncached * weight;
     }
     assert_eq!(sent.len(), 9);
     let (least, most) = (sent.values().min().unwrap(), sent.values().max().unwrap());
@@ -120,8 +120,8 @@
         let parts = parts.map(|(id, tokens)| PromptPart { id, tokens });
         let query = make_query("a", &parts);
         let eligible = table.eligible("llm", &[], NOW);
-        let target = placing::pick_backend(&eligible, &query).expect("a server");
-        let source = placing::pick_source(&eligible, &query, target);
+        let target = placement::pick_backend(&eligible, &query).expect("a server");
+        let source = placement::pick_fetch_source(&eligible, &query, target);
         source.map(|source| source.entry.id.to_string())
     };
     assert_eq!(source(&table, 6_600, 4_900), None);
@@ -159,8 +159,8 @@
         let parts = [(1, 500), (session, 4_900), (7, 6_600)];
         let parts = parts.map(|(id, tokens)| PromptPart { id, tokens });
         let query = make_query("a", &parts);
-        let target = placing::pick_backend(&eligible, &query).expect("a server");
-        let source = placing::pick_source(&eligible, &query, target).expect("a holder");
+        let target = placement::pick_backend(&eligible, &query).expect("a server");
+        let source = placement::pick_fetch_source(&eligible, &query, target).expect("a holder");
         assert_eq!(*source.entry.id, *homes[session as usize - 100]);
     }
 }
@@ -192,8 +192,8 @@
     let mut table = make_table();
     table.note_missing("s0", Some(NOW));
     assert_eq!(table.eligible("llm", &[], NOW).len(), 9);
-    assert!(table.drop_lapsed(NOW + LAPSE_GRACE).is_empty());
-    assert_eq!(table.drop_lapsed(NOW + LAPSE_GRACE + Duration::from_millis(1)).len(), 1);
+    assert!(table.drop_expired(NOW + MISSING_GRACE).is_empty());
+    assert_eq!(table.drop_expired(NOW + MISSING_GRACE + Duration::from_millis(1)).len(), 1);
 }
 
 /// A server leaves without a word just as an entry comes back to the store: its entry is gone, and
@@ -220,10 +220,10 @@
 fn reborn_server() {
     let mut table = make_table();
     table.note_sent("s0", flight(100), &[PromptPart { id: 5, tokens: 100 }]);
-    table.take_entry(BackendEntry { born: 2, ..entry("s0") });
+    table.apply_entry(BackendEntry { started_at: 2, ..entry("s0") });
     let row = table.get("s0").unwrap();
     assert_eq!(row.flights.len(), 0);
-    assert_eq!(row.fresh_tokens(&[PromptPart { id: 5, tokens: 100 }], 100), 100);
+    assert_eq!(row.uncached_tokens(&[PromptPart { id: 5, tokens: 100 }], 100), 100);
 }
 
 /// All VMs lose power and start again. A server's new process registers under another id at the old
@@ -233,10 +233,10 @@
 fn replaced_server() {
     for last in [true, false] {
         let mut table = BackendTable::new();
-        let entries = [entry("old"), BackendEntry { revision: 9, born: 2, ..entry("new") }];
+        let entries = [entry("old"), BackendEntry { revision: 9, started_at: 2, ..entry("new") }];
         let order = if last { [0, 1] } else { [1, 0] };
         for at in order {
-            table.take_entry(entries[at].clone());
+            table.apply_entry(entries[at].clone());
         }
         let eligible = table.eligible("llm", &[], NOW);
         let ids: Vec<&str> = eligible.iter().map(|row| &*row.entry.id).collect();
@@ -250,9 +250,9 @@
 fn all_down() {
     let mut table = make_table();
     for at in 0..9 {
-        table.note_down(&format!("s{at}"), NOW);
+        table.note_connect_failure(&format!("s{at}"), NOW);
     }
-    table.take_entry(BackendEntry { draining: true, ..entry("s8") });
+    table.apply_entry(BackendEntry { draining: true, ..entry("s8") });
     assert_eq!(table.eligible("llm", &[], NOW).len(), 8);
 }
 
@@ -261,7 +261,7 @@
     let mut table = BackendTable::new();
     for at in 0..9_u8 {
         let address = SocketAddr::from(([10, 0, 0, at], 80));
-        table.take_entry(BackendEntry { address, ..entry(&format!("s{at}")) });
+        table.apply_entry(BackendEntry { address, ..entry(&format!("s{at}")) });
     }
     table
 }
@@ -273,7 +273,7 @@
         (row.entry.address.ip(), Duration::from_millis(pace))
     });
     let paces = paces.collect();
-    table.take_paces(&paces);
+    table.apply_paces(&paces);
 }
 
 /// Three of nine servers are 1.3 times slower, and no server tells its speed. Once the relays have measured
--- a/toucanrail/tests/board_news.rs
+++ b/toucanrail/tests/board_updates.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use proptest::prelude::*;
-use toucanrail::boards::{BoardTable, FRESH_BOUND, OutageTimer};
+use toucanrail::boards::{BoardTable, MAX_AGE, OutageBackoff};
 use toucanrail::ids::Version;
 use toucanrail::messages::{MirrorChange, MirrorObject, NewsReply};
 
@@ -24,10 +24,10 @@
 #[test]
 fn silent_store() {
     let mut table = BoardTable::new();
-    table.take_listing(vec![object("a", 3)], 3, NOW);
-    let later = NOW + FRESH_BOUND + Duration::from_millis(1);
-    assert_eq!(table.news(Some(3), later), Some(NewsReply::Stale));
-    assert_eq!(table.no_news(3, later), NewsReply::Stale);
+    table.apply_listing(vec![object("a", 3)], 3, NOW);
+    let later = NOW + MAX_AGE + Duration::from_millis(1);
+    assert_eq!(table.updates_since(Some(3), later), Some(NewsReply::Stale));
+    assert_eq!(table.empty_update(3, later), NewsReply::Stale);
 }
 
 /// The board's call to the store failed. Entries that wait for news must not wait on: those who reach
@@ -35,11 +35,11 @@
 #[test]
 fn failed_call() {
     let mut table = BoardTable::new();
-    table.take_listing(vec![object("a", 3)], 3, NOW);
-    table.note_silence();
-    assert_eq!(table.news(Some(3), NOW), Some(NewsReply::Stale));
-    table.take_changes(Vec::new(), 3, NOW);
-    assert_eq!(table.news(Some(3), NOW), None);
+    table.apply_listing(vec![object("a", 3)], 3, NOW);
+    table.note_store_failure();
+    assert_eq!(table.updates_since(Some(3), NOW), Some(NewsReply::Stale));
+    table.apply_changes(Vec::new(), 3, NOW);
+    assert_eq!(table.updates_since(Some(3), NOW), None);
 }
 
 /// An entry that asked the store itself knows more than the board. The board's older changes must not
@@ -47,10 +47,10 @@
 #[test]
 fn late_board() {
     let mut table = BoardTable::new();
-    table.take_listing(vec![object("a", 3)], 3, NOW);
-    table.take_changes(vec![change("b", 5, false)], 5, NOW);
-    assert_eq!(table.news(Some(9), NOW), None);
-    assert_eq!(table.no_news(9, NOW), NewsReply::Changes { changes: Vec::new(), revision: 9 });
+    table.apply_listing(vec![object("a", 3)], 3, NOW);
+    table.apply_changes(vec![change("b", 5, false)], 5, NOW);
+    assert_eq!(table.updates_since(Some(9), NOW), None);
+    assert_eq!(table.empty_update(9, NOW), NewsReply::Changes { changes: Vec::new(), revision: 9 });
 }
 
 /// The store forgot its history, and the board listed anew. An entry that is further behind must get
@@ -58,8 +58,8 @@
 #[test]
 fn forgotten_history() {
     let mut table = BoardTable::new();
-    table.take_listing(vec![object("a", 8)], 20, NOW);
-    let news = table.news(Some(12), NOW);
+    table.apply_listing(vec![object("a", 8)], 20, NOW);
+    let news = table.updates_since(Some(12), NOW);
     assert!(matches!(news, Some(NewsReply::Listing { revision: 20, .. })), "{news:?}");
 }
 
@@ -92,9 +92,9 @@
 #[test]
 fn fresh_board() {
     let mut table = BoardTable::new();
-    assert_eq!(table.news(None, NOW), None);
-    table.note_silence();
-    assert_eq!(table.news(None, NOW), Some(NewsReply::Stale));
+    assert_eq!(table.updates_since(None, NOW), None);
+    table.note_store_failure();
+    assert_eq!(table.updates_since(None, NOW), Some(NewsReply::Stale));
 }
 
 /// The store is down for four seconds, and 68 entries look every 640 ms at the latest whether they may ask
@@ -104,10 +104,10 @@
     let step = Duration::from_millis(640);
     let mut calls = 0;
     for entry in 0..68 {
-        let mut timer = OutageTimer::default();
+        let mut timer = OutageBackoff::default();
         let mut now = NOW;
         while now < NOW + Duration::from_secs(4) {
-            if timer.is_over(now) {
+            if timer.may_ask(now) {
                 calls += 1;
                 timer.note_failure(now, f64::from(entry) / 68.0);
             }
@@ -132,14 +132,14 @@
                 1 => store.write(&name, true),
                 2 if table.revision().is_none() => {
                     let objects = store.objects.iter().map(|(name, version)| object(name, *version));
-                    table.take_listing(objects.collect(), store.revision, NOW);
+                    table.apply_listing(objects.collect(), store.revision, NOW);
                 }
                 2 => {
                     let after = table.revision().unwrap_or_default();
-                    table.take_changes(store.since(after), store.revision, NOW);
+                    table.apply_changes(store.since(after), store.revision, NOW);
                 }
                 3 if which == 0 => table = BoardTable::new(),
-                _ => match table.news(seen, NOW) {
+                _ => match table.updates_since(seen, NOW) {
                     Some(NewsReply::Listing { objects, revision }) => {
                         view = objects.iter().map(|row| (row.name.to_string(), row.version)).collect();
                         seen = Some(revision);
--- a/toucanrail/tests/cold_starts.rs
+++ b/toucanrail/tests/cold_starts.rs
@@ -5,7 +5,7 @@
 
 use proptest::prelude::*;
 use toucanrail::coldstarts::{
-    self, ColdRule, ColdSlack, PERMIT_TIME, PermitOrder, PermitReply, PermitTable,
+    self, ColdRule, ColdSlack, PERMIT_VALIDITY, PermitReply, PermitRequest, PermitTable,
 };
 
 const RULE: ColdRule = ColdRule { time: Duration::from_secs(3), rate: 10.0 };
@@ -14,8 +14,8 @@
 const BOUND: usize = 20;
 const SECOND: Duration = Duration::from_secs(1);
 
-fn order() -> PermitOrder {
-    PermitOrder { server: Arc::from("s"), limit: coldstarts::permit_limit(RULE, SLACK) }
+fn order() -> PermitRequest {
+    PermitRequest { server: Arc::from("s"), limit: coldstarts::permit_limit(RULE, SLACK) }
 }
 
 /// Returns the most arrivals within one second, both ends included.
@@ -38,7 +38,7 @@
         let mut asks = asks;
         asks.sort_unstable();
         let mut table = PermitTable::new(Duration::ZERO);
-        let start = PermitTable::SPAN;
+        let start = PermitTable::WINDOW;
         let killed = killed.map(|at| start + Duration::from_millis(at));
         let mut restarted = false;
         let mut arrivals = Vec::new();
@@ -48,9 +48,9 @@
                 restarted = true;
                 table = PermitTable::new(now);
             }
-            if table.give(&order(), now) == PermitReply::Given {
+            if table.grant(&order(), now) == PermitReply::Given {
                 let delay = Duration::from_millis(delay);
-                prop_assert!(delay < PERMIT_TIME);
+                prop_assert!(delay < PERMIT_VALIDITY);
                 arrivals.push(now + delay);
             }
         }
@@ -64,9 +64,11 @@
 #[test]
 fn rate_served() {
     let mut table = PermitTable::new(Duration::ZERO);
-    let start = PermitTable::SPAN;
+    let start = PermitTable::WINDOW;
     let given = (0..3_000_u64)
-        .filter(|at| table.give(&order(), start + Duration::from_millis(*at)) == PermitReply::Given)
+        .filter(|at| {
+            table.grant(&order(), start + Duration::from_millis(*at)) == PermitReply::Given
+        })
         .count();
     assert!(given as f64 >= RULE.rate * 3.0, "{given}");
 }
@@ -76,12 +78,12 @@
 #[test]
 fn told_wait() {
     let mut table = PermitTable::new(Duration::ZERO);
-    let now = PermitTable::SPAN * 2;
+    let now = PermitTable::WINDOW * 2;
     for _ in 0..order().limit {
-        assert_eq!(table.give(&order(), now), PermitReply::Given);
+        assert_eq!(table.grant(&order(), now), PermitReply::Given);
     }
-    let PermitReply::After(wait) = table.give(&order(), now) else {
+    let PermitReply::After(wait) = table.grant(&order(), now) else {
         panic!("a permit too many");
     };
-    assert_eq!(table.give(&order(), now + wait), PermitReply::Given);
+    assert_eq!(table.grant(&order(), now + wait), PermitReply::Given);
 }
--- a/toucanrail/tests/fleet_members.rs
+++ b/toucanrail/tests/fleet_members.rs
@@ -34,15 +34,15 @@
     let (me, second) = (&all[0], Duration::from_secs(1));
     let nodes: Vec<NodeEntry> = all.iter().map(node).collect();
     let mut table = MemberTable::new();
-    table.take_nodes(me, nodes.iter(), Duration::ZERO);
+    table.apply_nodes(me, nodes.iter(), Duration::ZERO);
     for tick in 0..20 {
-        for (peer, _) in table.choose_heartbeats(me, second * tick) {
+        for (peer, _) in table.update_heartbeat_targets(me, second * tick) {
             table.note_answer(&peer, &peer, second * tick);
         }
     }
     assert!(table.lost_peers(second * 20).is_empty());
     let lost = table.lost_peers(second * 25);
-    assert_eq!(lost.len(), members::HEARTBEAT_PEERS, "those that fell silent");
+    assert_eq!(lost.len(), members::HEARTBEAT_TARGETS, "those that fell silent");
 }
 
 /// Every entry of a large fleet that dies is noticed by some, and they agree on who acts first.
@@ -53,9 +53,9 @@
         let live: Vec<EntryId> =
             all.iter().filter(|entry| *entry != dead).map(Arc::clone).collect();
         let observers = members::rank_observers(dead, &live);
-        assert_eq!(observers.len(), members::HEARTBEAT_PEERS);
+        assert_eq!(observers.len(), members::HEARTBEAT_TARGETS);
         for observer in &observers {
-            assert!(members::pick_heartbeats(observer, &all).contains(dead));
+            assert!(members::pick_heartbeat_targets(observer, &all).contains(dead));
         }
     }
 }
@@ -67,13 +67,13 @@
         vms: names.iter().map(|name| (Arc::from(*name), false)).collect(),
         readings,
     };
-    table.take_vms(snapshot(&["old"], 1));
-    assert!(!table.is_gone_vm(&Arc::from("new")), "the list may only lag");
-    table.take_vms(snapshot(&["old", "new"], 2));
-    table.take_vms(snapshot(&["new"], 3));
-    assert!(table.is_gone_vm(&Arc::from("old")));
-    table.take_vms(snapshot(&["new", "old"], 4));
-    assert!(!table.is_gone_vm(&Arc::from("old")), "it came back");
+    table.apply_vms(snapshot(&["old"], 1));
+    assert!(!table.is_vm_gone(&Arc::from("new")), "the list may only lag");
+    table.apply_vms(snapshot(&["old", "new"], 2));
+    table.apply_vms(snapshot(&["new"], 3));
+    assert!(table.is_vm_gone(&Arc::from("old")));
+    table.apply_vms(snapshot(&["new", "old"], 4));
+    assert!(!table.is_vm_gone(&Arc::from("old")), "it came back");
 }
 
 #[test]
@@ -81,8 +81,8 @@
     let peers: Vec<Arc<str>> = (0..100).map(|at| Arc::from(format!("entry-{at}"))).collect();
     let mut watched: BTreeMap<Arc<str>, usize> = BTreeMap::new();
     for peer in &peers {
-        let targets = members::pick_heartbeats(peer, &peers);
-        assert_eq!(targets.len(), members::HEARTBEAT_PEERS);
+        let targets = members::pick_heartbeat_targets(peer, &peers);
+        assert_eq!(targets.len(), members::HEARTBEAT_TARGETS);
         for target in targets {
             *watched.entry(target).or_default() += 1;
         }
--- a/toucanrail/tests/load_probes.rs
+++ b/toucanrail/tests/load_probes.rs
@@ -6,10 +6,10 @@
 use std::time::Duration;
 
 use toucanrail::backends::{BackendEntry, BackendTable, FlightRow, PromptPart};
-use toucanrail::paces::{LoadReport, RunRow};
-use toucanrail::placing;
-use toucanrail::placing::PlaceQuery;
-use toucanrail::probes::{self, PlaceGauge, ProbeRow};
+use toucanrail::paces::{BackendReport, RunProgress};
+use toucanrail::placement;
+use toucanrail::placement::PlacementQuery;
+use toucanrail::probes::{self, ProbeRow, SlotGauge};
 
 const AIM: Duration = Duration::from_millis(500);
 const SLOTS: u64 = 16;
@@ -29,7 +29,7 @@
         data_centre: Arc::from("a"),
         slots: SLOTS,
         draining: false,
-        born: 1,
+        started_at: 1,
         cold: Duration::ZERO,
         revision: 1,
     }
@@ -38,19 +38,19 @@
 fn make_table() -> BackendTable {
     let mut table = BackendTable::new();
     for at in 0..SERVERS {
-        table.take_entry(entry(at));
+        table.apply_entry(entry(at));
     }
     table
 }
 
-fn make_report(running: u64, waiting: u64) -> LoadReport {
-    let row = |at| RunRow { request: Arc::from(format!("r{at}")), events: 1 };
-    LoadReport { born: 1, waiting, runs: (0..running).map(row).collect() }
+fn make_report(running: u64, waiting: u64) -> BackendReport {
+    let row = |at| RunProgress { request: Arc::from(format!("r{at}")), events: 1 };
+    BackendReport { started_at: 1, waiting, runs: (0..running).map(row).collect() }
 }
 
-fn make_query(parts: &[PromptPart], now: Duration) -> PlaceQuery<'_> {
+fn make_query(parts: &[PromptPart], now: Duration) -> PlacementQuery<'_> {
     let prompt = parts.iter().map(|part| part.tokens).sum();
-    PlaceQuery { data_centre: "a", parts, prompt, now, dice: 0.5 }
+    PlacementQuery { data_centre: "a", parts, prompt, now, random: 0.5 }
 }
 
 fn make_parts(session: u64, own: u64) -> [PromptPart; 3] {
@@ -85,23 +85,23 @@
     let candidates = probes::pick_candidates(&eligible, &query, &[0.1, 0.9]);
     let probed: Vec<ProbeRow> = candidates.into_iter().map(|entry| (entry, None)).collect();
     let chosen = probes::pick_probed(&eligible, &query, &probed, AIM).map(|row| &row.entry.id);
-    assert_eq!(chosen, placing::pick_backend(&eligible, &query).map(|row| &row.entry.id));
+    assert_eq!(chosen, placement::pick_backend(&eligible, &query).map(|row| &row.entry.id));
 }
 
 /// Probes delayed each request of a fleet whose servers had places free, and told nothing.
 #[test]
 fn free_places() {
-    let mut gauge = PlaceGauge::default();
+    let mut gauge = SlotGauge::default();
     let free: Vec<ProbeRow> = (0..3).map(|at| (entry(at), Some(make_report(5, 0)))).collect();
     let full: Vec<ProbeRow> = (0..3).map(|at| (entry(at), Some(make_report(SLOTS, 2)))).collect();
-    gauge.take_reports(&free);
-    assert!(!gauge.wants_probe(0.5));
-    gauge.take_reports(&full);
-    assert!(gauge.wants_probe(0.5));
+    gauge.record_reports(&free);
+    assert!(!gauge.should_probe(0.5));
+    gauge.record_reports(&full);
+    assert!(gauge.should_probe(0.5));
     for _ in 0..20 {
-        gauge.take_reports(&free);
+        gauge.record_reports(&free);
     }
-    assert!(!gauge.wants_probe(0.5));
+    assert!(!gauge.should_probe(0.5));
 }
 
 /// One request as its server sees it.
@@ -117,7 +117,7 @@
     fn place(&mut self, now: Duration) -> bool;
 
     /// Returns what its relay tells.
-    fn report(&self, now: Duration) -> LoadReport;
+    fn report(&self, now: Duration) -> BackendReport;
 }
 
 /// A server with a queue: a request begins as soon as one of the places is free.
@@ -138,7 +138,7 @@
         begins.saturating_sub(now) > AIM
     }
 
-    fn report(&self, now: Duration) -> LoadReport {
+    fn report(&self, now: Duration) -> BackendReport {
         let running = self.rows.iter().filter(|row| row.begins <= now && row.ends > now).count();
         let waiting = self.rows.iter().filter(|row| row.begins > now).count();
         make_report(running as u64, waiting as u64)
@@ -161,17 +161,17 @@
     Server: ServerSim,
     Parts: Fn(u64, u64) -> [PromptPart; 3],
 {
-    let mut dice = fastrand::Rng::with_seed(plan.seed);
+    let mut rng = fastrand::Rng::with_seed(plan.seed);
     let mut tables: Vec<BackendTable> = (0..ENTRIES).map(|_| make_table()).collect();
     let mut servers: BTreeMap<Arc<str>, Server> = BTreeMap::new();
     let mut bad = 0;
     for number in 0..REQUESTS {
         let now = plan.pause * number as u32;
         let table = &mut tables[number % ENTRIES];
-        let parts = (plan.make_parts)(dice.u64(0..40), number as u64);
+        let parts = (plan.make_parts)(rng.u64(0..40), number as u64);
         let query = make_query(&parts, now);
         let eligible = table.eligible("llm", &[], now);
-        let draws: Vec<f64> = (0..plan.drawn).map(|_| dice.f64()).collect();
+        let draws: Vec<f64> = (0..plan.drawn).map(|_| rng.f64()).collect();
         let candidates = probes::pick_candidates(&eligible, &query, &draws);
         let probed: Vec<ProbeRow> = candidates
             .into_iter()
@@ -183,11 +183,11 @@
         let chosen = if probes_first {
             probes::pick_probed(&eligible, &query, &probed, AIM)
         } else {
-            placing::pick_backend(&eligible, &query)
+            placement::pick_backend(&eligible, &query)
         };
         let id = Arc::clone(&chosen.expect("a server").entry.id);
         bad += usize::from(servers.entry(Arc::clone(&id)).or_default().place(now));
-        let flight = FlightRow { sent_at: now, fresh: 0, begun: true };
+        let flight = FlightRow { sent_at: now, uncached: 0, begun: true };
         table.note_sent(&id, flight, &parts);
     }
     bad
@@ -227,10 +227,10 @@
         is_reading
     }
 
-    fn report(&self, now: Duration) -> LoadReport {
-        let run = RunRow { request: Arc::from("r"), events: 0 };
+    fn report(&self, now: Duration) -> BackendReport {
+        let run = RunProgress { request: Arc::from("r"), events: 0 };
         let runs = if self.until > now { vec![run] } else { Vec::new() };
-        LoadReport { born: 1, waiting: 0, runs }
+        BackendReport { started_at: 1, waiting: 0, runs }
     }
 }
 
@@ -238,7 +238,7 @@
 /// another: both began late, and every stream beside them paused for twice as long.
 #[test]
 fn long_prompts() {
-    let (drawn, make_parts) = (probes::SAMPLE_COUNT, make_long_parts);
+    let (drawn, make_parts) = (probes::PROBE_SAMPLES, make_long_parts);
     let plan = LoadPlan { seed: 2, pause: READ_PAUSE, drawn, make_parts };
     let [unasked, asked] = [false, true].map(|asks| count_bad::<ReadingSim, _>(&plan, asks));
     assert!(unasked > REQUESTS / 4, "{unasked} doubled without probes: no load that tells");
--- a/toucanrail/tests/caller_returns.rs
+++ b/toucanrail/tests/retry_delays.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use toucanrail::returns::{self, RefusalCause};
+use toucanrail::retry_delays::{self, RefusalCause};
 
 const OUTAGE: Duration = Duration::from_secs(7);
 const LEFT: Duration = Duration::from_secs(10);
@@ -12,8 +12,8 @@
 fn count_served(cause: RefusalCause) -> f64 {
     let served = (0..CALLERS).filter(|number| {
         let refused_at = OUTAGE * *number / CALLERS;
-        let dice = f64::from(number * 7 % 10) / 10.0;
-        refused_at + returns::pick_wait(cause, LEFT, dice) >= OUTAGE
+        let random = f64::from(number * 7 % 10) / 10.0;
+        refused_at + retry_delays::pick_delay(cause, LEFT, random) >= OUTAGE
     });
     served.count() as f64 / f64::from(CALLERS)
 }
@@ -37,10 +37,10 @@
         RefusalCause::Declined,
     ];
     for cause in causes {
-        let waits = [0.0, 0.5, 0.99].map(|dice| returns::pick_wait(cause, LEFT, dice));
+        let waits = [0.0, 0.5, 0.99].map(|random| retry_delays::pick_delay(cause, LEFT, random));
         assert!(waits[0] != waits[1] && waits[1] != waits[2], "{cause:?}");
         assert!(waits.iter().all(|wait| *wait <= LEFT / 3), "{cause:?}");
-        let short = returns::pick_wait(cause, Duration::from_millis(300), 0.5);
+        let short = retry_delays::pick_delay(cause, Duration::from_millis(300), 0.5);
         assert!(short <= Duration::from_millis(100), "{cause:?}");
     }
 }
--- a/toucanrail/tests/server_choice.rs
+++ b/toucanrail/tests/server_choice.rs
@@ -42,9 +42,9 @@
 fn table_of(loads: &[u64]) -> (ServerTable, BTreeSet<AgentId>) {
     let mut table = ServerTable::new();
     let nodes: Vec<NodeEntry> = (0..loads.len()).map(|at| node(&format!("agent-{at}"))).collect();
-    table.take_nodes(nodes.iter());
+    table.apply_nodes(nodes.iter());
     for (at, load) in loads.iter().enumerate() {
-        table.take_report(&report(&format!("agent-{at}"), *load), 0, NOW, NOW);
+        table.apply_report(&report(&format!("agent-{at}"), *load), 0, NOW, NOW);
     }
     let agents = table.choose_agents(&Arc::from("entry-1"));
     (table, agents)
@@ -55,8 +55,8 @@
 }
 
 fn pick(table: &ServerTable, usable: &BTreeSet<AgentId>, prefix: Option<u64>, draw: u64) -> String {
-    let dice = [(draw % 97) as f64 / 97.0, (draw % 89) as f64 / 89.0];
-    let query = RouteQuery { prefix, dice, now: NOW };
+    let random = [(draw % 97) as f64 / 97.0, (draw % 89) as f64 / 89.0];
+    let query = RouteQuery { prefix, random, now: NOW };
     let eligible = table.eligible(&service(), usable, &BTreeSet::new(), NOW, 0.5);
     let row = routing::pick_server(RoutingPolicy::Balanced, table, &eligible, &query);
     row.expect("there is one").agent.to_string()
@@ -104,9 +104,9 @@
 #[test]
 fn unfit_servers() {
     let (mut table, usable) = table_of(&[0; 5]);
-    table.take_report(&LoadReport { leaving: true, ..report("agent-0", 0) }, 0, NOW, NOW);
-    table.take_report(&LoadReport { healthy: false, ..report("agent-1", 0) }, 0, NOW, NOW);
-    table.take_leaving_vms(&BTreeSet::from([Arc::from("vm-agent-2")]));
+    table.apply_report(&LoadReport { leaving: true, ..report("agent-0", 0) }, 0, NOW, NOW);
+    table.apply_report(&LoadReport { healthy: false, ..report("agent-1", 0) }, 0, NOW, NOW);
+    table.mark_leaving_vms(&BTreeSet::from([Arc::from("vm-agent-2")]));
     for _ in 0..3 {
         table.note_failure(&Arc::from("agent-3"), NOW);
     }
@@ -120,7 +120,7 @@
     // The ejected one comes back, gradually: this draw still leaves it out, a lower one does not.
     let later = NOW + Duration::from_secs(3);
     for agent in ["agent-3", "agent-4"] {
-        table.take_report(&report(agent, 0), 0, later, later);
+        table.apply_report(&report(agent, 0), 0, later, later);
     }
     assert_eq!(names(&table, later), ["agent-4"]);
     let rows = table.eligible(&service(), &usable, &BTreeSet::new(), later, 0.1);
--- a/toucanrail/tests/server_paces.rs
+++ b/toucanrail/tests/server_paces.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use proptest::prelude::*;
-use toucanrail::paces::{self, LoadReport, PaceMeter, RunRow};
+use toucanrail::paces::{self, BackendReport, PaceMeter, RunProgress};
 
 /// Time of one event of an only stream at a fast server, by the users' engine sheet.
 const EVENT: f64 = 0.0185;
@@ -17,14 +17,14 @@
     made: f64,
     next: u64,
     reading: f64,
-    dice: fastrand::Rng,
+    rng: fastrand::Rng,
 }
 
 impl ModelServer {
-    fn step(&mut self, elapsed: f64) -> LoadReport {
+    fn step(&mut self, elapsed: f64) -> BackendReport {
         // A run lasts for 1.5 seconds; a fast server reads for two fifths of its time.
         let rate = self.batch as f64 / 1.5;
-        if self.dice.f64() > (-rate * elapsed).exp() {
+        if self.rng.f64() > (-rate * elapsed).exp() {
             self.next += 1;
             self.reading += 0.4 / rate * self.factor;
         }
@@ -39,19 +39,19 @@
             } else {
                 1 + (self.made + run as f64 / self.batch as f64) as u64
             };
-            RunRow { request: Arc::from(format!("r{}", self.next + run as u64)), events }
+            RunProgress { request: Arc::from(format!("r{}", self.next + run as u64)), events }
         });
-        LoadReport { born: 1, waiting: 0, runs: runs.collect() }
+        BackendReport { started_at: 1, waiting: 0, runs: runs.collect() }
     }
 }
 
 fn measure(factor: f64, batch: usize, seed: u64) -> Option<Duration> {
-    let dice = fastrand::Rng::with_seed(seed);
-    let mut server = ModelServer { factor, batch, made: 0.0, next: 0, reading: 0.0, dice };
+    let rng = fastrand::Rng::with_seed(seed);
+    let mut server = ModelServer { factor, batch, made: 0.0, next: 0, reading: 0.0, rng };
     let mut meter = PaceMeter::default();
     for step in 0..200_u32 {
         let report = server.step(0.1);
-        meter.take_report(&report, Duration::from_millis(100) * step);
+        meter.apply_report(&report, Duration::from_millis(100) * step);
     }
     meter.pace()
 }
@@ -66,7 +66,7 @@
         let paces: Vec<_> =
             servers.map(|((factor, batch), seed)| measure(*factor, *batch, seed)).collect();
         prop_assert!(paces.iter().all(Option::is_some), "{:?}", paces);
-        let found = paces::compare_paces(&paces);
+        let found = paces::relative_slowdowns(&paces);
         for (factor, found) in factors.iter().zip(&found) {
             prop_assert_eq!(*factor > 1.0, *found > 1.0, "{:?} {:?}", found, paces);
         }
@@ -77,16 +77,16 @@
 #[test]
 fn other_server() {
     let mut meter = PaceMeter::default();
-    let report = |born: u64, events: u64| LoadReport {
-        born,
+    let report = |started_at: u64, events: u64| BackendReport {
+        started_at,
         waiting: 0,
-        runs: vec![RunRow { request: Arc::from("r"), events }],
+        runs: vec![RunProgress { request: Arc::from("r"), events }],
     };
     for step in 0..9_u32 {
-        meter.take_report(&report(1, 1 + u64::from(step) * 10), Duration::from_millis(500) * step);
+        meter.apply_report(&report(1, 1 + u64::from(step) * 10), Duration::from_millis(500) * step);
     }
     assert!(meter.pace().is_some());
-    meter.take_report(&report(2, 1), Duration::from_secs(6));
+    meter.apply_report(&report(2, 1), Duration::from_secs(6));
     assert_eq!(meter.pace(), None);
 }
 
@@ -94,8 +94,8 @@
 #[test]
 fn small_changes() {
     let pace = |millis: u64| Some(Duration::from_millis(millis));
-    assert!(paces::is_news(None, pace(20)));
-    assert!(!paces::is_news(pace(20), pace(21)));
-    assert!(paces::is_news(pace(20), pace(26)));
-    assert!(!paces::is_news(pace(20), None));
+    assert!(paces::is_significant_change(None, pace(20)));
+    assert!(!paces::is_significant_change(pace(20), pace(21)));
+    assert!(paces::is_significant_change(pace(20), pace(26)));
+    assert!(!paces::is_significant_change(pace(20), None));
 }
--- a/toucanrail/tests/store_detours.rs
+++ b/toucanrail/tests/store_detours.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use toucanrail::detours::{DetourTable, RelayEntry, StoreWay};
-use toucanrail::patience::AnswerPatience;
+use toucanrail::timeouts::AdaptiveTimeout;
 
 fn store() -> SocketAddr {
     SocketAddr::from(([10, 0, 0, 1], 80))
@@ -101,12 +101,12 @@
 /// given. Once it was waited for, it is not given up again.
 #[test]
 fn slow_store() {
-    let mut patience = AnswerPatience::new();
+    let mut patience = AdaptiveTimeout::new();
     let answer = Duration::from_millis(356);
     let given_up = (0..40).filter(|_| {
         let silent = patience.wait() < answer;
         if silent {
-            patience.note_silence(patience.wait());
+            patience.note_timeout(patience.wait());
         } else {
             patience.note_answer(answer);
         }
--- a/toucanrail/tests/zone_evacuations.rs
+++ b/toucanrail/tests/zone_evacuations.rs
@@ -8,7 +8,7 @@
 use toucanrail::backends::{BackendEntry, BackendTable, FlightRow, PromptPart};
 use toucanrail::evacuations::EvacuationTable;
 use toucanrail::ids::DataCentre;
-use toucanrail::placing::{self, PlaceQuery};
+use toucanrail::placement::{self, PlacementQuery};
 
 const BOUND: Duration = Duration::from_secs(5);
 const NOW: Duration = Duration::from_secs(100);
@@ -21,18 +21,18 @@
         data_centre: Arc::from(["a", "b", "c"][usize::from(at % 3)]),
         slots: 64,
         draining: false,
-        born: 1,
+        started_at: 1,
         cold: Duration::ZERO,
         revision: 1,
     }
 }
 
 fn make_table(servers: u8) -> BackendTable {
-    let mut evacuations = EvacuationTable::awaiting(BOUND);
-    evacuations.take_listing(&BTreeSet::new(), Duration::ZERO);
+    let mut evacuations = EvacuationTable::awaiting_listing(BOUND);
+    evacuations.apply_listing(&BTreeSet::new(), Duration::ZERO);
     let mut table = BackendTable::with_evacuations(evacuations);
     for at in 0..servers {
-        table.take_entry(entry(at));
+        table.apply_entry(entry(at));
     }
     table
 }
@@ -49,7 +49,7 @@
 #[test]
 fn closes_gradually() {
     let mut table = make_table(54);
-    table.evacuations.note_closed(&Arc::from("b"), Duration::ZERO, NOW);
+    table.evacuations.begin(&Arc::from("b"), Duration::ZERO, NOW);
     let counts: Vec<usize> =
         (0..=20).map(|step| count_eligible(&table, NOW + BOUND.mul_f64(0.01) * step)).collect();
     assert!(counts.windows(2).all(|pair| pair[0] >= pair[1]), "{counts:?}");
@@ -61,20 +61,20 @@
 #[test]
 fn late_news() {
     let mut table = make_table(9);
-    table.evacuations.note_closed(&Arc::from("b"), BOUND / 2, NOW);
+    table.evacuations.begin(&Arc::from("b"), BOUND / 2, NOW);
     assert_eq!(count_eligible(&table, NOW), 6);
 }
 
 /// An entry starts in the middle of an evacuation that it has not heard of yet.
 #[test]
 fn unknown_at_start() {
-    let evacuations = EvacuationTable::awaiting(BOUND);
+    let evacuations = EvacuationTable::awaiting_listing(BOUND);
     let mut table = BackendTable::with_evacuations(evacuations);
-    table.take_entry(entry(1));
+    table.apply_entry(entry(1));
     assert_eq!(count_eligible(&table, NOW), 0);
-    table.evacuations.take_listing(&listed(&["b"]), NOW);
+    table.evacuations.apply_listing(&listed(&["b"]), NOW);
     assert_eq!(count_eligible(&table, NOW), 0);
-    table.evacuations.take_listing(&listed(&[]), NOW);
+    table.evacuations.apply_listing(&listed(&[]), NOW);
     assert_eq!(count_eligible(&table, NOW), 1);
 }
 
@@ -82,20 +82,20 @@
 #[test]
 fn listed_again() {
     let mut table = make_table(9);
-    table.evacuations.note_closed(&Arc::from("b"), Duration::ZERO, NOW);
+    table.evacuations.begin(&Arc::from("b"), Duration::ZERO, NOW);
     let later = NOW + BOUND.mul_f64(0.3);
-    assert!(table.evacuations.take_listing(&listed(&["b"]), later).is_empty());
+    assert!(table.evacuations.apply_listing(&listed(&["b"]), later).is_empty());
     assert_eq!(count_eligible(&table, later), 6);
-    assert_eq!(table.evacuations.take_listing(&listed(&[]), later), [Arc::from("b")]);
+    assert_eq!(table.evacuations.apply_listing(&listed(&[]), later), [Arc::from("b")]);
 }
 
 /// Where all data centres are emptied nothing is eligible, also not as the last resort.
 #[test]
 fn all_emptied() {
     let mut table = make_table(9);
-    table.evacuations.take_listing(&listed(&["a", "b", "c"]), NOW);
+    table.evacuations.apply_listing(&listed(&["a", "b", "c"]), NOW);
     for at in 0..9 {
-        table.note_down(&format!("s{at:02}"), NOW);
+        table.note_connect_failure(&format!("s{at:02}"), NOW);
     }
     assert_eq!(count_eligible(&table, NOW), 0);
 }
@@ -108,17 +108,18 @@
     let parts = [(1, 500), (100, 4_900), (7, 6_600)];
     let parts = parts.map(|(id, tokens)| PromptPart { id, tokens });
     let source = |table: &BackendTable, now: Duration| {
-        let query = PlaceQuery { data_centre: "a", parts: &parts, prompt: 12_000, now, dice: 0.5 };
+        let query =
+            PlacementQuery { data_centre: "a", parts: &parts, prompt: 12_000, now, random: 0.5 };
         let eligible = table.eligible("llm", &[], now);
-        let sources = table.sources("llm", &[], now);
-        let target = placing::pick_backend(&eligible, &query).expect("a server");
-        let source = placing::pick_source(&sources, &query, target);
+        let sources = table.fetch_sources("llm", &[], now);
+        let target = placement::pick_backend(&eligible, &query).expect("a server");
+        let source = placement::pick_fetch_source(&sources, &query, target);
         (target.entry.clone(), source.map(|source| Arc::clone(&source.entry.id)))
     };
     let (home, _) = source(&table, NOW);
-    let flight = FlightRow { sent_at: NOW, fresh: 12_000, begun: true };
+    let flight = FlightRow { sent_at: NOW, uncached: 12_000, begun: true };
     table.note_sent(&home.id, flight, &parts);
-    table.evacuations.note_closed(&home.data_centre, Duration::ZERO, NOW);
+    table.evacuations.begin(&home.data_centre, Duration::ZERO, NOW);
     let closed = NOW + BOUND.mul_f64(0.3);
     let (target, holder) = source(&table, closed);
     assert_ne!(target.data_centre, home.data_centre);
@@ -131,8 +132,8 @@
 #[test]
 fn cold_when_reopened() {
     let mut table = make_table(9);
-    table.evacuations.take_listing(&listed(&["b"]), NOW);
-    table.reopen("b", NOW, |_| Duration::from_secs(3));
+    table.evacuations.apply_listing(&listed(&["b"]), NOW);
+    table.end_evacuation("b", NOW, |_| Duration::from_secs(3));
     let cold = |table: &BackendTable, now| table.rows().filter(|row| row.is_cold(now)).count();
     assert_eq!(count_eligible(&table, NOW), 9);
     assert_eq!(cold(&table, NOW + Duration::from_millis(2_900)), 3);
