--- a/toucanrail/src/admissions.rs
+++ b/toucanrail/src/admissions.rs
@@ -1,9 +1,11 @@
-//! How many requests without a first event an entry keeps at the servers of one service.
+//! Adaptive limit on the requests of one entry that wait for their first event at the servers of
+//! one service.
 //!
-//! The load it answers: more prompts than the servers read in time. Sent all the same they wait in the
-//! servers' queues, each first event is late, and callers leave after their prompts were read in vain.
-//! An entry knows neither the speed of the servers nor what others send there; it learns from its own
-//! first events whether less should be under way, and all entries find their parts in this way.
+//! When prompts arrive faster than the servers can prefill them, forwarding every request fills the
+//! servers' queues: each first event is late, and callers leave after their prompts were prefilled
+//! for nothing. An entry knows neither the speed of the servers nor the traffic of the other
+//! entries, so it derives its limit from the latency of its own first events. All entries converge
+//! to their shares of the capacity in this way.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,35 +14,35 @@
 
 use crate::backends::FlightId;
 
-/// Part of late first events from which requests are limited.
+/// Fraction of late first events above which requests are limited.
 const LATE_LIMIT: f64 = 0.4;
-/// Fewest first events that tell.
-const SAMPLE_LEAST: u32 = 8;
-/// Part of the hoped-for time in which the requests under the limit begin.
-const WAIT_PART: f64 = 0.8;
+/// Minimum number of first events in a step on which a decision is based.
+const MIN_SAMPLES: u32 = 8;
+/// Fraction of the latency target within which requests under the limit are expected to begin.
+const TARGET_FRACTION: f64 = 0.8;
 /// Time over which the rate of first events is smoothed.
-const RATE_TIME: Duration = Duration::from_secs(1);
-/// Part of the limit from which it counts as used.
-const USED_PART: f64 = 0.8;
-/// Steps in a row without a refusal after which there is no limit any more.
-const CALM_STEPS: u32 = 10;
-/// Weight of a new request in the smoothed hoped-for time.
-const AIM_WEIGHT: f64 = 0.05;
-/// Bounds of a step, which lasts until enough first events tell.
-const STEP_LEAST: Duration = Duration::from_millis(100);
-const STEP_LIMIT: Duration = Duration::from_secs(1);
-/// Part of the limit that each rank behind the first leaves to those before it.
-const RANK_PART: f64 = 0.1;
-const RANK_LIMIT: u8 = 3;
-/// Part of the limit on top of it for callers that come back as they were told.
-const RETURN_PART: f64 = 0.25;
-
-/// A request that was sent and has no first event yet.
+const RATE_SMOOTHING: Duration = Duration::from_secs(1);
+/// Fraction of the limit that must have been in use for the limit to grow.
+const USED_FRACTION: f64 = 0.8;
+/// Consecutive steps without a refusal after which the limit is lifted.
+const MAX_CALM_STEPS: u32 = 10;
+/// Weight of a new request in the smoothed latency target.
+const TARGET_WEIGHT: f64 = 0.05;
+/// Bounds of a step, which ends once enough first events were observed.
+const MIN_STEP: Duration = Duration::from_millis(100);
+const MAX_STEP: Duration = Duration::from_secs(1);
+/// Fraction of the limit that each rank after the first leaves to the ranks before it.
+const RANK_FRACTION: f64 = 0.1;
+const MAX_RANK: u8 = 3;
+/// Extra fraction of the limit for callers that return after the delay they were given.
+const RETURN_FRACTION: f64 = 0.25;
+
+/// A request that was sent and has had no first event yet.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 pub struct PendingRow {
-    /// When it was sent.
+    /// When the request was sent.
     pub sent_at: Duration,
-    /// Time within which its first event is hoped for.
+    /// Time within which the first event should arrive.
     #[serde(rename = "aim")]
     pub latency_target: Duration,
 }
@@ -51,39 +53,44 @@
     }
 }
 
-/// Who asks to be admitted.
+/// Properties of a request that asks for admission.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AdmissionQuery {
-    /// Its rank; 0 goes first.
+    /// Rank of the request; 0 has the highest priority.
     pub rank: u8,
-    /// Whether it was refused before and has waited since.
+    /// Whether the request was refused before and its caller has waited since.
     pub returned: bool,
 }
 
-/// The requests of one entry that wait for their first event at one service, and their limit.
+/// The requests of one entry that wait for their first event at one service, and the current limit
+/// on them.
 #[derive(Debug, Default, Serialize)]
 pub struct AdmissionLimit {
     limit: Option<f64>,
     rows: BTreeMap<FlightId, PendingRow>,
-    /// Most of them in this step.
+    /// Highest number of waiting requests in this step.
     peak: usize,
-    /// First events in this step, and, smoothed, in a second.
-    begun: u32,
+    /// First events in this step, and their smoothed rate per second.
+    #[serde(rename = "begun")]
+    first_events: u32,
     rate: f64,
-    /// The smoothed hoped-for time.
+    /// Smoothed latency target.
     #[serde(rename = "aim")]
     latency_target: Duration,
-    timely: u32,
+    #[serde(rename = "timely")]
+    on_time: u32,
     late: u32,
     refused: u32,
-    calm: u32,
+    #[serde(rename = "calm")]
+    calm_steps: u32,
     step_began: Duration,
 }
 
 impl AdmissionLimit {
-    /// Tells whether one more request may be sent.
+    /// Returns whether one more request may be sent.
     ///
-    /// Its size does not count, so that large ones are refused no more often than small ones.
+    /// The size of the request is not considered, so large requests are refused no more often than
+    /// small ones.
     ///
     /// # Examples
     /// ```
@@ -98,48 +105,49 @@
         let Some(limit) = self.limit else {
             return true;
         };
-        let back = if query.returned { RETURN_PART } else { 0.0 };
-        let part = 1.0 + back - RANK_PART * f64::from(query.rank.min(RANK_LIMIT));
-        let admits = self.rows.is_empty() || (self.rows.len() as f64) < limit * part;
+        let bonus = if query.returned { RETURN_FRACTION } else { 0.0 };
+        let fraction = 1.0 + bonus - RANK_FRACTION * f64::from(query.rank.min(MAX_RANK));
+        let admits = self.rows.is_empty() || (self.rows.len() as f64) < limit * fraction;
         self.refused += u32::from(!admits);
         admits
     }
 
-    /// Tells whether requests wait longer than they should: there is a limit, or one of them has waited for
-    /// half of its hoped-for time.
+    /// Returns whether requests wait for too long: a limit is in effect, or at least one request
+    /// has waited for more than half of its latency target.
     pub fn is_congested(&self, now: Duration) -> bool {
         let waits_long =
             |row: &PendingRow| now.saturating_sub(row.sent_at) > row.latency_target / 2;
         self.limit.is_some() || self.rows.values().any(waits_long)
     }
 
-    /// Returns how many requests wait for their first event, and the limit while there is one; for logs.
+    /// Returns the number of requests that wait for their first event, and the limit if one is in
+    /// effect; for logs.
     pub fn waiting(&self) -> (usize, Option<f64>) {
         (self.rows.len(), self.limit)
     }
 
-    /// Notes a request that was sent.
+    /// Records a request that was sent.
     pub fn note_sent(&mut self, number: FlightId, row: PendingRow) {
         self.end_step(row.sent_at);
-        let weight = if self.latency_target.is_zero() { 1.0 } else { AIM_WEIGHT };
+        let weight = if self.latency_target.is_zero() { 1.0 } else { TARGET_WEIGHT };
         self.latency_target =
             self.latency_target.mul_f64(1.0 - weight) + row.latency_target.mul_f64(weight);
         self.rows.insert(number, row);
         self.peak = self.peak.max(self.rows.len());
     }
 
-    /// Notes a first event.
+    /// Records a first event.
     pub fn note_first_event(&mut self, number: FlightId, now: Duration) {
-        self.begun += u32::from(self.note_done(number, now));
+        self.first_events += u32::from(self.remove_pending(number, now));
     }
 
-    /// Notes the end of a request; after its first event that changes nothing.
+    /// Records the end of a request; has no effect after its first event.
     pub fn note_ended(&mut self, number: FlightId, now: Duration) {
-        self.note_done(number, now);
+        self.remove_pending(number, now);
     }
 
-    /// Takes a request out; false if it had its first event before.
-    fn note_done(&mut self, number: FlightId, now: Duration) -> bool {
+    /// Removes a waiting request; returns false if its first event was recorded before.
+    fn remove_pending(&mut self, number: FlightId, now: Duration) -> bool {
         self.end_step(now);
         let Some(row) = self.rows.remove(&number) else {
             return false;
@@ -147,64 +155,68 @@
         if row.is_late(now) {
             self.late += 1;
         } else {
-            self.timely += 1;
+            self.on_time += 1;
         }
         true
     }
 
-    /// Changes the limit by what the last step brought, once it is over.
+    /// Ends the current step if it has lasted long enough, and adjusts the limit.
     fn end_step(&mut self, now: Duration) {
-        let lasted = now.saturating_sub(self.step_began);
-        if lasted < (self.latency_target / 2).max(STEP_LEAST) {
+        let elapsed = now.saturating_sub(self.step_began);
+        if elapsed < (self.latency_target / 2).max(MIN_STEP) {
             return;
         }
-        if lasted < STEP_LIMIT && self.count_done(now).1 < SAMPLE_LEAST {
+        if elapsed < MAX_STEP && self.count_first_events(now).1 < MIN_SAMPLES {
             return;
         }
         self.smooth_rate(now);
         self.change_limit(now);
         self.step_began = now;
-        (self.peak, self.begun) = (self.rows.len(), 0);
-        (self.timely, self.late, self.refused) = (0, 0, 0);
+        (self.peak, self.first_events) = (self.rows.len(), 0);
+        (self.on_time, self.late, self.refused) = (0, 0, 0);
     }
 
     fn smooth_rate(&mut self, now: Duration) {
         let length = now.saturating_sub(self.step_began).as_secs_f64();
-        let weight = (length / RATE_TIME.as_secs_f64()).min(1.0);
-        self.rate += (f64::from(self.begun) / length.max(f64::MIN_POSITIVE) - self.rate) * weight;
+        let weight = (length / RATE_SMOOTHING.as_secs_f64()).min(1.0);
+        self.rate +=
+            (f64::from(self.first_events) / length.max(f64::MIN_POSITIVE) - self.rate) * weight;
     }
 
     fn change_limit(&mut self, now: Duration) {
-        self.calm = if self.refused > 0 { 0 } else { self.calm + 1 };
-        let target = self.target();
+        self.calm_steps = if self.refused > 0 { 0 } else { self.calm_steps + 1 };
+        let target_limit = self.target_limit();
         self.limit = match self.limit {
-            _ if self.is_late(now) => Some(target),
-            Some(_) if self.calm >= CALM_STEPS => None,
-            Some(limit) if self.peak as f64 >= limit * USED_PART => Some(limit.max(target)),
+            _ if self.is_overloaded(now) => Some(target_limit),
+            Some(_) if self.calm_steps >= MAX_CALM_STEPS => None,
+            Some(limit) if self.peak as f64 >= limit * USED_FRACTION => {
+                Some(limit.max(target_limit))
+            }
             limit => limit,
         };
     }
 
-    /// Tells whether too many first events of this step are late.
-    fn is_late(&self, now: Duration) -> bool {
-        let (late, count) = self.count_done(now);
-        count >= SAMPLE_LEAST && f64::from(late) > f64::from(count) * LATE_LIMIT
+    /// Returns whether too many first events of this step are late.
+    fn is_overloaded(&self, now: Duration) -> bool {
+        let (late, count) = self.count_first_events(now);
+        count >= MIN_SAMPLES && f64::from(late) > f64::from(count) * LATE_LIMIT
     }
 
-    /// Counts the late first events of this step, and all. What waits for too long is among both: it tells
-    /// of the load before its first event does.
-    fn count_done(&self, now: Duration) -> (u32, u32) {
+    /// Returns the number of late first events in this step and the number of all. Requests that
+    /// are overdue count in both: they indicate overload before their first event arrives.
+    fn count_first_events(&self, now: Duration) -> (u32, u32) {
         let waiting = self.rows.values().filter(|row| row.is_late(now)).count();
         let late = self.late + waiting as u32;
-        (late, self.timely + late)
+        (late, self.on_time + late)
     }
 
-    /// Returns how many requests get their first event within the hoped-for time, if the servers go on as
-    /// they do.
+    /// Returns the number of requests that get their first event within the latency target at the
+    /// current rate.
     ///
-    /// They are busy then, and what they begin for this entry is its part of them. Requests that wait for
-    /// a shorter time than this raise the rate, and so the limit.
-    fn target(&self) -> f64 {
-        self.rate * self.latency_target.as_secs_f64() * WAIT_PART
+    /// The servers are busy when this is used, so the rate of first events is this entry's share of
+    /// their capacity. Requests that wait for less than the target raise the rate, and with it the
+    /// limit.
+    fn target_limit(&self) -> f64 {
+        self.rate * self.latency_target.as_secs_f64() * TARGET_FRACTION
     }
 }
--- a/toucanrail/src/attempts.rs
+++ b/toucanrail/src/attempts.rs
@@ -1,8 +1,9 @@
-//! What follows an attempt at a backend server: another one, the server's answer or a refusal.
+//! Decides what follows an attempt at a backend server: another attempt, the server's own failure,
+//! or a failure of the router's.
 //!
-//! The load it answers: servers that fail part of their requests, lose answers or are gone. Two
-//! promises bound it: a request that may run once is never sent again after it may have run, and
-//! "not run" is said only where nothing was sent or every server declined.
+//! Servers may fail some of their requests, lose answers or disappear. Two guarantees limit the
+//! reaction: a request that must run at most once is never sent again after it may have run, and
+//! "not run" is reported only if nothing was sent or every server declined.
 
 use std::time::Duration;
 
@@ -10,65 +11,65 @@
 use crate::codetable;
 use crate::matching::RouteKind;
 
-/// Time that must be left for another attempt to be worth its load on the servers.
-const LEAST_TIME: Duration = Duration::from_millis(30);
+/// Minimum time left for which another attempt is worth the load it puts on the servers.
+const MIN_TIME_LEFT: Duration = Duration::from_millis(30);
 
-/// How one attempt ended.
+/// Outcome of one attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// Nothing of the request reached a server.
+    /// No part of the request reached a server.
     NotSent,
-    /// Nothing was sent, through no fault of the server's.
+    /// Nothing was sent, for a reason that is not a fault of the server.
     Withheld,
-    /// The server says that it did not run the request and never will.
+    /// The server stated that it did not run the request and never will.
     Declined,
     /// The server answered with a failure of its own.
     Failed,
-    /// It was sent, and no whole answer came; nothing was passed on to the caller.
+    /// The request was sent, but no complete answer arrived; nothing was forwarded to the caller.
     Lost,
-    /// Part of a stream was passed on, and the rest did not come.
+    /// Part of a stream was forwarded, and the rest did not arrive.
     Broken,
-    /// The time was over.
+    /// The deadline passed.
     TimedOut,
 }
 
-/// The attempts of one request so far.
+/// Summary of the attempts of one request so far.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AttemptHistory {
-    /// What may be repeated.
+    /// Kind of the route, which decides what may be repeated.
     pub kind: RouteKind,
-    /// Most servers that it may be sent to.
+    /// Maximum number of servers that the request may be sent to.
     pub limit: u32,
-    /// Times it was sent.
+    /// Number of times the request was sent.
     pub sent: u32,
-    /// Whether a server may have run it.
+    /// Whether a server may have run the request.
     pub may_have_run: bool,
-    /// Whether part of the answer was passed on.
+    /// Whether part of the answer was forwarded to the caller.
     pub begun: bool,
 }
 
-/// What comes next.
+/// What follows an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NextStep {
-    /// Another server, if the retry budget allows it.
+    /// Try another server, if the retry budget allows it.
     Retry,
-    /// The server's own failure, as it came.
+    /// Forward the server's own failure unchanged.
     Forward,
-    /// A failure or refusal of the fleet's own.
+    /// Answer with a failure or refusal of the router's own.
     Fail(ResultCode),
-    /// The stream ends visibly cut.
+    /// End the stream so that the caller can see that it is truncated.
     Truncate,
 }
 
 impl AttemptHistory {
-    /// Starts the tally of a request.
+    /// Creates the history of a request that has not been sent yet.
     pub fn new(kind: RouteKind, limit: u32) -> Self {
         Self { kind, limit: limit.max(1), sent: 0, may_have_run: false, begun: false }
     }
 
-    /// Notes how an attempt ended.
-    pub fn record(&mut self, fate: AttemptOutcome) {
-        match fate {
+    /// Records the outcome of an attempt.
+    pub fn record(&mut self, outcome: AttemptOutcome) {
+        match outcome {
             AttemptOutcome::NotSent | AttemptOutcome::Withheld => {}
             AttemptOutcome::Declined => self.sent += 1,
             AttemptOutcome::Failed
@@ -81,42 +82,42 @@
         }
     }
 
-    /// Returns what is known of the run.
+    /// Returns whether the request may have run.
     pub fn run_state(&self) -> RunState {
         if self.may_have_run { RunState::Unknown } else { RunState::NotRun }
     }
 
-    /// Tells whether a further attempt is allowed, whatever the retry budget says.
+    /// Returns whether another attempt is allowed, regardless of the retry budget.
     pub fn may_send(&self, left: Duration) -> bool {
         let repeatable = !self.may_have_run || self.kind.is_repeatable();
-        repeatable && self.sent < self.limit && left > LEAST_TIME
+        repeatable && self.sent < self.limit && left > MIN_TIME_LEFT
     }
 
-    /// Decides what follows an attempt that was noted before.
+    /// Decides what follows an attempt whose outcome was recorded.
     ///
     /// # Examples
     /// ```
     /// use std::time::Duration;
-    /// use toucanrail::attempts::{AttemptOutcome, AttemptHistory, NextStep};
+    /// use toucanrail::attempts::{AttemptHistory, AttemptOutcome, NextStep};
     /// use toucanrail::{codetable, matching::RouteKind};
-    /// let mut tally = AttemptHistory::new(RouteKind::Once, 2);
-    /// tally.record(AttemptOutcome::Lost);
-    /// let step = tally.next_step(AttemptOutcome::Lost, Duration::from_secs(1));
+    /// let mut history = AttemptHistory::new(RouteKind::Once, 2);
+    /// history.record(AttemptOutcome::Lost);
+    /// let step = history.next_step(AttemptOutcome::Lost, Duration::from_secs(1));
     /// assert_eq!(step, NextStep::Fail(codetable::BACKEND_FAILED));
     /// ```
-    pub fn next_step(&self, fate: AttemptOutcome, left: Duration) -> NextStep {
-        if fate != AttemptOutcome::TimedOut && self.may_send(left) {
+    pub fn next_step(&self, outcome: AttemptOutcome, left: Duration) -> NextStep {
+        if outcome != AttemptOutcome::TimedOut && self.may_send(left) {
             return NextStep::Retry;
         }
-        self.final_step(fate)
+        self.final_step(outcome)
     }
 
-    /// Decides what the caller gets where no further attempt is made.
-    pub fn final_step(&self, fate: AttemptOutcome) -> NextStep {
+    /// Decides what the caller gets if no further attempt is made.
+    pub fn final_step(&self, outcome: AttemptOutcome) -> NextStep {
         if self.begun {
             return NextStep::Truncate;
         }
-        match fate {
+        match outcome {
             AttemptOutcome::Failed => NextStep::Forward,
             AttemptOutcome::TimedOut => NextStep::Fail(codetable::SILENT_CONNECTION),
             _ if self.may_have_run => NextStep::Fail(codetable::BACKEND_FAILED),
--- a/toucanrail/src/backends.rs
+++ b/toucanrail/src/backends.rs
@@ -1,7 +1,8 @@
-//! The table of backend servers that an entry reaches directly, and what it has sent to each.
+//! Table of the backend servers that an entry reaches directly, and of its requests at each of
+//! them.
 //!
-//! Servers register themselves in the platform's store. The table keeps what the store said last,
-//! the requests this entry has in flight at each server, and what it knows of its prompt cache.
+//! Servers register themselves in the platform's store. The table keeps their latest entries, this
+//! entry's requests in flight at each server, and what is known of each server's prompt cache.
 
 use std::collections::BTreeMap;
 use std::net::{IpAddr, SocketAddr};
@@ -14,55 +15,56 @@
 use crate::evacuations::EvacuationTable;
 use crate::ids::{DataCentre, ServiceName, Tokens, Version};
 
-/// Id of a backend server, new with most of its starts.
+/// Id of a backend server; most restarts assign a new one.
 pub type BackendId = Arc<str>;
 /// Id of a part of a prompt.
 pub type PartId = u64;
-/// Number of a request in flight, unique in this process.
+/// Number of a request in flight, unique within this process.
 pub type FlightId = u64;
 
-/// Time for which a server whose entry lapsed while the store was away is still used after the
-/// store's return. Live servers are back within about two seconds; one that has left without a word
-/// looks the same and may get no work two seconds after its entry went, so that the way to it and a
-/// request's own preparation must fit in too.
+/// Time for which a server whose entry expired during a store outage is still used after the
+/// store's return. Live servers register again within about two seconds. A server that left without
+/// notice looks the same and must get no work later than two seconds after its entry went missing;
+/// the time until the change is known here and a request's own preparation must fit into these two
+/// seconds too.
 pub const MISSING_GRACE: Duration = Duration::from_millis(1_700);
-/// Time out of rotation after a connection was refused or not opened in time; doubles with each
-/// failure in a row, so that a dead server costs few connection timeouts.
-const DOWN_TIME: Duration = Duration::from_millis(400);
-const DOWN_LIMIT: Duration = Duration::from_secs(4);
-/// Prompt parts remembered a server; bounds the table's memory at about 200 KB a server.
-const PART_LIMIT: usize = 2_048;
-/// Weight of a new time in the smoothed time to an answer.
+/// Time out of rotation after a connection was refused or could not be opened in time. Doubles with
+/// each consecutive failure, so that a dead server costs few connection timeouts.
+const CONNECT_BACKOFF: Duration = Duration::from_millis(400);
+const MAX_CONNECT_BACKOFF: Duration = Duration::from_secs(4);
+/// Prompt parts remembered per server; bounds the table's memory to about 200 KB per server.
+const MAX_PARTS: usize = 2_048;
+/// Smoothing weight of a new latency.
 const LATENCY_WEIGHT: f64 = 0.2;
 
 /// One part of a prompt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PromptPart {
-    /// Its id; equal parts have equal ids.
+    /// Id of the part; equal parts have equal ids.
     pub id: PartId,
-    /// Its tokens.
+    /// Length in tokens.
     pub tokens: Tokens,
 }
 
-/// What a server says of itself in the store.
+/// A server's own entry in the store.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct BackendEntry {
-    /// Its id.
+    /// Id of the server.
     pub id: BackendId,
-    /// Its service.
+    /// Service that the server belongs to.
     pub service: ServiceName,
-    /// Where it listens.
+    /// Address that the server listens on.
     pub address: SocketAddr,
-    /// Its data centre.
+    /// Data centre of the server.
     pub data_centre: DataCentre,
-    /// Requests it runs at once.
+    /// Number of requests that the server runs concurrently.
     pub slots: u64,
-    /// Whether it is leaving.
+    /// Whether the server is shutting down.
     pub draining: bool,
-    /// When it started, in Unix milliseconds; another time under the same id is another process.
+    /// Start time, in Unix milliseconds; a different time under the same id is a different process.
     #[serde(rename = "born")]
     pub started_at: u64,
-    /// How much longer it was cold when it wrote this.
+    /// Remaining time for which the server was cold when it wrote the entry.
     pub cold: Duration,
     /// The store's revision of this entry.
     pub revision: Version,
@@ -71,40 +73,40 @@
 /// One request of this entry at a server.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 pub struct FlightRow {
-    /// When it was sent.
+    /// When the request was sent.
     pub sent_at: Duration,
-    /// Prompt tokens that the server must read.
+    /// Prompt tokens that the server must prefill.
     #[serde(rename = "fresh")]
     pub uncached: Tokens,
-    /// Whether its answer has begun.
+    /// Whether the answer has begun.
     pub begun: bool,
 }
 
 /// One backend server.
 #[derive(Debug, Clone, Serialize)]
 pub struct BackendRow {
-    /// What it says of itself.
+    /// The server's entry in the store.
     pub entry: BackendEntry,
-    /// Requests in flight there.
+    /// This entry's requests in flight at the server.
     pub flights: BTreeMap<FlightId, FlightRow>,
-    /// What its failures led to.
+    /// Failures and ejections of the server.
     pub ejection: EjectionState,
-    /// End of the time in which no connection is tried.
+    /// Time before which no connection is attempted.
     pub down_until: Duration,
     #[serde(rename = "downs")]
     connect_failures: u32,
-    /// End of the time in which it is cold, or may be, and gets nothing without a permit.
+    /// Time until which the server is or may be cold and gets no request without a permit.
     pub cold_until: Duration,
-    /// End of the time in which no permit for it is asked for.
+    /// Time before which no permit for the server is requested.
     #[serde(rename = "permits_until")]
     pub permit_retry_at: Duration,
     /// Smoothed time to an answer, or to a stream's first event, in seconds.
     pub latency: f64,
-    /// When its entry went missing; it may come back.
+    /// When the server's entry went missing, if it did; the entry may come back.
     pub missing_since: Option<Duration>,
-    /// Whether another server has registered at its address since.
+    /// Whether another server has registered at the same address since.
     pub replaced: bool,
-    /// Time of one event of a stream there in a batch of few, as the relay beside it measured.
+    /// Time per stream event in a small batch, as measured by the relay beside the server.
     pub pace: Option<Duration>,
     #[serde(skip)]
     parts: BTreeMap<PartId, Duration>,
@@ -128,7 +130,7 @@
         }
     }
 
-    /// Tells whether new work may go there.
+    /// Returns whether the server may get new work.
     pub fn accepts_work(&self, now: Duration) -> bool {
         !self.entry.draining
             && now >= self.down_until
@@ -136,29 +138,30 @@
             && !self.ejection.is_ejected(now)
     }
 
-    /// Returns the time until a permit for it may be had again; none is needed once it is not cold.
+    /// Returns the time until a permit may be requested again; zero if none is needed because the
+    /// server is not cold.
     pub fn permit_delay(&self, now: Duration) -> Duration {
         if self.is_cold(now) { self.permit_retry_at.saturating_sub(now) } else { Duration::ZERO }
     }
 
-    /// Tells whether it gets nothing without a permit.
+    /// Returns whether the server gets no request without a permit.
     pub fn is_cold(&self, now: Duration) -> bool {
         now < self.cold_until
     }
 
-    /// Tells whether its entry went missing and did not come back in time.
+    /// Returns whether the server's entry went missing and did not come back in time.
     fn is_expired(&self, now: Duration) -> bool {
         self.missing_since.is_some_and(|since| now.saturating_sub(since) > MISSING_GRACE)
     }
 
-    /// Returns how many tokens of a chain of parts the server is known to hold: those up to the first
-    /// part that it is not known to have read.
+    /// Returns the number of tokens in the longest prefix of parts that the server is known to have
+    /// cached.
     pub fn cached_tokens(&self, parts: &[PromptPart]) -> Tokens {
-        let held = parts.iter().take_while(|part| self.parts.contains_key(&part.id));
-        held.map(|part| part.tokens).sum()
+        let cached = parts.iter().take_while(|part| self.parts.contains_key(&part.id));
+        cached.map(|part| part.tokens).sum()
     }
 
-    /// Returns how many prompt tokens the server must read.
+    /// Returns the number of prompt tokens that the server must prefill.
     pub fn uncached_tokens(&self, parts: &[PromptPart], prompt: Tokens) -> Tokens {
         prompt.saturating_sub(self.cached_tokens(parts))
     }
@@ -167,40 +170,40 @@
         for part in parts {
             self.parts.insert(part.id, now);
         }
-        if self.parts.len() > PART_LIMIT {
+        if self.parts.len() > MAX_PARTS {
             let mut times: Vec<Duration> = self.parts.values().copied().collect();
             times.sort_unstable();
-            let middle = times[times.len() / 2];
-            self.parts.retain(|_, at| *at > middle);
+            let median = times[times.len() / 2];
+            self.parts.retain(|_, at| *at > median);
         }
     }
 }
 
-/// All backend servers of an entry.
+/// All backend servers known to an entry.
 #[derive(Debug, Default, Serialize)]
 pub struct BackendTable {
     rows: BTreeMap<BackendId, BackendRow>,
-    /// The data centres that get nothing new.
+    /// Data centres that get no new work.
     pub evacuations: EvacuationTable,
     is_listed: bool,
     next_flight: FlightId,
 }
 
 impl BackendTable {
-    /// Makes an empty table.
+    /// Creates an empty table.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Makes a table without servers, where some data centres may get nothing new.
+    /// Creates a table without servers that respects the given evacuations.
     pub fn with_evacuations(evacuations: EvacuationTable) -> Self {
         Self { evacuations, ..Self::default() }
     }
 
-    /// Takes a server's entry as it now is in the store.
+    /// Inserts or updates a server from its current entry in the store.
     ///
-    /// A server that started again under its id holds and knows nothing of before, so its row
-    /// starts anew.
+    /// A server that restarted under the same id has lost its cache and its requests, so its row is
+    /// replaced.
     pub fn apply_entry(&mut self, entry: BackendEntry) {
         let address = entry.address;
         match self.rows.get_mut(&entry.id) {
@@ -218,24 +221,25 @@
         self.mark_replaced(address);
     }
 
-    /// Marks all servers of an address as replaced but the one that registered there last.
+    /// Marks all servers at an address as replaced except the one that registered last.
     ///
-    /// A server that ended without a word keeps its entry for some seconds, and the one that started in
-    /// its place has an entry of its own. After a power loss of all VMs half of the requests went to
-    /// servers that were no more, which say 421 under another id, and were refused.
+    /// A server that ended without notice keeps its entry for some seconds, while its successor at
+    /// the same address registers an entry of its own. After a power loss of all VMs, half of the
+    /// requests went to addresses of servers that no longer existed; the successors answered them
+    /// with 421 because of the other id, and the requests were refused.
     fn mark_replaced(&mut self, address: SocketAddr) {
-        let here = |row: &&mut BackendRow| row.entry.address == address;
-        let last = self.rows.values_mut().filter(here).map(|row| row.entry.revision).max();
-        for row in self.rows.values_mut().filter(here) {
+        let at_address = |row: &&mut BackendRow| row.entry.address == address;
+        let last = self.rows.values_mut().filter(at_address).map(|row| row.entry.revision).max();
+        for row in self.rows.values_mut().filter(at_address) {
             row.replaced = last.is_some_and(|last| row.entry.revision < last);
         }
     }
 
-    /// Notes that a server's entry is gone from the store.
+    /// Records that a server's entry is missing from the store.
     ///
-    /// After an outage of the store, which returned at `returned`, an entry may be missing although
-    /// its server lives: it is used until [`MISSING_GRACE`] has passed since then. Otherwise the server
-    /// has left or died, and gets no work.
+    /// After an outage of the store that ended at `returned`, the entry of a live server may be
+    /// missing; such a server is used until [`MISSING_GRACE`] has passed. Without an outage, the
+    /// server has left or died and gets no more work.
     pub fn note_missing(&mut self, id: &str, returned: Option<Duration>) {
         match (returned, self.rows.get_mut(id)) {
             (Some(returned), Some(row)) => {
@@ -247,23 +251,23 @@
         }
     }
 
-    /// Drops the servers whose entries did not come back; returns their ids.
+    /// Removes the servers whose entries did not come back in time, and returns their ids.
     pub fn drop_expired(&mut self, now: Duration) -> Vec<BackendId> {
-        let over = self.rows.values().filter(|row| row.is_expired(now));
-        let over: Vec<BackendId> = over.map(|row| Arc::clone(&row.entry.id)).collect();
-        for id in &over {
+        let expired = self.rows.values().filter(|row| row.is_expired(now));
+        let expired: Vec<BackendId> = expired.map(|row| Arc::clone(&row.entry.id)).collect();
+        for id in &expired {
             self.rows.remove(id);
         }
-        over
+        expired
     }
 
-    /// Notes that all servers of the store were taken.
+    /// Records that the servers in the store were listed completely.
     pub fn mark_listed(&mut self) {
         self.is_listed = true;
     }
 
-    /// Tells whether the servers of the store were ever taken whole; an empty table means nothing
-    /// before.
+    /// Returns whether the servers in the store were ever listed completely; before that, an empty
+    /// table means nothing.
     pub fn is_listed(&self) -> bool {
         self.is_listed
     }
@@ -278,17 +282,17 @@
         self.rows.values()
     }
 
-    /// Returns the servers of a service that may take new work and were not tried yet.
+    /// Returns the servers of a service that may get new work and were not tried yet.
     ///
-    /// Where all of them are ejected or down, those are returned that the store still lists as
-    /// ready: a wrong guess must not refuse what a server would serve.
+    /// If all of them are ejected or down, returns those that the store still lists as ready: a
+    /// wrong guess must not refuse a request that a server could serve.
     pub fn eligible<'table>(
         &'table self,
         service: &str,
         tried: &[BackendId],
         now: Duration,
     ) -> Vec<&'table BackendRow> {
-        let rows = self.list_untried(service, tried, now).filter(|row| {
+        let rows = self.untried_servers(service, tried, now).filter(|row| {
             let BackendEntry { id, data_centre, draining, .. } = &row.entry;
             !draining && self.evacuations.accepts_work(data_centre, id, now)
         });
@@ -298,22 +302,23 @@
         if working.is_empty() { rows } else { working }
     }
 
-    /// Returns the servers of a service that prompt parts may be fetched from: those that may take work, and
-    /// those that a moment ago might.
+    /// Returns the servers of a service that prompt parts may be fetched from: those that may get
+    /// work, and those in data centres whose evacuation has just begun.
     pub fn fetch_sources<'table>(
         &'table self,
         service: &str,
         tried: &[BackendId],
         now: Duration,
     ) -> Vec<&'table BackendRow> {
-        let rows = self.list_untried(service, tried, now).filter(|row| {
+        let rows = self.untried_servers(service, tried, now).filter(|row| {
             row.accepts_work(now) && self.evacuations.allows_fetch(&row.entry.data_centre, now)
         });
         rows.collect()
     }
 
-    /// Lists the servers of a service that are still where their entries say, and were not tried yet.
-    fn list_untried<'table>(
+    /// Returns the servers of a service that are still at the addresses in their entries and were
+    /// not tried yet.
+    fn untried_servers<'table>(
         &'table self,
         service: &str,
         tried: &[BackendId],
@@ -327,7 +332,7 @@
         })
     }
 
-    /// Notes a request sent and returns its number.
+    /// Records a request that was sent, and returns its number.
     ///
     /// # Examples
     /// ```
@@ -345,7 +350,7 @@
         self.next_flight
     }
 
-    /// Notes that the answer to a request has begun.
+    /// Records that the answer to a request has begun.
     pub fn note_first_event(&mut self, id: &str, number: FlightId, now: Duration) {
         let Some(row) = self.rows.get_mut(id) else {
             return;
@@ -360,54 +365,57 @@
         }
     }
 
-    /// Takes what relays measured of the servers on their VMs.
+    /// Updates the paces of all servers from the relays' measurements, by VM address.
     pub fn apply_paces(&mut self, paces: &BTreeMap<IpAddr, Duration>) {
         for row in self.rows.values_mut() {
             row.pace = paces.get(&row.entry.address.ip()).copied();
         }
     }
 
-    /// Notes that a request is no longer in flight.
+    /// Records that a request is no longer in flight.
     pub fn note_ended(&mut self, id: &str, number: FlightId) {
         if let Some(row) = self.rows.get_mut(id) {
             row.flights.remove(&number);
         }
     }
 
-    /// Notes a failed attempt.
+    /// Records a failed attempt.
     pub fn note_failure(&mut self, id: &str, now: Duration) {
         if let Some(row) = self.rows.get_mut(id) {
             row.ejection.note_failure(now);
         }
     }
 
-    /// Notes that no connection could be opened.
+    /// Records that no connection could be opened.
     pub fn note_connect_failure(&mut self, id: &str, now: Duration) {
         if let Some(row) = self.rows.get_mut(id) {
-            let time = DOWN_TIME.saturating_mul(1 << row.connect_failures.min(8)).min(DOWN_LIMIT);
+            let time = CONNECT_BACKOFF
+                .saturating_mul(1 << row.connect_failures.min(8))
+                .min(MAX_CONNECT_BACKOFF);
             row.down_until = now + time;
             row.connect_failures += 1;
         }
     }
 
-    /// Notes that a server is cold, or may be, for some time.
+    /// Records that a server is or may be cold for some time.
     pub fn note_cold(&mut self, id: &str, time: Duration, now: Duration) {
         if let Some(row) = self.rows.get_mut(id) {
             row.cold_until = row.cold_until.max(now.max(row.down_until) + time);
         }
     }
 
-    /// Notes that no permit for a cold server is to be had for some time.
+    /// Records that no permit for a cold server is available before `until`.
     pub fn note_permit_denied(&mut self, id: &str, until: Duration) {
         if let Some(row) = self.rows.get_mut(id) {
             row.permit_retry_at = until;
         }
     }
 
-    /// Takes the servers of a data centre back into use.
+    /// Puts the servers of a data centre back into use after its evacuation.
     ///
-    /// They may have been started anew while it was empty, and what they say of it comes by another way: all
-    /// of them count as cold, for the time that `cold_time` tells of their service.
+    /// The servers may have been restarted during the evacuation, and their new entries arrive
+    /// separately. All of them therefore count as cold for the time that `cold_time` returns for
+    /// their service.
     pub fn end_evacuation<ColdTime>(
         &mut self,
         data_centre: &str,
@@ -422,8 +430,8 @@
         }
     }
 
-    /// Notes that a server says by its own answer that it is not the one its entry names, or that
-    /// it is leaving.
+    /// Records that a server declared in an answer that it is leaving, or that it is not the server
+    /// named in its entry.
     pub fn note_leaving(&mut self, id: &str) {
         if let Some(row) = self.rows.get_mut(id) {
             row.entry.draining = true;
--- a/toucanrail/src/boards.rs
+++ b/toucanrail/src/boards.rs
@@ -1,8 +1,9 @@
-//! What a relay knows of one kind of objects in the store, for the entries of its region.
+//! Boards: a relay's copy of all objects of one kind in the store, with their recent changes, for
+//! the entries of its region.
 //!
-//! The load it answers: each waiting watch of the store is a counted call, and each change wakes every
-//! one of them. Some tens of entries that watch for themselves make half of a fleet's calls; one relay
-//! that watches for them makes one a change, whatever the number of entries.
+//! Every waiting watch counts as a call to the store, and each change wakes all of them. With some
+//! tens of entries that each watch the store, these watches are half of a fleet's calls. One relay
+//! that watches for all entries makes one call per change, regardless of their number.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -16,32 +17,34 @@
 use crate::loans;
 use crate::messages::{MirrorChange, MirrorObject, NewsReply};
 
-/// Usual time since the store's last answer from which a board answers nothing: an entry then asks the store
-/// itself, well within the two seconds in which a change must be known. A board's watch waits for less.
+/// Default time since the store's last answer after which a board is stale and returns no objects.
+/// Entries then ask the store themselves, well within the two seconds in which a change must be
+/// known. A board's watch waits for less than this.
 pub const MAX_AGE: Duration = Duration::from_millis(900);
-/// Changes kept for entries that are behind; a release of a large service makes some hundred.
-const CHANGE_LIMIT: usize = 1_024;
-/// Fewest relays of a fleet that uses boards: in a smaller one few entries watch, and a board's short
-/// watches cost as many calls as theirs.
-const RELAY_LEAST: usize = 24;
-/// Boards that entries of one region choose from, each standing in for those before it. Where a part of all
-/// VMs is turned away by the store, one of them is hardly ever without it.
+/// Number of changes kept for entries that lag behind; a release of a large service makes some
+/// hundreds.
+const MAX_CHANGES: usize = 1_024;
+/// Minimum number of relays in a fleet that uses boards. In a smaller one few entries watch the
+/// store, and a board's short watches cost as many calls as theirs.
+const MIN_RELAYS: usize = 24;
+/// Number of boards that entries of one region choose from, each a fallback for those before it. If
+/// the store rejects part of all VMs, it is very unlikely that it rejects all of these.
 const BOARD_COUNT: usize = 4;
-/// What boards are ranked by.
+/// Rendezvous key by which relays are ranked as boards.
 const BOARD_KEY: &str = "board";
-/// Longest time between an entry's own calls to a store that no board hears from; they are spread over the
-/// second half of it.
-const OUTAGE_PAUSE: Duration = Duration::from_secs(2);
+/// Maximum time between an entry's own calls to a store that no board can reach; calls are spread
+/// over the second half of it.
+const MAX_OUTAGE_PAUSE: Duration = Duration::from_secs(2);
 
-/// One kind as a relay last saw it.
+/// The objects of one kind, as last seen by a relay.
 #[derive(Debug, Serialize)]
 pub struct BoardTable {
-    /// Time since the store's last answer from which the table is stale.
+    /// Time since the store's last answer after which the table is stale.
     #[serde(rename = "fresh")]
     max_age: Duration,
     objects: BTreeMap<Arc<str>, MirrorObject>,
     changes: VecDeque<(Version, MirrorChange)>,
-    /// All changes behind this revision are in `changes`.
+    /// `changes` holds all changes after this revision.
     complete_after: Version,
     revision: Version,
     heard_at: Option<Duration>,
@@ -49,12 +52,12 @@
 }
 
 impl BoardTable {
-    /// Makes an empty table, which has no news.
+    /// Creates an empty table, which has no updates.
     pub fn new() -> Self {
         Self::with_max_age(MAX_AGE)
     }
 
-    /// Makes an empty table that is stale some time after the store's last answer.
+    /// Creates an empty table that becomes stale `max_age` after the store's last answer.
     pub fn with_max_age(max_age: Duration) -> Self {
         Self {
             max_age,
@@ -67,12 +70,12 @@
         }
     }
 
-    /// Returns the revision from which a watch goes on; none before the first listing.
+    /// Returns the revision from which the watch continues; `None` before the first listing.
     pub fn revision(&self) -> Option<Version> {
         self.heard_at.map(|_| self.revision)
     }
 
-    /// Takes all objects at a revision of the store.
+    /// Replaces all objects by a listing at a revision of the store.
     pub fn apply_listing(&mut self, objects: Vec<MirrorObject>, revision: Version, now: Duration) {
         let rows = objects.into_iter().map(|object| (Arc::clone(&object.name), object));
         self.objects = rows.collect();
@@ -83,12 +86,12 @@
         self.is_silent = false;
     }
 
-    /// Notes that the store did not answer: the board is stale until it does.
+    /// Records that the store did not answer: the board is stale until it does.
     pub fn note_store_failure(&mut self) {
         self.is_silent = true;
     }
 
-    /// Takes the changes up to a revision of the store.
+    /// Applies the changes up to a revision of the store.
     pub fn apply_changes(&mut self, changes: Vec<MirrorChange>, revision: Version, now: Duration) {
         self.revision = self.revision.max(revision);
         self.heard_at = Some(now);
@@ -102,21 +105,21 @@
             }
             self.changes.push_back((self.revision, change));
         }
-        while self.changes.len() > CHANGE_LIMIT {
+        while self.changes.len() > MAX_CHANGES {
             if let Some((dropped, _)) = self.changes.pop_front() {
                 self.complete_after = dropped;
             }
         }
     }
 
-    /// Tells whether the store's last call had no answer, or it has been silent for too long.
+    /// Returns whether the store's last call failed or its last answer is too old.
     pub fn is_stale(&self, now: Duration) -> bool {
-        let old = self.heard_at.is_none_or(|heard| now.saturating_sub(heard) > self.max_age);
-        old || self.is_silent
+        let expired = self.heard_at.is_none_or(|heard| now.saturating_sub(heard) > self.max_age);
+        expired || self.is_silent
     }
 
-    /// Returns what an entry does not know that has seen all up to `after`; none if there is nothing
-    /// yet, as before the first answer of the store.
+    /// Returns the updates for an entry that has seen everything up to `after`; `None` if there are
+    /// none yet, such as before the store's first answer.
     ///
     /// # Examples
     /// ```
@@ -126,7 +129,10 @@
     /// assert_eq!(table.updates_since(Some(7), Duration::ZERO), None);
     /// table.apply_listing(Vec::new(), 7, Duration::ZERO);
     /// assert_eq!(table.updates_since(Some(7), Duration::ZERO), None);
-    /// assert!(matches!(table.updates_since(None, Duration::ZERO), Some(NewsReply::Listing { .. })));
+    /// assert!(matches!(
+    ///     table.updates_since(None, Duration::ZERO),
+    ///     Some(NewsReply::Listing { .. })
+    /// ));
     /// ```
     pub fn updates_since(&self, after: Option<Version>, now: Duration) -> Option<NewsReply> {
         if self.heard_at.is_none() && !self.is_silent {
@@ -135,7 +141,7 @@
         if self.is_stale(now) {
             return Some(NewsReply::Stale);
         }
-        // Changes that share a revision with the last one dropped may be gone with it.
+        // Changes with the same revision as the last dropped one may have been dropped as well.
         let Some(after) = after.filter(|after| *after >= self.complete_after) else {
             let objects = self.objects.values().cloned().collect();
             return Some(NewsReply::Listing { objects, revision: self.revision });
@@ -145,7 +151,7 @@
         (!changes.is_empty()).then_some(NewsReply::Changes { changes, revision: self.revision })
     }
 
-    /// Returns the answer to one who has waited in vain.
+    /// Returns the reply to an entry that waited without any update.
     pub fn empty_update(&self, after: Version, now: Duration) -> NewsReply {
         if self.is_stale(now) {
             return NewsReply::Stale;
@@ -160,45 +166,45 @@
     }
 }
 
-/// Says when an entry asks the store itself although no board hears from it.
+/// Limits the rate at which an entry asks the store itself while no board can reach it.
 ///
-/// The store may turn the boards' VMs away and serve the entry's, so it has to try; but where the store is
-/// down for all, tens of entries that retry make most of a fleet's calls.
+/// The store may reject the boards' VMs but serve the entry's, so the entry has to try. If the
+/// store is down for all, however, tens of entries that retry make most of a fleet's calls.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub struct OutageBackoff {
     until: Duration,
 }
 
 impl OutageBackoff {
-    /// Tells whether the entry may ask now.
+    /// Returns whether the entry may ask the store now.
     ///
     /// # Examples
     /// ```
     /// use std::time::Duration;
-    /// let mut timer = toucanrail::boards::OutageBackoff::default();
-    /// assert!(timer.may_ask(Duration::ZERO));
-    /// timer.note_failure(Duration::ZERO, 0.5);
-    /// assert!(!timer.may_ask(Duration::from_secs(1)));
-    /// assert!(timer.may_ask(Duration::from_secs(2)));
+    /// let mut backoff = toucanrail::boards::OutageBackoff::default();
+    /// assert!(backoff.may_ask(Duration::ZERO));
+    /// backoff.note_failure(Duration::ZERO, 0.5);
+    /// assert!(!backoff.may_ask(Duration::from_secs(1)));
+    /// assert!(backoff.may_ask(Duration::from_secs(2)));
     /// ```
     pub fn may_ask(&self, now: Duration) -> bool {
         now >= self.until
     }
 
-    /// Notes that the store did not answer; `random` in `0..1` spreads entries.
+    /// Records that the store did not answer; `random` in `0..1` spreads entries.
     pub fn note_failure(&mut self, now: Duration, random: f64) {
-        self.until = now + OUTAGE_PAUSE.mul_f64(0.5 + 0.5 * random);
+        self.until = now + MAX_OUTAGE_PAUSE.mul_f64(0.5 + 0.5 * random);
     }
 }
 
-/// Returns the relays that an entry asks, in its order; none where the fleet is small.
+/// Returns the relays whose boards an entry asks, in order of preference; none in a small fleet.
 ///
 /// # Examples
 /// ```
 /// assert!(toucanrail::boards::pick_boards(&[]).is_empty());
 /// ```
 pub fn pick_boards(relays: &[(RelayName, SocketAddr)]) -> Vec<(RelayName, SocketAddr)> {
-    if relays.len() < RELAY_LEAST {
+    if relays.len() < MIN_RELAYS {
         return Vec::new();
     }
     loans::rank_lenders(relays, BOARD_KEY).into_iter().take(BOARD_COUNT).collect()
--- a/toucanrail/src/coldstarts.rs
+++ b/toucanrail/src/coldstarts.rs
@@ -1,11 +1,12 @@
-//! The rate of requests that a server bears just after its start, shared by all entries.
+//! Permits that limit the request rate at a server that has just started, across all entries.
 //!
-//! The load it answers: many servers that come back at once in the midst of a burst. They look idle, every
-//! entry sends them its next prompts, and they crash. Entries do not know one another; so the relay beside
-//! a cold server hands out permits, and an entry sends nothing there without one.
+//! When many servers restart at once during a burst, they look idle, every entry sends them its
+//! next prompts, and they crash. Entries do not know each other's traffic, so the relay beside a
+//! cold server issues permits, and an entry sends nothing to the server without one.
 //!
-//! Entries that have not heard of the server's start yet go on to send their usual part, and a relay that
-//! was started again does not know what it gave before. [`permit_limit`] leaves room for both.
+//! Entries that have not learned of the server's start yet continue to send their usual share, and
+//! a relay that was restarted does not know which permits it issued before. [`permit_limit`] leaves
+//! room for both.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -15,34 +16,36 @@
 
 use crate::backends::BackendId;
 
-/// Time from the question for a permit in which the request must be sent.
+/// Time after the permit was requested within which the request must be sent.
 pub const PERMIT_VALIDITY: Duration = Duration::from_millis(150);
-/// The span in which arrivals at a cold server are counted.
-const RATE_SPAN: Duration = Duration::from_secs(1);
-/// Part of the arrivals that a cold server bears for which permits are given.
-const PERMIT_PART: f64 = 0.7;
-/// Part of its permits that a relay gives while some of an earlier run may still be in use.
-const START_PART: f64 = 0.4;
+/// Window in which arrivals at a cold server are counted.
+const RATE_WINDOW: Duration = Duration::from_secs(1);
+/// Fraction of a cold server's maximum arrivals for which permits are issued.
+const PERMIT_FRACTION: f64 = 0.7;
+/// Fraction of its permits that a relay issues while permits from before its restart may still be
+/// in use.
+const RESTART_FRACTION: f64 = 0.4;
 
-/// How a service's servers start.
+/// Cold-start properties of a service's servers.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 pub struct ColdRule {
-    /// How long a server is cold after its start.
+    /// Time after its start for which a server is cold.
     pub time: Duration,
-    /// Requests in a second that a cold server is made for.
+    /// Requests per second that a cold server is designed for.
     pub rate: f64,
 }
 
-/// How far above its rate a cold server may be pressed.
+/// Tolerated excess over the rate of a cold server.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ColdSlack {
     /// Multiple of the rate.
     pub factor: f64,
-    /// Requests in a second on top of that.
+    /// Requests per second on top of that.
     pub extra: f64,
 }
 
-/// Returns the permits for one cold server in the time that [`PermitTable`] counts; one at least.
+/// Returns the maximum number of permits for one cold server within [`PermitTable::WINDOW`]; at
+/// least one.
 ///
 /// # Examples
 /// ```
@@ -53,29 +56,29 @@
 /// assert_eq!(coldstarts::permit_limit(rule, slack), 14);
 /// ```
 pub fn permit_limit(rule: ColdRule, slack: ColdSlack) -> usize {
-    let bound = rule.rate * slack.factor + slack.extra;
-    (bound * PERMIT_PART).max(1.0) as usize
+    let max_rate = rule.rate * slack.factor + slack.extra;
+    (max_rate * PERMIT_FRACTION).max(1.0) as usize
 }
 
-/// An entry asks whether it may send one request to a cold server.
+/// An entry's request for a permit to send one request to a cold server.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PermitRequest {
     /// The server.
     pub server: BackendId,
-    /// Permits in the time that is counted.
+    /// Maximum number of permits within [`PermitTable::WINDOW`].
     pub limit: usize,
 }
 
-/// A relay's answer.
+/// A relay's answer to a permit request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PermitReply {
     /// The request may be sent now.
     Given,
-    /// None is to be had for this time.
+    /// No permit is available for this time.
     After(Duration),
 }
 
-/// The permits that one relay gave lately, by server.
+/// Permits that one relay has issued recently, by server.
 #[derive(Debug)]
 pub struct PermitTable {
     started: Duration,
@@ -83,44 +86,46 @@
 }
 
 impl PermitTable {
-    /// Time over which permits are counted. Those that arrive at a server within one second were given in
-    /// the second before the last of them was sent or in the time that a permit is good for.
-    pub const WINDOW: Duration = RATE_SPAN.saturating_add(PERMIT_VALIDITY);
+    /// Time over which permits are counted. The requests that arrive at a server within one second
+    /// were permitted within that second or, before it, within the validity of a permit.
+    pub const WINDOW: Duration = RATE_WINDOW.saturating_add(PERMIT_VALIDITY);
 
-    /// Makes a table at its relay's start.
+    /// Creates the table of a relay that was started at `started`.
     pub fn new(started: Duration) -> Self {
         Self { started, rows: BTreeMap::new() }
     }
 
-    /// Gives a permit if few enough were given before.
+    /// Issues a permit unless the limit is reached.
     ///
-    /// An earlier run of the relay may have given some that this one does not know, so that it gives fewer
-    /// at first.
+    /// Before a restart, the relay may have issued permits that this table does not know of, so
+    /// fewer are issued at first.
     ///
     /// # Examples
     /// ```
     /// use std::{sync::Arc, time::Duration};
-    /// use toucanrail::coldstarts::{PermitRequest, PermitReply, PermitTable};
+    /// use toucanrail::coldstarts::{PermitReply, PermitRequest, PermitTable};
     /// let mut table = PermitTable::new(Duration::ZERO);
-    /// let order = PermitRequest { server: Arc::from("s"), limit: 1 };
+    /// let request = PermitRequest { server: Arc::from("s"), limit: 1 };
     /// let now = Duration::from_secs(2);
-    /// assert_eq!(table.grant(&order, now), PermitReply::Given);
-    /// assert_eq!(table.grant(&order, now), PermitReply::After(PermitTable::WINDOW));
+    /// assert_eq!(table.grant(&request, now), PermitReply::Given);
+    /// assert_eq!(table.grant(&request, now), PermitReply::After(PermitTable::WINDOW));
     /// ```
-    pub fn grant(&mut self, order: &PermitRequest, now: Duration) -> PermitReply {
-        let age = |given: &Duration| now.saturating_sub(*given);
-        self.rows.retain(|_, row| row.back().is_some_and(|given| age(given) < Self::WINDOW));
-        let row = self.rows.entry(Arc::clone(&order.server)).or_default();
-        while row.front().is_some_and(|given| age(given) >= Self::WINDOW) {
+    pub fn grant(&mut self, request: &PermitRequest, now: Duration) -> PermitReply {
+        let age = |issued_at: &Duration| now.saturating_sub(*issued_at);
+        self.rows
+            .retain(|_, row| row.back().is_some_and(|issued_at| age(issued_at) < Self::WINDOW));
+        let row = self.rows.entry(Arc::clone(&request.server)).or_default();
+        while row.front().is_some_and(|issued_at| age(issued_at) >= Self::WINDOW) {
             row.pop_front();
         }
-        let young = age(&self.started) < Self::WINDOW;
-        let part = if young { START_PART } else { 1.0 };
-        if row.len() < (order.limit as f64 * part).ceil() as usize {
+        let recently_started = age(&self.started) < Self::WINDOW;
+        let fraction = if recently_started { RESTART_FRACTION } else { 1.0 };
+        if row.len() < (request.limit as f64 * fraction).ceil() as usize {
             row.push_back(now);
             return PermitReply::Given;
         }
-        let oldest = if young { self.started } else { row.front().copied().unwrap_or(now) };
+        let oldest =
+            if recently_started { self.started } else { row.front().copied().unwrap_or(now) };
         PermitReply::After(Self::WINDOW.saturating_sub(age(&oldest)))
     }
 }
--- a/toucanrail/src/ejections.rs
+++ b/toucanrail/src/ejections.rs
@@ -1,32 +1,32 @@
-//! Ejection of a server that fails, and its gradual return.
+//! Ejection of failing servers, and their gradual return.
 
 use std::time::Duration;
 
 use serde::Serialize;
 
-/// Failures in a row that eject a server.
+/// Consecutive failures that eject a server.
 const FAILURE_LIMIT: u32 = 3;
-/// First time out of rotation; doubles with each ejection in a row.
+/// Duration of the first ejection; doubles with each consecutive ejection.
 const EJECTION_BASE: Duration = Duration::from_secs(2);
-const EJECTION_LIMIT: Duration = Duration::from_secs(30);
-/// Time over which a returning server's share grows back.
-const RETURN_RAMP: Duration = Duration::from_secs(5);
-/// Least share of a server that has just returned.
-const RETURN_SHARE: f64 = 0.05;
+const MAX_EJECTION: Duration = Duration::from_secs(30);
+/// Time over which a returning server's share of the requests is restored.
+const RAMP_TIME: Duration = Duration::from_secs(5);
+/// Minimum share of a server that has just returned.
+const MIN_RAMP_SHARE: f64 = 0.05;
 
-/// What an entry holds against one server.
+/// Failures and ejections of one server, as seen by one entry.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct EjectionState {
-    /// Failures in a row.
+    /// Consecutive failures.
     pub failures: u32,
-    /// Ejections in a row.
+    /// Consecutive ejections.
     pub ejections: u32,
-    /// End of the present ejection.
+    /// End of the current or latest ejection.
     pub until: Duration,
 }
 
 impl EjectionState {
-    /// Notes a failed try; enough in a row eject the server for a while.
+    /// Records a failed attempt; enough consecutive failures eject the server for a while.
     ///
     /// # Examples
     /// ```
@@ -39,28 +39,29 @@
         self.failures += 1;
         if self.failures >= FAILURE_LIMIT {
             let time = EJECTION_BASE.saturating_mul(1 << self.ejections.min(5));
-            self.until = now + time.min(EJECTION_LIMIT);
+            self.until = now + time.min(MAX_EJECTION);
             self.ejections += 1;
             self.failures = 0;
         }
     }
 
-    /// Notes a try that went well.
+    /// Records a successful attempt.
     pub fn note_success(&mut self, now: Duration) {
         self.failures = 0;
-        if now.saturating_sub(self.until) > RETURN_RAMP {
+        if now.saturating_sub(self.until) > RAMP_TIME {
             self.ejections = 0;
         }
     }
 
-    /// Tells whether the server is out of rotation.
+    /// Returns whether the server is out of rotation.
     pub fn is_ejected(&self, now: Duration) -> bool {
         now < self.until
     }
 
-    /// Tells whether a returning server takes this request; its share grows from nearly nothing.
+    /// Returns whether a returning server takes this request, given a `random` number in `0..1`;
+    /// the server's share of the requests grows from nearly nothing.
     pub fn passes_ramp(&self, now: Duration, random: f64) -> bool {
-        let back = now.saturating_sub(self.until).as_secs_f64();
-        self.ejections == 0 || random < (back / RETURN_RAMP.as_secs_f64()).max(RETURN_SHARE)
+        let elapsed = now.saturating_sub(self.until).as_secs_f64();
+        self.ejections == 0 || random < (elapsed / RAMP_TIME.as_secs_f64()).max(MIN_RAMP_SHARE)
     }
 }
--- a/toucanrail/src/members.rs
+++ b/toucanrail/src/members.rs
@@ -1,4 +1,5 @@
-//! Who belongs to the fleet, who reads the platform for whom, and who is gone.
+//! Members of the fleet: which entries watch the platform for the others, which exchange
+//! heartbeats, and which are gone.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -12,14 +13,16 @@
 use crate::messages::VmSnapshot;
 use crate::servers::{NodeEntry, NodeRole};
 
-/// Entries of a data centre that watch the platform's object API for the others.
+/// Number of entries per data centre that watch the platform's object API for the others.
 pub const WATCHER_COUNT: usize = 2;
-/// Peers that each entry sends heartbeats to; in a small fleet, all.
+/// Number of peers to which each entry sends heartbeats; all of them in a small fleet.
 pub const HEARTBEAT_TARGETS: usize = 8;
-/// Silence after which a peer counts as gone, if nothing tells so earlier.
+/// Time without an answer after which a peer counts as gone, unless other evidence shows it
+/// earlier.
 pub const PEER_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Returns the entries of a data centre that watch, by rendezvous rank among those alive.
+/// Returns the entries of a data centre that watch the platform: those with the highest rendezvous
+/// rank among the live ones.
 ///
 /// # Examples
 /// ```
@@ -34,18 +37,18 @@
     ranked.into_iter().take(WATCHER_COUNT).map(Arc::clone).collect()
 }
 
-/// Returns the peers that an entry sends heartbeats to: its successors on a ring of hashes, so
-/// that every entry is watched by as many.
+/// Returns the peers that an entry sends heartbeats to: its successors on a hash ring, so that
+/// every entry is observed by the same number of peers.
 pub fn pick_heartbeat_targets(me: &EntryId, peers: &[EntryId]) -> Vec<EntryId> {
-    let place = |entry: &EntryId| xxh3::xxh3_64(entry.as_bytes());
+    let position = |entry: &EntryId| xxh3::xxh3_64(entry.as_bytes());
     let mut ring: Vec<&EntryId> = peers.iter().filter(|peer| *peer != me).collect();
-    let own = place(me);
-    ring.sort_by_key(|peer| place(peer).wrapping_sub(own));
+    let own = position(me);
+    ring.sort_by_key(|peer| position(peer).wrapping_sub(own));
     ring.into_iter().take(HEARTBEAT_TARGETS).map(Arc::clone).collect()
 }
 
-/// Returns the live entries that send heartbeats to `peer`, nearest on the ring first: those that
-/// can tell that it is gone, in the order in which they act.
+/// Returns the live entries that send heartbeats to `peer` and can detect its failure, nearest on
+/// the ring first; they act in this order.
 ///
 /// # Examples
 /// ```
@@ -56,22 +59,22 @@
 pub fn rank_observers(peer: &EntryId, live: &[EntryId]) -> Vec<EntryId> {
     let mut all = live.to_vec();
     all.push(Arc::clone(peer));
-    let place = |entry: &EntryId| xxh3::xxh3_64(entry.as_bytes());
+    let position = |entry: &EntryId| xxh3::xxh3_64(entry.as_bytes());
     let watches = |entry: &&EntryId| pick_heartbeat_targets(entry, &all).contains(peer);
     let mut observers: Vec<EntryId> = live.iter().filter(watches).map(Arc::clone).collect();
-    observers.sort_by_key(|entry| place(peer).wrapping_sub(place(entry)));
+    observers.sort_by_key(|entry| position(peer).wrapping_sub(position(entry)));
     observers
 }
 
 /// One peer entry.
 #[derive(Debug, Clone, Serialize)]
 pub struct PeerRow {
-    /// Its registration.
+    /// Registration of the peer.
     pub node: NodeEntry,
-    /// When it was last heard of; at first, when it was first known.
+    /// When the peer was last heard from; initially, when it became known.
     pub heard_at: Duration,
-    /// Whether it is provably gone: another incarnation answers at its address, or its VM left
-    /// the list.
+    /// Whether the peer is known to be gone: another incarnation answers at its address, or its VM
+    /// has left the VM list.
     pub gone: bool,
 }
 
@@ -88,12 +91,13 @@
 }
 
 impl MemberTable {
-    /// Makes an empty table.
+    /// Creates an empty table.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes the registrations of entries other than `me`.
+    /// Updates the peers from the registrations of entries other than `me`: adds the new ones and
+    /// removes those no longer registered.
     pub fn apply_nodes<'nodes, Nodes>(&mut self, me: &EntryId, nodes: Nodes, now: Duration)
     where
         Nodes: Iterator<Item = &'nodes NodeEntry>,
@@ -110,8 +114,8 @@
         self.peers.retain(|peer, _| known.contains(peer));
     }
 
-    /// Takes a VM list. A VM is gone only once it was on the list and no longer is: the list
-    /// lags, so that a new VM is missing from it at first.
+    /// Replaces the VM list. A VM is gone only if it was on an earlier list and no longer is: the
+    /// list lags, so a new VM is missing from it at first.
     pub fn apply_vms(&mut self, snapshot: VmSnapshot) {
         let listed: BTreeSet<VmId> = snapshot.vms.keys().map(Arc::clone).collect();
         self.gone_vms = self.seen_vms.difference(&listed).map(Arc::clone).collect();
@@ -122,7 +126,7 @@
         }
     }
 
-    /// Notes who answered at a peer's address.
+    /// Records which entry answered at a peer's address.
     pub fn note_answer(&mut self, peer: &EntryId, answered: &EntryId, now: Duration) {
         if let Some(row) = self.peers.get_mut(peer) {
             if answered == peer {
@@ -133,12 +137,12 @@
         }
     }
 
-    /// Tells whether a VM has left the list.
+    /// Returns whether a VM has left the VM list.
     pub fn is_vm_gone(&self, vm: &VmId) -> bool {
         self.gone_vms.contains(vm)
     }
 
-    /// Returns the VMs that are about to leave.
+    /// Returns the VMs that are leaving or gone.
     pub fn leaving_vms(&self) -> BTreeSet<VmId> {
         let leaving = self.vms.vms.iter().filter(|(_, leaving)| **leaving);
         leaving.map(|(vm, _)| Arc::clone(vm)).chain(self.gone_vms.iter().map(Arc::clone)).collect()
@@ -149,8 +153,8 @@
         self.peers.values()
     }
 
-    /// Chooses the peers to send heartbeats to, with their addresses; a newly chosen one counts as
-    /// heard of now.
+    /// Chooses the peers to send heartbeats to, and returns them with their addresses. A newly
+    /// chosen peer counts as heard from now.
     pub fn update_heartbeat_targets(
         &mut self,
         me: &EntryId,
@@ -171,10 +175,10 @@
         rows.collect()
     }
 
-    /// Returns the peers that are gone, or silent for too long.
+    /// Returns the peers that are gone or have not answered for too long.
     ///
-    /// Only those that this entry sends heartbeats to can be silent: in a larger fleet it never
-    /// hears of the others, which proves nothing.
+    /// Only peers that this entry sends heartbeats to can time out: in a larger fleet it never
+    /// hears from the others, which proves nothing.
     pub fn lost_peers(&self, now: Duration) -> Vec<EntryId> {
         let lost = self.peers.values().filter(|row| row.gone || self.is_silent(row, now));
         lost.map(|row| Arc::clone(&row.node.id)).collect()
@@ -185,7 +189,7 @@
         watched && now.saturating_sub(row.heard_at) > PEER_TIMEOUT
     }
 
-    /// Returns the entries of a data centre that seem alive, `me` included.
+    /// Returns the entries of a data centre that seem alive, including `me`.
     pub fn live_entries(
         &self,
         me: &EntryId,
--- a/toucanrail/src/paces.rs
+++ b/toucanrail/src/paces.rs
@@ -1,9 +1,11 @@
-//! How fast backend servers make tokens, measured beside each from its own load reports.
+//! Pace of backend servers, that is their time per generated token, measured by the relay beside
+//! each server from its load reports.
 //!
-//! The load it answers: servers of one service that differ in speed. A prompt that pauses the streams
-//! beside it for 540 ms at a fast server does so for 700 ms at one that is 1.3 times slower, which
-//! callers no longer bear, and no server tells its speed. An entry of a large fleet sees six streams a
-//! day of a server, and not how many others run beside them; the relay on the server's VM sees all.
+//! The servers of one service may differ in speed, and no server states its own. A prompt whose
+//! prefill pauses the other streams for 540 ms at a fast server pauses them for 700 ms at a server
+//! that is 1.3 times slower, which is more than callers tolerate. An entry of a large fleet sees
+//! only about six streams per day of a server, and not how many others run beside them; the relay
+//! on the server's VM sees all of them.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -13,48 +15,48 @@
 
 use crate::ids::RequestId;
 
-/// Sequences in a batch that are taken to double the time of a step.
-const BATCH_COST: f64 = 30.0;
-/// Fewest events of a run between two reports, times the root of the runs: one event more or less a run
-/// is then some 4 % of all.
-const EVENT_LEAST: f64 = 8.0;
-/// Measurements kept; the middle one counts.
-const SAMPLE_LIMIT: usize = 9;
-/// Fewest measurements that tell a server's pace.
-const SAMPLE_LEAST: usize = 3;
-/// Fewest servers with a known pace that one is compared with.
-const KNOWN_LEAST: usize = 3;
-/// Pace against that of a fast server from which a server counts as slow; measurements of equal servers
-/// lie within a tenth of one another.
-const SLOW_FACTOR: f64 = 1.15;
-/// Most that is made of a pace; behind it stands a pause rather than a speed.
-const FACTOR_LIMIT: f64 = 4.0;
-/// Change of a pace, as a part of it, that is worth telling others.
-const CHANGE_PART: f64 = 0.08;
+/// Batch size that is assumed to double the time of a decoding step.
+const DOUBLING_BATCH: f64 = 30.0;
+/// Minimum number of events per run between two reports, multiplied by the square root of the
+/// number of runs. One event more or less per run then changes the result by about 4 %.
+const MIN_EVENTS: f64 = 8.0;
+/// Number of measurements kept; their median is used.
+const MAX_SAMPLES: usize = 9;
+/// Minimum number of measurements from which a server's pace is known.
+const MIN_SAMPLES: usize = 3;
+/// Minimum number of known paces for a comparison.
+const MIN_KNOWN_PACES: usize = 3;
+/// Slowdown relative to a fast server from which a server counts as slow; measurements of equal
+/// servers differ by up to a tenth.
+const MIN_SLOWDOWN: f64 = 1.15;
+/// Maximum slowdown used; a higher value indicates a pause rather than a slow server.
+const MAX_SLOWDOWN: f64 = 4.0;
+/// Relative change of a pace that is worth reporting to others.
+const MIN_CHANGE: f64 = 0.08;
 
-/// A run, as its server reports it.
+/// Progress of a run, as reported by its server.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunProgress {
-    /// The request.
+    /// Id of the request.
     pub request: RequestId,
-    /// Events of its answer so far; 0 while its prompt is read.
+    /// Events of the answer so far; 0 during prefill.
     pub events: u64,
 }
 
-/// What a server says of its load.
+/// A backend server's report of its load.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BackendReport {
-    /// When the server started, in Unix milliseconds; after another start all counts begin anew.
+    /// Start time of the server, in Unix milliseconds; all counts start again after a restart.
     #[serde(rename = "born")]
     pub started_at: u64,
     /// Requests that have not begun to run.
     pub waiting: u64,
-    /// What runs.
+    /// Requests that run.
     pub runs: Vec<RunProgress>,
 }
 
 impl BackendReport {
-    /// Returns how many prompts are being read, or are about to be.
+    /// Returns the number of prompts that are in prefill or about to be.
     ///
     /// # Examples
     /// ```
@@ -66,23 +68,24 @@
     }
 }
 
-/// Measures one server from its reports.
+/// Measures the pace of one server from its reports.
 ///
-/// Prompts that are read between two tokens lengthen every event beside them, so that only times in
-/// which none was read count. A loaded slow server has few of them; where all times counted, and the
-/// least of them stood for the pace, the busiest slow servers were never told from the fast ones.
+/// A prefill between two tokens delays the events of all other runs, so only intervals without any
+/// prefill are used. A loaded slow server has few of them. When all intervals counted and the
+/// minimum was taken as the pace, the busiest slow servers were never told apart from the fast
+/// ones.
 #[derive(Debug, Default)]
 pub struct PaceMeter {
     started_at: u64,
-    /// The first report of a time in which no prompt was read.
+    /// First report of the current interval without prefill.
     anchor: Option<(Duration, BTreeMap<RequestId, u64>)>,
     samples: VecDeque<Duration>,
-    /// Whether anything ran at the last report.
+    /// Whether anything ran at the latest report.
     is_busy: bool,
 }
 
 impl PaceMeter {
-    /// Takes a report.
+    /// Processes a report.
     pub fn apply_report(&mut self, report: &BackendReport, now: Duration) {
         if report.started_at != self.started_at {
             *self = Self { started_at: report.started_at, ..Self::default() };
@@ -90,22 +93,22 @@
         self.is_busy = !report.runs.is_empty();
         let rows = report.runs.iter().map(|run| (Arc::clone(&run.request), run.events));
         let events: BTreeMap<RequestId, u64> = rows.collect();
-        let Some((then, before)) = &self.anchor else {
+        let Some((since, before)) = &self.anchor else {
             self.anchor = (report.count_prefilling() == 0).then_some((now, events));
             return;
         };
-        let read =
+        let had_prefill =
             report.count_prefilling() > 0 || events.keys().any(|run| !before.contains_key(run));
-        if read {
+        if had_prefill {
             self.anchor = (report.count_prefilling() == 0).then_some((now, events));
-        } else if let Some(step) = measure_step(before, &events, now.saturating_sub(*then)) {
-            self.samples.push_back(step);
-            self.samples.drain(..self.samples.len().saturating_sub(SAMPLE_LIMIT));
+        } else if let Some(sample) = measure_pace(before, &events, now.saturating_sub(*since)) {
+            self.samples.push_back(sample);
+            self.samples.drain(..self.samples.len().saturating_sub(MAX_SAMPLES));
             self.anchor = Some((now, events));
         }
     }
 
-    /// Returns the time of one event in a batch of few; none if too little is known.
+    /// Returns the time per event in a small batch, or `None` if too few measurements exist.
     ///
     /// # Examples
     /// ```
@@ -121,7 +124,7 @@
     /// assert!((19_000..20_000).contains(&pace));
     /// ```
     pub fn pace(&self) -> Option<Duration> {
-        if self.samples.len() < SAMPLE_LEAST {
+        if self.samples.len() < MIN_SAMPLES {
             return None;
         }
         let mut samples: Vec<Duration> = self.samples.iter().copied().collect();
@@ -129,64 +132,65 @@
         Some(samples[samples.len() / 2])
     }
 
-    /// Tells whether reports in quick succession would say more: streams run, and few were measured.
+    /// Returns whether frequent reports would add information: runs are active, and there are few
+    /// measurements.
     pub fn needs_reports(&self) -> bool {
-        self.is_busy && self.samples.len() < SAMPLE_LIMIT
+        self.is_busy && self.samples.len() < MAX_SAMPLES
     }
 }
 
-/// Returns the time of one event in a batch of few, by the runs that lasted; all of a batch make their
-/// events in step.
-fn measure_step(
+/// Returns the time per event in a small batch, averaged over the runs present in both reports; all
+/// runs of a batch produce their events in step.
+fn measure_pace(
     before: &BTreeMap<RequestId, u64>,
     after: &BTreeMap<RequestId, u64>,
     elapsed: Duration,
 ) -> Option<Duration> {
-    let made =
+    let produced =
         after.iter().filter_map(|(run, events)| Some(events.saturating_sub(*before.get(run)?)));
-    let made: u64 = made.sum();
+    let produced: u64 = produced.sum();
     let runs = after.len() as f64;
-    let events = made as f64 / runs;
-    if after.is_empty() || events * runs.sqrt() < EVENT_LEAST {
+    let events = produced as f64 / runs;
+    if after.is_empty() || events * runs.sqrt() < MIN_EVENTS {
         return None;
     }
     let batch = f64::midpoint(before.len() as f64, runs);
-    Some(elapsed.div_f64(events * (1.0 + batch / BATCH_COST)))
+    Some(elapsed.div_f64(events * (1.0 + batch / DOUBLING_BATCH)))
 }
 
-/// Tells whether others should learn of a pace in place of the one that they know.
+/// Returns whether a newly measured pace differs enough from the known one to be reported.
 pub fn is_significant_change(known: Option<Duration>, pace: Option<Duration>) -> bool {
     match (known, pace) {
         (_, None) => false,
         (None, Some(_)) => true,
         (Some(known), Some(pace)) => {
             let change = pace.as_secs_f64() - known.as_secs_f64();
-            change.abs() > known.as_secs_f64() * CHANGE_PART
+            change.abs() > known.as_secs_f64() * MIN_CHANGE
         }
     }
 }
 
-/// How slow servers are against the fast ones among them, in their order; 1 where a server is not
+/// Returns the slowdown of each server relative to the fast servers; 1 for a server that is not
 /// known to be slow.
 ///
 /// # Examples
 /// ```
 /// use std::time::Duration;
 /// let paces = [20, 21, 20, 27].map(|millis| Some(Duration::from_millis(millis)));
-/// let factors = toucanrail::paces::relative_slowdowns(&paces);
-/// assert_eq!(factors[..3], [1.0, 1.0, 1.0]);
-/// assert!(factors[3] > 1.3);
+/// let slowdowns = toucanrail::paces::relative_slowdowns(&paces);
+/// assert_eq!(slowdowns[..3], [1.0, 1.0, 1.0]);
+/// assert!(slowdowns[3] > 1.3);
 /// ```
 pub fn relative_slowdowns(paces: &[Option<Duration>]) -> Vec<f64> {
     let mut known: Vec<Duration> = paces.iter().flatten().copied().collect();
-    if known.len() < KNOWN_LEAST {
+    if known.len() < MIN_KNOWN_PACES {
         return vec![1.0; paces.len()];
     }
     known.sort_unstable();
     let fast = known[known.len() / 4].as_secs_f64().max(f64::MIN_POSITIVE);
-    let factor = |pace: &Option<Duration>| {
-        let factor = pace.map_or(1.0, |pace| pace.as_secs_f64() / fast);
-        if factor < SLOW_FACTOR { 1.0 } else { factor.min(FACTOR_LIMIT) }
+    let slowdown = |pace: &Option<Duration>| {
+        let slowdown = pace.map_or(1.0, |pace| pace.as_secs_f64() / fast);
+        if slowdown < MIN_SLOWDOWN { 1.0 } else { slowdown.min(MAX_SLOWDOWN) }
     };
-    paces.iter().map(factor).collect()
+    paces.iter().map(slowdown).collect()
 }
--- a/toucanrail/src/placement.rs
+++ b/toucanrail/src/placement.rs
@@ -1,7 +1,8 @@
-//! The choice of a backend server for one request, by when its answer is expected to begin.
+//! Choice of the backend server for a request, by the expected time to its first event.
 //!
-//! The load it answers: prompts of unlike size at servers of unlike speed, prompt parts that are cached at
-//! some of them, and other entries that place at the same time without a word.
+//! The cost model covers prompts of different sizes, servers of different speed, prompt parts that
+//! only some servers have cached, and other entries that place requests at the same time without
+//! coordination.
 
 use std::time::Duration;
 
@@ -9,42 +10,46 @@
 use crate::backends::{BackendRow, PromptPart};
 use crate::ids::Tokens;
 
-/// Prompt tokens that an engine is taken to read in a millisecond: the scale of the costs below.
-const READ_RATE: f64 = 56.9;
-/// Cost of one more sequence in a batch, in milliseconds of everybody's first event.
+/// Assumed prefill rate of an engine, in prompt tokens per millisecond; sets the scale of the costs
+/// below.
+const PREFILL_RATE: f64 = 56.9;
+/// Cost of one more sequence in a batch: the delay of every first event there, in milliseconds.
 const SEQUENCE_COST: f64 = 4.0;
-/// Cost of one request at a plain service's server, against its slots, in milliseconds.
-const CALL_COST: f64 = 60.0;
-/// Cost of a server in another data centre, in milliseconds: its bytes are billed.
-const DISTANCE_COST: f64 = 5.0;
-/// Cost of a server that has just started, in milliseconds: it is slow, and each request waits for a permit.
+/// Cost of one request at a server of a plain service, relative to its slots, in milliseconds.
+const PLAIN_REQUEST_COST: f64 = 60.0;
+/// Cost of a server in another data centre, in milliseconds; traffic between data centres is
+/// billed.
+const REMOTE_COST: f64 = 5.0;
+/// Cost of a server that has just started, in milliseconds: it is slow, and each request waits for
+/// a permit.
 const COLD_COST: f64 = 100.0;
-/// Cost of a shared token that one server reads although another holds it, as a multiple of its
-/// reading time. It delays every stream at that server and pushes other parts out of its memory, so a
-/// session moves away from its server only for a wait that would make its answer late.
-const AGAIN_FACTOR: f64 = 6.0;
-/// Cost of shared parts that a server fetches from the one that holds them, in milliseconds: some five
+/// Cost of prefilling a shared token that another server has cached, as a multiple of its prefill
+/// time. It delays every stream at the server and evicts other parts from its cache, so a session
+/// leaves its server only if waiting there would make the answer late.
+const RECOMPUTE_FACTOR: f64 = 6.0;
+/// Cost of fetching shared parts from the server that has them cached, in milliseconds: about five
 /// for the transfer, the rest for its price.
 const FETCH_COST: f64 = 60.0;
-/// Least tokens of shared parts that are fetched; fewer are read as fast.
-const FETCH_LEAST: Tokens = 1_024;
+/// Minimum number of shared tokens that are fetched; prefilling fewer is as fast.
+const MIN_FETCH: Tokens = 1_024;
 
-/// What the choice depends on besides the servers.
+/// Properties of the request and its entry on which the choice depends.
 #[derive(Debug, Clone, Copy)]
 pub struct PlacementQuery<'request> {
     /// Data centre of this entry.
     pub data_centre: &'request str,
-    /// The prompt's parts in order, the request's own last; empty for a plain service.
+    /// Parts of the prompt in order, the request's own part last; empty for a plain service.
     pub parts: &'request [PromptPart],
-    /// All prompt tokens; 0 for a plain service.
+    /// Number of prompt tokens; 0 for a plain service.
     pub prompt: Tokens,
-    /// Time, since the process's start.
+    /// Time since the start of the process.
     pub now: Duration,
-    /// A draw in `0..1`, for a server that returns after failures.
+    /// Random number in `0..1` that decides whether a server returning from an ejection is
+    /// considered.
     pub random: f64,
 }
 
-/// Picks the server with the least expected cost.
+/// Picks the server with the lowest expected cost.
 ///
 /// # Examples
 /// ```
@@ -62,26 +67,28 @@
     let ramped: Vec<&BackendRow> = ramped.copied().collect();
     let rows = if ramped.is_empty() { eligible } else { &ramped };
     let costs = estimate_costs(rows, query);
-    let best = rows.iter().zip(costs).min_by(|(_, one), (_, other)| one.total_cmp(other));
+    let best = rows.iter().zip(costs).min_by(|(_, cost), (_, other)| cost.total_cmp(other));
     best.map(|(best, _)| *best)
 }
 
-/// Returns the expected cost of each of some servers, in their order: the time to the first event with what
-/// placing there costs others, in milliseconds.
+/// Returns the expected cost of each server, in the order of `rows`: the time to the first event
+/// plus the cost to other requests, in milliseconds.
 pub(crate) fn estimate_costs(rows: &[&BackendRow], query: &PlacementQuery<'_>) -> Vec<f64> {
     let rows = affinity::with_slowdowns(rows);
-    let first = session_key(query).and_then(|key| affinity::pick_preferred(&rows, key));
-    let is_first =
-        |one: &SpeedRow<'_>| first.is_some_and(|first| first.row.entry.id == one.row.entry.id);
-    rows.iter().map(|one| estimate_cost(one, query, is_first(one))).collect()
+    let preferred = session_key(query).and_then(|key| affinity::pick_preferred(&rows, key));
+    let is_preferred = |server: &SpeedRow<'_>| {
+        preferred.is_some_and(|preferred| preferred.row.entry.id == server.row.entry.id)
+    };
+    rows.iter().map(|server| estimate_cost(server, query, is_preferred(server))).collect()
 }
 
-/// Returns the server from which `target` may fetch shared parts of the prompt; none where no other is
-/// known to hold more of them.
+/// Returns the server from which `target` may fetch shared parts of the prompt, or `None` if no
+/// other server is known to have more of them cached.
 ///
-/// A session's prompts go to one server, so that it holds the session's part. What is placed elsewhere
-/// would have it read a second time, while every stream beside it pauses. The same holds for the parts
-/// that many sessions share, and for a session whose first server is another one now.
+/// The prompts of a session go to one server, which therefore has the session's shared part cached.
+/// A prompt of the session that is placed elsewhere would be prefilled a second time while all
+/// streams at that server pause. The same applies to parts shared by many sessions, and to a
+/// session whose preferred server has changed.
 pub fn pick_fetch_source<'rows>(
     eligible: &[&'rows BackendRow],
     query: &PlacementQuery<'_>,
@@ -89,64 +96,64 @@
 ) -> Option<&'rows BackendRow> {
     let key = session_key(query)?;
     let shared = query.prompt.saturating_sub(own_tokens(query));
-    if shared < FETCH_LEAST {
+    if shared < MIN_FETCH {
         return None;
     }
-    let held = |row: &BackendRow| row.cached_tokens(query.parts).min(shared);
+    let cached = |row: &BackendRow| row.cached_tokens(query.parts).min(shared);
     let working: Vec<&BackendRow> =
         eligible.iter().copied().filter(|row| row.accepts_work(query.now)).collect();
-    let first =
-        affinity::pick_preferred(&affinity::with_slowdowns(&working), key).map(|first| first.row);
-    let is_first = |row: &BackendRow| first.is_some_and(|first| first.entry.id == row.entry.id);
+    let preferred = affinity::pick_preferred(&affinity::with_slowdowns(&working), key)
+        .map(|preferred| preferred.row);
+    let is_preferred =
+        |row: &BackendRow| preferred.is_some_and(|preferred| preferred.entry.id == row.entry.id);
     let others = working.into_iter().filter(|row| row.entry.id != target.entry.id);
-    // The other entries send the shared parts to their first server too, so it holds them.
-    let expected = |row: &BackendRow| if is_first(row) { shared } else { held(row) };
+    // The other entries send the shared parts to their preferred server too, so it has them cached.
+    let expected = |row: &BackendRow| if is_preferred(row) { shared } else { cached(row) };
     let source = others.max_by_key(|row| expected(row))?;
-    (expected(source) >= held(target) + FETCH_LEAST).then_some(source)
+    (expected(source) >= cached(target) + MIN_FETCH).then_some(source)
 }
 
-/// Returns the time in which an engine is taken to read some tokens, in milliseconds.
+/// Returns the assumed time for the prefill of some tokens, in milliseconds.
 pub(crate) fn prefill_time(tokens: Tokens) -> f64 {
-    tokens as f64 / READ_RATE
+    tokens as f64 / PREFILL_RATE
 }
 
-/// Returns the prompt's tokens behind its shared parts, which no server has read.
+/// Returns the prompt's tokens after its shared parts, which no server has cached.
 fn own_tokens(query: &PlacementQuery<'_>) -> Tokens {
     let shared = query.parts.split_last().map_or(&[][..], |(_, shared)| shared);
     query.prompt.saturating_sub(shared.iter().map(|part| part.tokens).sum())
 }
 
-/// Returns what a session's first server is ranked by: its last shared part.
+/// Returns the key that determines a session's preferred server: the id of its last shared part.
 fn session_key(query: &PlacementQuery<'_>) -> Option<u64> {
     let shared = query.parts.len().checked_sub(2)?;
     query.parts.get(shared).map(|part| part.id)
 }
 
-/// Returns the expected time to the first event, in milliseconds, with what placing there costs
-/// others.
-fn estimate_cost(speed: &SpeedRow<'_>, query: &PlacementQuery<'_>, is_first: bool) -> f64 {
+/// Returns the expected time to the first event plus the cost to other requests, in milliseconds.
+fn estimate_cost(speed: &SpeedRow<'_>, query: &PlacementQuery<'_>, is_preferred: bool) -> f64 {
     let row = speed.row;
-    let own = row.flights.len() as f64;
-    let far = *row.entry.data_centre != *query.data_centre;
-    let distance = if far { DISTANCE_COST } else { 0.0 };
+    let in_flight = row.flights.len() as f64;
+    let is_remote = *row.entry.data_centre != *query.data_centre;
+    let base = if is_remote { REMOTE_COST } else { 0.0 };
     let cold = if row.is_cold(query.now) { COLD_COST } else { 0.0 };
     let permit = row.permit_delay(query.now).as_secs_f64() * 1_000.0;
-    let distance = distance + cold + permit;
+    let base = base + cold + permit;
     if query.prompt == 0 {
         let slots = row.entry.slots.max(1) as f64;
-        return distance + own / slots * CALL_COST + row.latency * 1_000.0 * 0.1;
+        return base + in_flight / slots * PLAIN_REQUEST_COST + row.latency * 1_000.0 * 0.1;
     }
-    let own_part = own_tokens(query) as f64;
-    // The other entries send the shared parts to their first server too, so it holds them.
-    let missing = row.uncached_tokens(query.parts, query.prompt) as f64 - own_part;
-    let again = if is_first { 0.0 } else { missing.max(0.0) };
-    let fetches = again >= FETCH_LEAST as f64;
-    let (again, fetch) = if fetches { (0.0, FETCH_COST) } else { (again, 0.0) };
-    let uncached = own_part + again * (1.0 + AGAIN_FACTOR);
+    let own = own_tokens(query) as f64;
+    // The other entries send the shared parts to their preferred server too, so it has them cached.
+    let missing = row.uncached_tokens(query.parts, query.prompt) as f64 - own;
+    let recomputed = if is_preferred { 0.0 } else { missing.max(0.0) };
+    let fetches = recomputed >= MIN_FETCH as f64;
+    let (recomputed, fetch) = if fetches { (0.0, FETCH_COST) } else { (recomputed, 0.0) };
+    let uncached = own + recomputed * (1.0 + RECOMPUTE_FACTOR);
     let waiting = row.flights.values().filter(|flight| !flight.begun);
     let backlog: f64 = waiting.map(|flight| flight.uncached as f64).sum();
-    let full = (own + 1.0) / row.entry.slots.max(1) as f64;
-    let crowd = if full > 1.0 { (full - 1.0) * 2_000.0 } else { 0.0 };
-    let reading = (uncached + backlog) / READ_RATE + own * SEQUENCE_COST;
-    distance + fetch + reading * speed.slowdown + crowd
+    let occupancy = (in_flight + 1.0) / row.entry.slots.max(1) as f64;
+    let overload = if occupancy > 1.0 { (occupancy - 1.0) * 2_000.0 } else { 0.0 };
+    let prefill = (uncached + backlog) / PREFILL_RATE + in_flight * SEQUENCE_COST;
+    base + fetch + prefill * speed.slowdown + overload
 }
--- a/toucanrail/src/probes.rs
+++ b/toucanrail/src/probes.rs
@@ -1,9 +1,9 @@
-//! The choice among a few servers whose load was just asked for.
+//! Choice among a few servers whose load was requested just before.
 //!
-//! The load it answers: servers whose places are nearly all taken, and many entries that each send them few of
-//! their requests. A request then waits for seconds in the queue of one server while another has places free,
-//! and its entry cannot know. The relays beside the servers do. The same holds at any load for long prompts:
-//! while one is read, all streams of its server pause, and a second one there begins late.
+//! When nearly all slots are taken and many entries each send a few requests, a request may wait
+//! for seconds in the queue of one server while another has free slots. Its entry cannot know that,
+//! but the relays beside the servers do. Long prompts have the same problem at any load: during the
+//! prefill of one, all streams of its server pause, and a second long prompt there begins late.
 
 use std::time::Duration;
 
@@ -14,35 +14,37 @@
 use crate::paces::BackendReport;
 use crate::placement::{self, PlacementQuery};
 
-/// Servers that are asked besides the one that would be chosen unasked.
+/// Number of random servers to probe besides the one that would be chosen without probes.
 pub const PROBE_SAMPLES: usize = 4;
-/// Hoped-for times for which a request is taken to run: a server with many places frees one of them sooner.
-const RUN_AIMS: f64 = 4.0;
-/// Part of the reports without a free place from which servers are asked before each request.
-const SCARCE_PART: f64 = 0.1;
-/// Part of the requests before which servers are asked while places are not known to be scarce.
-const LOOK_PART: f64 = 0.06;
-/// Tokens of a prompt from which servers are asked before it is placed: all streams beside it pause while it
-/// is read.
+/// Assumed run time of a request, as a multiple of the latency target; a server with many slots
+/// frees one of them sooner.
+const RUN_TIME_TARGETS: f64 = 4.0;
+/// Fraction of reports without a free slot above which servers are probed before each request.
+const SCARCE_FRACTION: f64 = 0.1;
+/// Fraction of requests before which servers are probed while slots are not known to be scarce.
+const EXPLORE_FRACTION: f64 = 0.06;
+/// Prompt length in tokens from which servers are probed before each placement: its prefill pauses
+/// all streams of the server.
 const LONG_PROMPT: Tokens = 16_384;
-/// Costs of one stream beside a long prompt, and of one prompt that is read before it, as parts of its reading
-/// time.
-const STREAM_PART: f64 = 0.02;
-const QUEUED_PART: f64 = 0.15;
-/// Weight of a new report.
+/// Costs of one running stream at the server of a long prompt, and of one prompt that is prefilled
+/// before it, as fractions of its own prefill time.
+const STREAM_FRACTION: f64 = 0.02;
+const QUEUED_FRACTION: f64 = 0.15;
+/// Smoothing weight of a new report.
 const REPORT_WEIGHT: f64 = 0.1;
 
-/// How scarce free places are at the servers of one service, by the reports so far.
+/// Scarcity of free slots at the servers of one service, estimated from their reports.
 ///
-/// Where servers have places free, a probe tells nothing and delays the request.
+/// While servers have free slots, a probe adds no information and delays the request.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Serialize)]
 pub struct SlotGauge {
-    /// Smoothed part of the reports without a free place.
+    /// Smoothed fraction of reports without a free slot.
     full: f64,
 }
 
 impl SlotGauge {
-    /// Tells whether servers are to be asked before a request; `random` in `0..1` picks the looks.
+    /// Returns whether servers should be probed before a request; `random` in `0..1` selects the
+    /// requests that probe while slots are free.
     ///
     /// # Examples
     /// ```
@@ -50,28 +52,28 @@
     /// assert!(gauge.should_probe(0.0) && !gauge.should_probe(0.5));
     /// ```
     pub fn should_probe(&self, random: f64) -> bool {
-        self.full > SCARCE_PART || random < LOOK_PART
+        self.full > SCARCE_FRACTION || random < EXPLORE_FRACTION
     }
 
-    /// Takes what servers reported.
+    /// Updates the gauge from the reports of probed servers.
     pub fn record_reports(&mut self, probed: &[ProbeRow]) {
         for (entry, report) in probed {
             let Some(report) = report else {
                 continue;
             };
-            let is_full = count_over(entry, report) > 0;
+            let is_full = count_ahead(entry, report) > 0;
             self.full += (f64::from(u8::from(is_full)) - self.full) * REPORT_WEIGHT;
         }
     }
 }
 
-/// Returns how many requests must end at a server before another one begins.
-fn count_over(entry: &BackendEntry, report: &BackendReport) -> u64 {
+/// Returns the number of requests that must end at a server before another one can begin.
+fn count_ahead(entry: &BackendEntry, report: &BackendReport) -> u64 {
     let taken = report.runs.len() as u64 + report.waiting;
     (taken + 1).saturating_sub(entry.slots)
 }
 
-/// Tells whether a prompt is so long that servers are to be asked before it is placed, wherever that is.
+/// Returns whether a prompt is so long that servers are always probed before it is placed.
 ///
 /// # Examples
 /// ```
@@ -81,11 +83,11 @@
     prompt >= LONG_PROMPT
 }
 
-/// A server that was asked for its load; without a report where it, or its relay, did not answer.
+/// A probed server, with its report if the server and its relay answered.
 pub type ProbeRow = (BackendEntry, Option<BackendReport>);
 
-/// Returns the servers to ask: the one that is expected to be the best, and some that are drawn by `random`,
-/// each in `0..1`.
+/// Returns the servers to probe: the one with the lowest expected cost, and one more for each
+/// number of `random` in `0..1`.
 ///
 /// # Examples
 /// ```
@@ -110,18 +112,18 @@
         let Some(last) = others.len().checked_sub(1) else {
             break;
         };
-        let at = ((others.len() as f64 * *draw) as usize).min(last);
-        candidates.push(others.swap_remove(at).entry.clone());
+        let index = ((others.len() as f64 * *draw) as usize).min(last);
+        candidates.push(others.swap_remove(index).entry.clone());
     }
     candidates
 }
 
-/// Picks the server with the least expected cost among those that were asked, by what they report of their
-/// load: the requests that must end before another one begins cost the time in which so many places come
-/// free. A server without a report counts as one with free places.
+/// Picks the probed server with the lowest expected cost. The requests that must end at a server
+/// before another one begins add the time until as many slots are free. A server without a report
+/// is assumed to have free slots.
 ///
-/// What this entry has sent while they were asked is known from `eligible`; none is returned if all of them
-/// have left meanwhile.
+/// Requests that this entry sent during the probes are included through `eligible`. Returns `None`
+/// if none of the probed servers is eligible any more.
 ///
 /// # Examples
 /// ```
@@ -136,39 +138,40 @@
     eligible: &[&'rows BackendRow],
     query: &PlacementQuery<'_>,
     probed: &[ProbeRow],
-    aim: Duration,
+    latency_target: Duration,
 ) -> Option<&'rows BackendRow> {
     if probed.is_empty() {
         return None;
     }
     let costs = placement::estimate_costs(eligible, query);
-    let asked = eligible.iter().zip(costs).filter_map(|(row, cost)| {
+    let probed_rows = eligible.iter().zip(costs).filter_map(|(row, cost)| {
         let (_, report) = probed.iter().find(|(entry, _)| entry.id == row.entry.id)?;
         let report = report.as_ref();
-        let wait = report.map_or(0.0, |report| estimate_wait(&row.entry, report, aim));
-        let harm = report.map_or(0.0, |report| estimate_harm(report, query.prompt));
-        Some((*row, cost + wait + harm))
+        let wait = report.map_or(0.0, |report| estimate_wait(&row.entry, report, latency_target));
+        let interference = report.map_or(0.0, |report| estimate_interference(report, query.prompt));
+        Some((*row, cost + wait + interference))
     });
-    let best = asked.min_by(|(_, one), (_, other)| one.total_cmp(other));
+    let best = probed_rows.min_by(|(_, cost), (_, other)| cost.total_cmp(other));
     best.map(|(row, _)| row)
 }
 
-/// Returns what a long prompt costs the streams beside it, and what the prompts before it cost, in milliseconds.
-fn estimate_harm(report: &BackendReport, prompt: Tokens) -> f64 {
+/// Returns the cost of a long prompt to the streams of its server, and the cost of the prompts
+/// before it, in milliseconds.
+fn estimate_interference(report: &BackendReport, prompt: Tokens) -> f64 {
     if !is_long(prompt) {
         return 0.0;
     }
-    let reading = report.count_prefilling() as f64;
+    let prefilling = report.count_prefilling() as f64;
     let streams = report.runs.iter().filter(|run| run.events > 0).count() as f64;
-    placement::prefill_time(prompt) * (STREAM_PART * streams + QUEUED_PART * reading)
+    placement::prefill_time(prompt) * (STREAM_FRACTION * streams + QUEUED_FRACTION * prefilling)
 }
 
-/// Returns the expected wait for a place at a server, in milliseconds.
+/// Returns the expected wait for a free slot at a server, in milliseconds.
 ///
-/// Prompts that are being read count for nothing: where places are free, a session that moves away from
-/// its server is read twice, which costs more than the wait.
-fn estimate_wait(entry: &BackendEntry, report: &BackendReport, aim: Duration) -> f64 {
-    let over = count_over(entry, report);
-    let run = aim.mul_f64(RUN_AIMS * 1_000.0).as_secs_f64();
-    run * over as f64 / entry.slots.max(1) as f64
+/// Prompts in prefill are ignored: while slots are free, a session that leaves its server is
+/// prefilled twice, which costs more than the wait.
+fn estimate_wait(entry: &BackendEntry, report: &BackendReport, latency_target: Duration) -> f64 {
+    let ahead = count_ahead(entry, report);
+    let run = latency_target.mul_f64(RUN_TIME_TARGETS * 1_000.0).as_secs_f64();
+    run * ahead as f64 / entry.slots.max(1) as f64
 }
--- a/toucanrail/src/retries.rs
+++ b/toucanrail/src/retries.rs
@@ -5,22 +5,23 @@
 
 use serde::Serialize;
 
-/// Retries that every fresh request allows.
+/// Retries allowed per original request.
 const RETRY_SHARE: f64 = 0.1;
-/// Retries in a window that need no fresh requests; lets a quiet process ride out the loss of one server.
+/// Retries per window that require no original requests, so that a process with little traffic
+/// survives the loss of one server.
 const RETRY_RESERVE: f64 = 10.0;
 const RETRY_WINDOW: Duration = Duration::from_secs(10);
-/// Steps in which a window slides.
-const WINDOW_STEPS: u32 = 10;
+/// Number of buckets in a window.
+const WINDOW_BUCKETS: u32 = 10;
 const BACKOFF_BASE: Duration = Duration::from_millis(10);
 const BACKOFF_LIMIT: Duration = Duration::from_millis(500);
 
-/// The bounds of a retry budget.
+/// Limits of a retry budget.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 pub struct RetryBounds {
-    /// Retries that every fresh request of the last window allows.
+    /// Retries allowed per original request of the latest window.
     pub share: f64,
-    /// Retries in a window on top of that.
+    /// Additional retries per window.
     pub reserve: f64,
     /// Length of the window.
     pub window: Duration,
@@ -32,56 +33,59 @@
     }
 }
 
-/// What happened in one step of the window.
+/// Counts in one bucket of the window.
 #[derive(Debug, Clone, Copy, Default, Serialize)]
 struct WindowBucket {
     number: u64,
-    fresh: u32,
+    #[serde(rename = "fresh")]
+    requests: u32,
     spent: u32,
 }
 
-/// Bounds retries to a share of fresh traffic, so that a failing service is not hit harder for
-/// failing.
+/// Limits retries to a share of the original requests, so that a failing service does not get more
+/// load because it fails.
 ///
-/// Failures come in groups. A bucket that holds no more than the reserve wastes what a calm second
-/// earned and refused half of the retries at an entry whose part of the fleet's reserve was 1.7; all of
-/// the last window counts here, so that the same load had each failed lookup sent again.
+/// Failures come in groups. A token bucket that holds no more than the reserve discards what a
+/// quiet second has earned; at an entry whose part of the fleet's reserve was 1.7, it refused half
+/// of the retries. This budget counts the whole latest window, and under the same load every failed
+/// lookup was retried.
 #[derive(Debug, Clone, Serialize)]
 pub struct RetryBudget {
     bounds: RetryBounds,
-    /// The steps of the last window and one more, oldest first.
-    steps: VecDeque<WindowBucket>,
-    /// Retries refused for want of budget.
+    /// Buckets of the latest window and one more, oldest first.
+    #[serde(rename = "steps")]
+    buckets: VecDeque<WindowBucket>,
+    /// Retries refused because the budget was exhausted.
     pub refused: u64,
 }
 
 impl RetryBudget {
-    /// Makes a budget of the usual size.
+    /// Creates a budget with the default limits.
     pub fn new() -> Self {
         Self::with_bounds(RetryBounds::default())
     }
 
-    /// Makes a budget.
+    /// Creates a budget.
     ///
-    /// In no window are more retries spent than the reserve and the share of the fresh requests of the
-    /// window that ends with the last retry. So processes that divide a reserve keep a bound on their
-    /// sum without telling one another: their windows end at different times, and all of them lie
-    /// within two of the fleet's.
+    /// In every window, the retries are limited to the reserve plus the share of the original
+    /// requests in the window that ends with the last retry. Processes that divide a reserve among
+    /// themselves thus keep a bound on their total without coordination: their windows end at
+    /// different times, and all of them lie within two windows of the fleet.
     pub fn with_bounds(bounds: RetryBounds) -> Self {
-        Self { bounds, steps: VecDeque::new(), refused: 0 }
+        Self { bounds, buckets: VecDeque::new(), refused: 0 }
     }
 
-    /// Takes new bounds; what happened in the window still counts.
+    /// Replaces the limits; requests and retries already counted in the window are kept.
     pub fn set_bounds(&mut self, bounds: RetryBounds) {
         self.bounds = bounds;
     }
 
-    /// Notes a fresh request.
+    /// Records an original request.
     pub fn note_request(&mut self, now: Duration) {
-        self.step_at(now).fresh += 1;
+        self.bucket_at(now).requests += 1;
     }
 
-    /// Takes one retry out of the budget, if there is one.
+    /// Spends one retry of the budget; returns false if none is left.
     ///
     /// # Examples
     /// ```
@@ -95,11 +99,11 @@
             self.refused += 1;
             return false;
         }
-        self.step_at(now).spent += 1;
+        self.bucket_at(now).spent += 1;
         true
     }
 
-    /// Tells whether a retry would be allowed now.
+    /// Returns whether a retry would be allowed now.
     ///
     /// # Examples
     /// ```
@@ -110,26 +114,29 @@
     /// assert!(!budget.may_spend(Duration::ZERO));
     /// ```
     pub fn may_spend(&mut self, now: Duration) -> bool {
-        let current = self.step_at(now).number;
+        let current = self.bucket_at(now).number;
         let RetryBounds { share, reserve, .. } = self.bounds;
-        // A step that lies half outside counts for what was spent, and not for what allows more.
-        let recent =
-            self.steps.iter().filter(|step| step.number + u64::from(WINDOW_STEPS) > current);
-        let fresh: u32 = recent.map(|step| step.fresh).sum();
-        let spent: u32 = self.steps.iter().map(|step| step.spent).sum();
-        f64::from(spent + 1) <= reserve + share * f64::from(fresh)
+        // A bucket that is only partly inside the window counts for its retries, but not for its
+        // original requests.
+        let recent = self
+            .buckets
+            .iter()
+            .filter(|bucket| bucket.number + u64::from(WINDOW_BUCKETS) > current);
+        let requests: u32 = recent.map(|bucket| bucket.requests).sum();
+        let spent: u32 = self.buckets.iter().map(|bucket| bucket.spent).sum();
+        f64::from(spent + 1) <= reserve + share * f64::from(requests)
     }
 
-    /// Returns the step of a moment, and forgets those that no window with it reaches.
-    fn step_at(&mut self, now: Duration) -> &mut WindowBucket {
-        let length = (self.bounds.window / WINDOW_STEPS).max(Duration::from_millis(1));
+    /// Returns the bucket of a time, and drops those that are outside every window containing it.
+    fn bucket_at(&mut self, now: Duration) -> &mut WindowBucket {
+        let length = (self.bounds.window / WINDOW_BUCKETS).max(Duration::from_millis(1));
         let number = (now.as_millis() / length.as_millis()) as u64;
-        self.steps.retain(|step| step.number + u64::from(WINDOW_STEPS) >= number);
-        if self.steps.back().is_none_or(|step| step.number < number) {
-            self.steps.push_back(WindowBucket { number, ..WindowBucket::default() });
+        self.buckets.retain(|bucket| bucket.number + u64::from(WINDOW_BUCKETS) >= number);
+        if self.buckets.back().is_none_or(|bucket| bucket.number < number) {
+            self.buckets.push_back(WindowBucket { number, ..WindowBucket::default() });
         }
-        let last = self.steps.len() - 1;
-        &mut self.steps[last]
+        let last = self.buckets.len() - 1;
+        &mut self.buckets[last]
     }
 }
 
@@ -139,7 +146,7 @@
     }
 }
 
-/// Returns how long to wait before a try; `random` in `0..1` spreads the waits over the whole range.
+/// Returns the delay before an attempt; `random` in `0..1` spreads the delays over the whole range.
 ///
 /// # Examples
 /// ```
@@ -147,6 +154,6 @@
 /// assert_eq!(toucanrail::retries::backoff(1, 0.5), Duration::from_millis(10));
 /// ```
 pub fn backoff(attempt: u32, random: f64) -> Duration {
-    let grown = BACKOFF_BASE.saturating_mul(1 << attempt.min(10));
-    grown.min(BACKOFF_LIMIT).mul_f64(random.clamp(0.0, 1.0))
+    let delay = BACKOFF_BASE.saturating_mul(1 << attempt.min(10));
+    delay.min(BACKOFF_LIMIT).mul_f64(random.clamp(0.0, 1.0))
 }
--- a/toucanrail/src/retry_delays.rs
+++ b/toucanrail/src/retry_delays.rs
@@ -1,39 +1,41 @@
-//! When a refused caller is told to come back.
+//! Delays after which refused callers should retry.
 //!
-//! The load it answers: callers that were all refused in the same moment. Most of them come back once, at the
-//! time they are told, and are lost if they are refused again. So they are spread, and the time follows what
-//! they wait for: another entry serves them at once, a full server soon, and an outage lasts.
+//! Many callers may be refused at the same moment. Most of them retry once, after the delay they
+//! were given, and are lost if they are refused again. The delays are therefore spread, and depend
+//! on the cause: another entry can serve the caller at once, a full server has free slots soon, and
+//! an outage lasts longer.
 
 use std::time::Duration;
 
-/// Part of the time that a caller has left after which it does not come back any more.
-const LONGEST_PART: f64 = 1.0 / 3.0;
-/// Part of the longest wait over which callers are spread.
-const SPREAD: f64 = 0.3;
-/// Wait where another entry serves the caller.
-const ELSEWHERE: Duration = Duration::from_millis(500);
-/// Wait where the budget is granted elsewhere or a write was lost.
-const GRANT_WAIT: Duration = Duration::from_millis(800);
-/// Bounds of the wait after servers declined.
-const DECLINED_LEAST: Duration = Duration::from_millis(250);
-const DECLINED_SPREAD: Duration = Duration::from_millis(500);
+/// Fraction of a caller's remaining time after which it no longer retries.
+const MAX_FRACTION: f64 = 1.0 / 3.0;
+/// Fraction of the longest delay over which callers are spread.
+const JITTER: f64 = 0.3;
+/// Delay if another entry can serve the caller.
+const OTHER_ENTRY_DELAY: Duration = Duration::from_millis(500);
+/// Delay if the budget is granted elsewhere or a write was lost.
+const GRANT_DELAY: Duration = Duration::from_millis(800);
+/// Minimum and spread of the delay after servers declined.
+const MIN_DECLINED_DELAY: Duration = Duration::from_millis(250);
+const DECLINED_JITTER: Duration = Duration::from_millis(500);
 
-/// Why a request was not run.
+/// Reason for which a request was not run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RefusalCause {
-    /// This entry knows too little, or is cut off; others are not.
+    /// This entry lacks information or is cut off, while other entries are not.
     Uninformed,
-    /// The servers cannot begin it in time.
+    /// The servers cannot begin the request in time.
     Overload,
-    /// Its budget cannot be confirmed at the moment.
+    /// The customer's budget cannot be confirmed at the moment.
     Unconfirmed,
-    /// Its budget cannot be confirmed before the store is back.
+    /// The customer's budget cannot be confirmed until the store is available again.
     Outage,
     /// Every server that was tried declined, or none could be tried.
     Declined,
 }
 
-/// Returns when a caller with some time left is to come back; `random` in `0..1` spreads callers.
+/// Returns the delay after which a caller with `left` of its time should retry; `random` in `0..1`
+/// spreads callers.
 ///
 /// # Examples
 /// ```
@@ -41,15 +43,18 @@
 /// use toucanrail::retry_delays::{self, RefusalCause};
 /// let left = Duration::from_secs(12);
 /// assert_eq!(retry_delays::pick_delay(RefusalCause::Outage, left, 0.0), Duration::from_secs(4));
-/// assert_eq!(retry_delays::pick_delay(RefusalCause::Declined, left, 0.0), Duration::from_millis(250));
+/// assert_eq!(
+///     retry_delays::pick_delay(RefusalCause::Declined, left, 0.0),
+///     Duration::from_millis(250),
+/// );
 /// ```
 pub fn pick_delay(cause: RefusalCause, left: Duration, random: f64) -> Duration {
-    let longest = left.mul_f64(LONGEST_PART);
-    let wait = match cause {
-        RefusalCause::Uninformed => ELSEWHERE,
-        RefusalCause::Overload | RefusalCause::Outage => longest.mul_f64(1.0 - SPREAD * random),
-        RefusalCause::Unconfirmed => GRANT_WAIT.mul_f64(0.75 + 0.5 * random),
-        RefusalCause::Declined => DECLINED_LEAST + DECLINED_SPREAD.mul_f64(random),
+    let longest = left.mul_f64(MAX_FRACTION);
+    let delay = match cause {
+        RefusalCause::Uninformed => OTHER_ENTRY_DELAY,
+        RefusalCause::Overload | RefusalCause::Outage => longest.mul_f64(1.0 - JITTER * random),
+        RefusalCause::Unconfirmed => GRANT_DELAY.mul_f64(0.75 + 0.5 * random),
+        RefusalCause::Declined => MIN_DECLINED_DELAY + DECLINED_JITTER.mul_f64(random),
     };
-    wait.min(longest)
+    delay.min(longest)
 }
--- a/toucanrail/src/routing.rs
+++ b/toucanrail/src/routing.rs
@@ -1,6 +1,6 @@
-//! The choice of a backend server.
+//! Choice of a backend server by routing policy.
 //!
-//! `docs/ROUTING.md` holds the measurement that the default rests on.
+//! `docs/ROUTING.md` describes the measurements behind the default policy.
 
 use std::time::Duration;
 
@@ -8,33 +8,34 @@
 
 use crate::servers::{ServerRow, ServerTable};
 
-/// Servers by rendezvous rank that count as likely to hold a prefix.
+/// Number of servers, by rendezvous rank, that are likely to have a prefix cached.
 const AFFINE_SERVERS: usize = 2;
-/// A server over this share of the mean load is not chosen for its cache.
+/// Multiple of the mean load above which a server is not chosen for its cache.
 const LOAD_BOUND: f64 = 1.25;
-/// Worth of a cached prefix, as a share of a server's slots.
-const PREFIX_WORTH: f64 = 0.25;
-/// Weight of a server whose first token takes longer than its peers'.
-const SLOWNESS_LIMIT: f64 = 8.0;
+/// Benefit of a cached prefix, as a fraction of a server's slots.
+const PREFIX_BONUS: f64 = 0.25;
+/// Maximum weight of a server whose time to first token is longer than that of its peers.
+const MAX_SLOWDOWN: f64 = 8.0;
 
-/// How a server is chosen.
+/// Policy by which a server is chosen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum RoutingPolicy {
-    /// One after the other.
+    /// Each server in turn.
     RoundRobin,
-    /// Any.
+    /// A random server.
     Random,
-    /// The least load as last reported.
+    /// The server with the least load in the latest reports.
     LeastReported,
-    /// Always the first by rendezvous rank of the prefix.
+    /// The server with the highest rendezvous rank for the prefix.
     PureAffinity,
-    /// The better by estimated load and cache of the prefix's two and two sampled ones.
+    /// The server with the lowest cost, by estimated load and cache, among two with the highest
+    /// rank for the prefix and two random ones.
     #[default]
     Balanced,
 }
 
 impl RoutingPolicy {
-    /// Reads a policy as settings write it.
+    /// Parses a policy from its name in the settings.
     ///
     /// # Examples
     /// ```
@@ -53,18 +54,18 @@
     }
 }
 
-/// What the choice depends on besides the servers.
+/// Properties of the request on which the choice depends.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RouteQuery {
-    /// Hash of the prompt's prefix; none where nothing is cached.
+    /// Hash of the prompt's prefix; `None` if nothing is cached.
     pub prefix: Option<u64>,
-    /// Two draws in `0..1`.
+    /// Two random numbers in `0..1`.
     pub random: [f64; 2],
-    /// The time, since the process's start.
+    /// Time since the start of the process.
     pub now: Duration,
 }
 
-/// Picks a server out of the eligible ones.
+/// Picks one of the eligible servers.
 pub fn pick_server<'rows>(
     policy: RoutingPolicy,
     table: &ServerTable,
@@ -93,7 +94,7 @@
     eligible.get(((eligible.len() as f64 * random) as usize).min(last)).copied()
 }
 
-/// Ranks servers for a prefix by rendezvous hashing: a server that leaves moves only its own
+/// Orders servers by their rendezvous rank for a prefix; a server that leaves affects only its own
 /// prefixes.
 ///
 /// # Examples
@@ -112,38 +113,39 @@
     eligible: &[&'rows ServerRow],
     query: &RouteQuery,
 ) -> Option<&'rows ServerRow> {
-    let usual = usual_first_token(eligible);
+    let median = median_first_token(eligible);
     let cost = |row: &ServerRow| {
-        let slow = slowness(row, usual);
-        (row.load(query.now) + 1.0) / row.slots as f64 * slow
+        let slowdown_factor = slowdown(row, median);
+        (row.load(query.now) + 1.0) / row.slots as f64 * slowdown_factor
     };
     let costs: f64 = eligible.iter().map(|row| cost(row)).sum();
     let bound = costs / eligible.len() as f64 * LOAD_BOUND;
     let affine = query.prefix.map(|prefix| rank_servers(eligible, prefix)).unwrap_or_default();
     let affine = affine.into_iter().take(AFFINE_SERVERS).filter(|row| cost(row) <= bound);
     let sampled = query.random.iter().filter_map(|random| sample(eligible, *random));
-    let affine = affine.map(|row| (cost(row) - PREFIX_WORTH, row));
+    let affine = affine.map(|row| (cost(row) - PREFIX_BONUS, row));
     let sampled = sampled.map(|row| (cost(row), row));
     affine.chain(sampled).min_by(|(left, _), (right, _)| left.total_cmp(right)).map(|(_, row)| row)
 }
 
-/// Returns the median of the known times to first token, or 0.
-fn usual_first_token(eligible: &[&ServerRow]) -> f64 {
+/// Returns the median of the known times to first token, or 0 if none is known.
+fn median_first_token(eligible: &[&ServerRow]) -> f64 {
     let mut known: Vec<f64> = eligible.iter().map(|row| row.first_token).collect();
     known.retain(|time| *time > 0.0);
     known.sort_by(f64::total_cmp);
     known.get(known.len() / 2).copied().unwrap_or_default()
 }
 
-/// A server that is slower than most costs as much more, so that it drains before it is full.
-fn slowness(row: &ServerRow, usual: f64) -> f64 {
-    if usual <= 0.0 || row.first_token <= 0.0 {
+/// Returns the cost factor of a server whose first token is slower than the median, so that it
+/// drains before it is full.
+fn slowdown(row: &ServerRow, median: f64) -> f64 {
+    if median <= 0.0 || row.first_token <= 0.0 {
         return 1.0;
     }
-    (row.first_token / usual).clamp(1.0, SLOWNESS_LIMIT)
+    (row.first_token / median).clamp(1.0, MAX_SLOWDOWN)
 }
 
-/// Returns the hash of a prompt's beginning, up to `bytes`.
+/// Returns the hash of the first `bytes` bytes of a prompt.
 pub fn hash_prefix(prompt: &[u8], bytes: usize) -> u64 {
     xxh3::xxh3_64(&prompt[..prompt.len().min(bytes)])
 }
--- a/toucanrail/src/servers.rs
+++ b/toucanrail/src/servers.rs
@@ -1,4 +1,4 @@
-//! The table of backend servers as one entry sees them, and the systems that keep it.
+//! Table of the backend servers and their agents, as seen by one entry.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -12,112 +12,114 @@
 use crate::ids::{AgentId, DataCentre, EntryId, ServiceName, VmId};
 use crate::messages::LoadReport;
 
-/// Silence of an agent after which its server gets no new work.
+/// Time without a report after which an agent's server gets no new work.
 pub const AGENT_TIMEOUT: Duration = Duration::from_secs(2);
-/// Servers of one service that an entry uses; bounds the reports it asks for and the agents that a
-/// reclaim must reach.
-const FAN_OUT: usize = 32;
-/// Age at which half of the load that others put on a server is taken as gone.
+/// Maximum number of servers of one service that an entry uses; limits the reports it requests and
+/// the agents that a reclaim must reach.
+const MAX_SERVERS: usize = 32;
+/// Age at which half of the load from other entries is assumed to have ended.
 const REPORT_HALF_LIFE: Duration = Duration::from_secs(2);
-/// Weight of a new latency in the smoothed one.
+/// Smoothing weight of a new latency.
 const LATENCY_WEIGHT: f64 = 0.1;
 
 /// A process's registration in the platform's object API.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NodeEntry {
-    /// The process's incarnation.
+    /// Incarnation id of the process.
     pub id: Arc<str>,
-    /// What it does.
+    /// Role of the process.
     pub role: NodeRole,
-    /// Where other processes reach it.
+    /// Address at which other processes reach it.
     pub address: SocketAddr,
-    /// Its data centre.
+    /// Data centre of the process.
     pub data_centre: DataCentre,
-    /// Its VM.
+    /// VM of the process.
     pub vm: VmId,
-    /// The service an agent serves.
+    /// Service that an agent serves.
     pub service: Option<ServiceName>,
 }
 
-/// What a process does.
+/// Role of a process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum NodeRole {
-    /// Takes callers' requests.
+    /// Accepts the callers' requests.
     Entry,
-    /// Stands beside a backend server.
+    /// Runs beside a backend server.
     Agent,
 }
 
-/// One backend server, with the agent that leads to it.
+/// One backend server and its agent.
 #[derive(Debug, Clone, Serialize)]
 pub struct ServerRow {
-    /// The agent's incarnation.
+    /// Incarnation id of the agent.
     pub agent: AgentId,
-    /// The agent's address.
+    /// Address of the agent.
     pub address: SocketAddr,
-    /// The service.
+    /// Service of the server.
     pub service: ServiceName,
-    /// The data centre.
+    /// Data centre of the server.
     pub data_centre: DataCentre,
-    /// The VM.
+    /// VM of the server.
     pub vm: VmId,
-    /// Requests it runs at once, as reported.
+    /// Number of requests that the server runs concurrently, as reported.
     pub slots: u64,
-    /// This entry's requests in flight there.
+    /// This entry's requests in flight at the server.
     pub own: u64,
-    /// Requests in flight there as last reported, this entry's among them.
+    /// Requests in flight in the latest report, including this entry's.
     pub reported: u64,
-    /// Others' requests in flight, as last reported.
+    /// Other entries' requests in flight in the latest report.
     pub others: f64,
-    /// When the last report was asked for.
+    /// When the latest report was requested.
     pub reported_at: Duration,
-    /// When the agent was last heard of, if ever.
+    /// When the agent was last heard from, if ever.
     pub heard_at: Option<Duration>,
-    /// Whether its backend server answers.
+    /// Whether the backend server responds to its agent.
     pub healthy: bool,
-    /// Whether it leaves, by its own word or the VM list's.
+    /// Whether the server is leaving, according to its agent or the VM list.
     pub leaving: bool,
-    /// Smoothed time to the first token, in seconds.
+    /// Smoothed time to first token, in seconds.
     pub first_token: f64,
-    /// What its failures led to.
+    /// Failures and ejections of the server.
     pub ejection: EjectionState,
-    /// The catalogue's version in force there.
+    /// Catalogue version in effect at the agent.
     pub in_force: u64,
 }
 
 impl ServerRow {
-    /// Returns the requests estimated in flight: this entry's own, known exactly, and the others',
-    /// which a lagging report tells less the older it is.
+    /// Returns the estimated requests in flight: this entry's own, which are known exactly, plus
+    /// the others', which are discounted by the age of the report.
     pub fn load(&self, now: Duration) -> f64 {
         let age = now.saturating_sub(self.reported_at).as_secs_f64();
-        let faded = (-age / REPORT_HALF_LIFE.as_secs_f64()).exp2();
-        self.own as f64 + self.others * faded
+        let remaining = (-age / REPORT_HALF_LIFE.as_secs_f64()).exp2();
+        self.own as f64 + self.others * remaining
     }
 
-    /// Tells whether new work may go there.
+    /// Returns whether the server may get new work.
     pub fn accepts_work(&self, now: Duration) -> bool {
-        let silent = self.heard_at.is_none_or(|at| now.saturating_sub(at) > AGENT_TIMEOUT);
+        let silent =
+            self.heard_at.is_none_or(|heard_at| now.saturating_sub(heard_at) > AGENT_TIMEOUT);
         !silent && !self.leaving && self.healthy && !self.ejection.is_ejected(now)
     }
 }
 
-/// All backend servers.
+/// All backend servers known to an entry.
 #[derive(Debug, Default, Serialize)]
 pub struct ServerTable {
     rows: BTreeMap<AgentId, ServerRow>,
-    /// Next place of the round-robin policy.
+    /// Next index of the round-robin policy.
     #[serde(skip)]
     pub next_index: usize,
 }
 
 impl ServerTable {
-    /// Makes an empty table.
+    /// Creates an empty table.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes the registrations of agents: adds the new, drops the removed.
+    /// Replaces the registered agents: adds new servers, and removes those no longer registered
+    /// once this entry has no request in flight there.
     pub fn apply_nodes<'nodes, Nodes>(&mut self, nodes: Nodes)
     where
         Nodes: Iterator<Item = &'nodes NodeEntry>,
@@ -135,8 +137,8 @@
         self.rows.retain(|agent, row| known.contains(agent) || row.own > 0);
     }
 
-    /// Takes a load report that was asked for at `asked`, when `own` requests of this entry were
-    /// in flight; it is also the agent's heartbeat.
+    /// Processes a load report that was requested at `asked`, when `own` requests of this entry
+    /// were in flight. The report also serves as the agent's heartbeat.
     pub fn apply_report(&mut self, report: &LoadReport, own: u64, asked: Duration, now: Duration) {
         let Some(row) = self.rows.get_mut(&report.agent) else {
             return;
@@ -151,35 +153,35 @@
         row.in_force = report.in_force;
     }
 
-    /// Takes the VM list's word that VMs are leaving.
+    /// Marks the servers on VMs that the VM list shows as leaving.
     pub fn mark_leaving_vms(&mut self, leaving: &BTreeSet<VmId>) {
         for row in self.rows.values_mut() {
             row.leaving |= leaving.contains(&row.vm);
         }
     }
 
-    /// Notes that an agent said it is leaving.
+    /// Records that an agent announced that it is leaving.
     pub fn note_leaving(&mut self, agent: &AgentId) {
         if let Some(row) = self.rows.get_mut(agent) {
             row.leaving = true;
         }
     }
 
-    /// Notes a request sent.
+    /// Records a request that was sent.
     pub fn note_sent(&mut self, agent: &AgentId) {
         if let Some(row) = self.rows.get_mut(agent) {
             row.own += 1;
         }
     }
 
-    /// Notes a request ended.
+    /// Records the end of a request.
     pub fn note_ended(&mut self, agent: &AgentId) {
         if let Some(row) = self.rows.get_mut(agent) {
             row.own = row.own.saturating_sub(1);
         }
     }
 
-    /// Notes the first token of an answer after `wait`.
+    /// Records the first token of an answer, which arrived after `wait`.
     pub fn note_first_token(&mut self, agent: &AgentId, wait: Duration, now: Duration) {
         if let Some(row) = self.rows.get_mut(agent) {
             let wait = wait.as_secs_f64();
@@ -191,7 +193,7 @@
         }
     }
 
-    /// Notes a failed try; enough in a row eject the server for a while.
+    /// Records a failed attempt; enough consecutive failures eject the server for a while.
     pub fn note_failure(&mut self, agent: &AgentId, now: Duration) {
         if let Some(row) = self.rows.get_mut(agent) {
             row.ejection.note_failure(now);
@@ -208,7 +210,8 @@
         self.rows.values()
     }
 
-    /// Returns the servers of a service that take this request.
+    /// Returns the servers of a service that may take this request; `random` in `0..1` decides
+    /// whether servers returning from an ejection are included.
     pub fn eligible<'table>(
         &'table self,
         service: &ServiceName,
@@ -217,27 +220,27 @@
         now: Duration,
         random: f64,
     ) -> Vec<&'table ServerRow> {
-        let fits = |row: &&ServerRow| {
+        let matches = |row: &&ServerRow| {
             row.service == *service
                 && usable.contains(&row.agent)
                 && !tried.contains(&row.agent)
                 && row.accepts_work(now)
         };
-        let rows: Vec<&ServerRow> = self.rows.values().filter(fits).collect();
+        let rows: Vec<&ServerRow> = self.rows.values().filter(matches).collect();
         let ramped: Vec<&ServerRow> =
             rows.iter().copied().filter(|row| row.ejection.passes_ramp(now, random)).collect();
         if ramped.is_empty() { rows } else { ramped }
     }
 
-    /// Returns the slots and the estimated load of a service's working servers.
+    /// Returns the number of slots and the estimated load of a service's working servers.
     pub fn capacity(&self, service: &ServiceName, now: Duration) -> (u64, f64) {
         let working = self.rows.values().filter(|row| row.service == *service);
         let working = working.filter(|row| row.accepts_work(now));
         working.fold((0, 0.0), |(slots, load), row| (slots + row.slots, load + row.load(now)))
     }
 
-    /// Returns the agents that an entry uses: of each service, those of the highest rendezvous rank
-    /// for it among the servers that stay. In a small fleet these are all.
+    /// Returns the agents that an entry uses: for each service, those with the highest rendezvous
+    /// rank for the entry, without servers that are leaving. In a small fleet these are all agents.
     pub fn choose_agents(&self, entry: &EntryId) -> BTreeSet<AgentId> {
         let seed = xxh3::xxh3_64(entry.as_bytes());
         let mut staying: Vec<&ServerRow> = self.rows.values().filter(|row| !row.leaving).collect();
@@ -246,7 +249,7 @@
         let chosen = staying.into_iter().filter(|row| {
             let count = counts.entry(&row.service).or_default();
             *count += 1;
-            *count <= FAN_OUT
+            *count <= MAX_SERVERS
         });
         chosen.map(|row| Arc::clone(&row.agent)).collect()
     }
--- a/toucanrail/src/silences.rs
+++ b/toucanrail/src/silences.rs
@@ -1,27 +1,28 @@
-//! Whether a server that does not answer still works on a request.
+//! Decides whether a server that sends no answer still works on a request.
 //!
-//! The load it answers: more prompts than servers read in time. A request that waits in a server's queue
-//! looks like one at a dead server. Taken for lost it is read in vain, may not be said not to have run,
-//! and is sent once more where others wait already.
+//! When prompts arrive faster than the servers can prefill them, a request in a server's queue
+//! looks like one at a dead server. If it were given up, its prompt would be prefilled for nothing,
+//! the request could no longer be reported as not run, and it would be sent again to a server with
+//! a queue of its own.
 
 use crate::ids::RequestId;
 use crate::paces::BackendReport;
 
-/// Looks in a row that must find no trace of a request before it is given up: the answer may be on its
-/// way at the first.
-const MISS_LIMIT: u32 = 2;
+/// Consecutive checks that must find no trace of a request before it is given up; after the first
+/// one, the answer may still be on its way.
+const MAX_MISSES: u32 = 2;
 
-/// What the relay beside a server sees of one request there.
+/// State of one request at its server, as seen by the relay beside the server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RunStatus {
-    /// Requests in the server's queue; it does not name them.
+    /// Requests in the server's queue; the report does not identify them.
     pub waiting: u64,
-    /// Events made so far; none if the request does not run.
+    /// Events produced so far; `None` if the request is not running.
     pub events: Option<u64>,
 }
 
 impl RunStatus {
-    /// Finds a request in its server's report.
+    /// Looks up a request in its server's report.
     ///
     /// # Examples
     /// ```
@@ -37,8 +38,8 @@
         Self { waiting: report.waiting, events: run.map(|run| run.events) }
     }
 
-    /// Tells whether the server may still be about to make the event behind those received.
-    fn explains(self, received: u64) -> bool {
+    /// Returns whether the server may still be working on the next event after those received.
+    fn explains_silence(self, received: u64) -> bool {
         match self.events {
             Some(events) => events <= received,
             None => received == 0 && self.waiting > 0,
@@ -46,40 +47,41 @@
     }
 }
 
-/// What a look at a silent server says of a request.
+/// Result of a check of a silent server for one request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SilenceVerdict {
-    /// It runs, or may be in the queue.
+    /// The request is running or may be queued.
     Works,
-    /// The server knows nothing of it, or made events that did not come: no answer will.
+    /// The server does not know the request, or produced events that did not arrive; no answer is
+    /// expected.
     Lost,
-    /// There is no word of the server; it may still answer.
+    /// Nothing is known about the server; it may still answer.
     Unseen,
 }
 
-/// The looks at one silent server.
+/// Checks one request at a silent server.
 #[derive(Debug, Default)]
 pub struct SilenceDetector {
     misses: u32,
 }
 
 impl SilenceDetector {
-    /// Takes a look, none where the server or its relay did not answer, at a request that has `received`
-    /// events.
+    /// Evaluates a check of a request of which `received` events have arrived; `status` is `None` if
+    /// the server or its relay did not answer.
     ///
     /// # Examples
     /// ```
-    /// use toucanrail::silences::{RunStatus, SilenceVerdict, SilenceDetector};
-    /// let mut watch = SilenceDetector::default();
+    /// use toucanrail::silences::{RunStatus, SilenceDetector, SilenceVerdict};
+    /// let mut detector = SilenceDetector::default();
     /// let queued = RunStatus { waiting: 4, events: None };
-    /// assert_eq!(watch.judge(Some(queued), 0), SilenceVerdict::Works);
-    /// assert_eq!(watch.judge(None, 0), SilenceVerdict::Unseen);
+    /// assert_eq!(detector.judge(Some(queued), 0), SilenceVerdict::Works);
+    /// assert_eq!(detector.judge(None, 0), SilenceVerdict::Unseen);
     /// ```
-    pub fn judge(&mut self, sight: Option<RunStatus>, received: u64) -> SilenceVerdict {
-        let Some(sight) = sight else {
+    pub fn judge(&mut self, status: Option<RunStatus>, received: u64) -> SilenceVerdict {
+        let Some(status) = status else {
             return SilenceVerdict::Unseen;
         };
-        self.misses = if sight.explains(received) { 0 } else { self.misses + 1 };
-        if self.misses < MISS_LIMIT { SilenceVerdict::Works } else { SilenceVerdict::Lost }
+        self.misses = if status.explains_silence(received) { 0 } else { self.misses + 1 };
+        if self.misses < MAX_MISSES { SilenceVerdict::Works } else { SilenceVerdict::Lost }
     }
 }
--- a/toucanrail/src/timeouts.rs
+++ b/toucanrail/src/timeouts.rs
@@ -1,55 +1,57 @@
-//! How long to wait for the store's next answer.
+//! Adaptive timeout of calls to the store.
 //!
-//! The load it answers: a store that is slow for seconds, and one that is gone. The first must not be
-//! taken for the second, or what is granted is kept back while more could be had.
+//! A store that is slow for seconds must not be mistaken for one that is unavailable: otherwise
+//! entries hold back what they were granted while they could get more.
 
 use std::time::Duration;
 
-/// Bounds of the wait. The store answers within milliseconds, or within some hundred while it is slow.
-const WAIT_LEAST: Duration = Duration::from_millis(300);
-const WAIT_LIMIT: Duration = Duration::from_millis(1_500);
-/// Wait against what the last answer took.
-const SLOW_FACTOR: u32 = 3;
-/// What is left of a wait after an answer, where the answer allows less.
-const DECAY: f64 = 0.8;
+/// Bounds of the timeout. The store answers within milliseconds, or within some hundreds of
+/// milliseconds while it is slow.
+const MIN_WAIT: Duration = Duration::from_millis(300);
+const MAX_WAIT: Duration = Duration::from_millis(1_500);
+/// Timeout as a multiple of the latest answer time.
+const ANSWER_TIME_FACTOR: u32 = 3;
+/// Factor by which the timeout shrinks after an answer, if the answer time allows it.
+const DECAY_FACTOR: f64 = 0.8;
 
-/// The wait for the next answer.
+/// Timeout of the next call.
 #[derive(Debug, Clone, Copy)]
 pub struct AdaptiveTimeout {
     wait: Duration,
 }
 
 impl AdaptiveTimeout {
-    /// Starts with the least wait.
+    /// Creates a timeout with its minimum value.
     pub fn new() -> Self {
-        Self { wait: WAIT_LEAST }
+        Self { wait: MIN_WAIT }
     }
 
-    /// Returns how long to wait.
+    /// Returns how long to wait for an answer.
     pub fn wait(&self) -> Duration {
         self.wait
     }
 
-    /// Notes an answer and the time it took; the wait shrinks, but not near to that time.
+    /// Records an answer and the time it took. The timeout shrinks, but stays well above that time.
     ///
-    /// A wait that shrank after each answer gave a store that took 356 ms up at every third call.
+    /// When the timeout shrank after every answer, every third call to a store that took 356 ms
+    /// timed out.
     ///
     /// # Examples
     /// ```
     /// use std::time::Duration;
-    /// let mut patience = toucanrail::timeouts::AdaptiveTimeout::new();
-    /// patience.note_answer(Duration::from_millis(400));
-    /// assert_eq!(patience.wait(), Duration::from_millis(1_200));
+    /// let mut timeout = toucanrail::timeouts::AdaptiveTimeout::new();
+    /// timeout.note_answer(Duration::from_millis(400));
+    /// assert_eq!(timeout.wait(), Duration::from_millis(1_200));
     /// ```
     pub fn note_answer(&mut self, took: Duration) {
-        let wait = self.wait.mul_f64(DECAY).max(took * SLOW_FACTOR);
-        self.wait = wait.clamp(WAIT_LEAST, WAIT_LIMIT);
+        let wait = self.wait.mul_f64(DECAY_FACTOR).max(took * ANSWER_TIME_FACTOR);
+        self.wait = wait.clamp(MIN_WAIT, MAX_WAIT);
     }
 
-    /// Notes that there was no answer within the time that a call waited. Calls that run at the same
-    /// time and fail together lengthen the wait once.
+    /// Records that no answer arrived within the time that a call waited. Concurrent calls that
+    /// fail together increase the timeout only once.
     pub fn note_timeout(&mut self, waited: Duration) {
-        self.wait = self.wait.max(waited * 2).min(WAIT_LIMIT);
+        self.wait = self.wait.max(waited * 2).min(MAX_WAIT);
     }
 }
 
--- a/toucanrail/tests/admission_limits.rs
+++ b/toucanrail/tests/admission_limits.rs
@@ -1,4 +1,4 @@
-//! The limit of unread work under bursts, against servers that read in order of arrival.
+//! The adaptive admission limit under bursts, against servers that prefill in order of arrival.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -6,10 +6,10 @@
 use toucanrail::admissions::{AdmissionLimit, AdmissionQuery, PendingRow};
 
 const TICK: Duration = Duration::from_millis(1);
-const AIM: Duration = Duration::from_millis(500);
-const FIRST: AdmissionQuery = AdmissionQuery { rank: 0, returned: false };
+const LATENCY_TARGET: Duration = Duration::from_millis(500);
+const FIRST_RANK: AdmissionQuery = AdmissionQuery { rank: 0, returned: false };
 
-/// A pool of servers that reads a number of tokens in a millisecond, and the entry before it.
+/// Servers that prefill `rate` tokens per millisecond, and the entry in front of them.
 struct Pool {
     rate: f64,
     limited: bool,
@@ -20,9 +20,9 @@
     next: u64,
 }
 
-/// What became of the requests of one phase.
+/// Outcomes of the requests of one phase.
 #[derive(Debug, Default, Clone)]
-struct Tally {
+struct PhaseTally {
     timely: u32,
     late: u32,
     refused: u32,
@@ -36,34 +36,35 @@
         Self { rate, limited, limit, queue: VecDeque::new(), rng, now: Duration::ZERO, next: 0 }
     }
 
-    /// Plays a phase in which `load` times the tokens come that the pool reads.
-    fn play(&mut self, load: f64, length: Duration) -> Tally {
-        let mut tally = Tally::default();
+    /// Simulates a phase in which `load` times as many tokens arrive as the pool can prefill.
+    fn simulate(&mut self, load: f64, length: Duration) -> PhaseTally {
+        let mut tally = PhaseTally::default();
         let end = self.now + length;
         while self.now < end {
             self.now += TICK;
-            self.arrive(load, &mut tally);
-            self.read(&mut tally);
+            self.send_prompt(load, &mut tally);
+            self.prefill(&mut tally);
         }
         tally
     }
 
-    fn arrive(&mut self, load: f64, tally: &mut Tally) {
+    fn send_prompt(&mut self, load: f64, tally: &mut PhaseTally) {
         // Prompts of 400 to 8,000 tokens, most of them short.
         let work = 400.0 * 20_f64.powf(self.rng.f64().powi(2));
         if self.rng.f64() >= load * self.rate / 1_540.0 {
             return;
         }
-        if self.limited && !self.limit.admits(FIRST, self.now) {
+        if self.limited && !self.limit.admits(FIRST_RANK, self.now) {
             tally.refused += 1;
             return;
         }
         self.next += 1;
-        self.limit.note_sent(self.next, PendingRow { sent_at: self.now, latency_target: AIM });
+        self.limit
+            .note_sent(self.next, PendingRow { sent_at: self.now, latency_target: LATENCY_TARGET });
         self.queue.push_back((self.next, self.now, work));
     }
 
-    fn read(&mut self, tally: &mut Tally) {
+    fn prefill(&mut self, tally: &mut PhaseTally) {
         let mut tokens = self.rate;
         while let Some((number, sent, work)) = self.queue.front_mut() {
             if *work > tokens {
@@ -74,73 +75,81 @@
             let wait = self.now.saturating_sub(*sent);
             self.limit.note_first_event(*number, self.now);
             tally.waits.push(wait);
-            *(if wait > AIM { &mut tally.late } else { &mut tally.timely }) += 1;
+            *(if wait > LATENCY_TARGET { &mut tally.late } else { &mut tally.timely }) += 1;
             self.queue.pop_front();
         }
     }
 }
 
-fn median(tally: &Tally) -> Duration {
+fn median(tally: &PhaseTally) -> Duration {
     let mut waits = tally.waits.clone();
     waits.sort_unstable();
     waits[waits.len() / 2]
 }
 
-/// Two and a half times the usual load for ten seconds: all of it was sent, and nearly all first events
-/// were late. With a limit most of what the servers can read is read in time.
+/// For ten seconds, the load is 2.5 times the usual one and 1.5 times what the servers can prefill.
+/// Without a limit all requests are sent and nearly all first events are late; with it, most of
+/// what the servers can prefill begins in time.
 #[test]
 fn long_burst() {
     for (seed, rate) in [(1, 50.0), (2, 200.0), (3, 900.0)] {
-        let play = |limited| {
+        let simulate = |limited| {
             let mut pool = Pool::new(rate, limited, seed);
-            pool.play(0.6, Duration::from_secs(10));
-            pool.play(1.5, Duration::from_secs(10))
+            pool.simulate(0.6, Duration::from_secs(10));
+            pool.simulate(1.5, Duration::from_secs(10))
         };
-        let (free, limited) = (play(false), play(true));
+        let (unlimited, limited) = (simulate(false), simulate(true));
         let all = limited.timely + limited.late + limited.refused;
-        assert!(free.timely * 3 < free.late, "{seed}: {} of {}", free.timely, free.late);
-        // Two thirds of the load can be read at all.
+        assert!(
+            unlimited.timely * 3 < unlimited.late,
+            "{seed}: {} of {}",
+            unlimited.timely,
+            unlimited.late
+        );
+        // Two thirds of the load can be prefilled at all.
         assert!(f64::from(limited.timely) > f64::from(all) * 0.4, "{seed}: {}", limited.timely);
     }
 }
 
-/// The load falls after a burst: within two seconds first events come as fast as before, and nobody is
-/// refused any more.
+/// The load falls after a burst: within two seconds, first events arrive as fast as before the
+/// burst, and hardly any request is refused.
 #[test]
 fn burst_ends() {
     for (seed, rate) in [(4, 50.0), (5, 200.0), (6, 900.0)] {
         let mut pool = Pool::new(rate, true, seed);
-        pool.play(0.6, Duration::from_secs(4));
-        let calm = pool.play(0.6, Duration::from_secs(10));
-        pool.play(2.0, Duration::from_secs(10));
-        pool.play(0.6, Duration::from_secs(2));
-        let after = pool.play(0.6, Duration::from_secs(10));
-        assert!(median(&after) <= median(&calm) * 3 / 2, "{seed}: {:?}", median(&after));
+        pool.simulate(0.6, Duration::from_secs(4));
+        let before = pool.simulate(0.6, Duration::from_secs(10));
+        pool.simulate(2.0, Duration::from_secs(10));
+        pool.simulate(0.6, Duration::from_secs(2));
+        let after = pool.simulate(0.6, Duration::from_secs(10));
+        assert!(median(&after) <= median(&before) * 3 / 2, "{seed}: {:?}", median(&after));
         assert!(after.refused * 50 < after.timely, "{seed}: {} refused", after.refused);
     }
 }
 
-/// Some first events are late in calm times, as those of the largest prompts: nothing is refused.
+/// A few late first events at normal load, as those of the largest prompts, must not cause
+/// refusals.
 #[test]
-fn calm_load() {
+fn normal_load() {
     let mut pool = Pool::new(100.0, true, 7);
-    let calm = pool.play(0.6, Duration::from_secs(60));
-    assert_eq!(calm.refused, 0);
+    let tally = pool.simulate(0.6, Duration::from_secs(60));
+    assert_eq!(tally.refused, 0);
 }
 
-/// Under pressure the first rank goes before others, and who comes back as told before both.
+/// Under overload the first rank is preferred to others, and callers that return after their delay
+/// to both.
 #[test]
 fn ranks_first() {
     let mut pool = Pool::new(200.0, true, 8);
-    pool.play(2.0, Duration::from_secs(5));
+    pool.simulate(2.0, Duration::from_secs(5));
     let mut admitted = [0, 0, 0];
     for _ in 0..2_000 {
-        pool.play(2.0, TICK);
+        pool.simulate(2.0, TICK);
         let queries = [(0, false), (2, false), (2, true)];
         for (count, (rank, returned)) in admitted.iter_mut().zip(queries) {
             *count += u32::from(pool.limit.admits(AdmissionQuery { rank, returned }, pool.now));
         }
     }
-    let [first, third, back] = admitted;
-    assert!(third * 2 < first && first < back, "{admitted:?}");
+    let [first, third, returning] = admitted;
+    assert!(third * 2 < first && first < returning, "{admitted:?}");
 }
--- a/toucanrail/tests/attempt_steps.rs
+++ b/toucanrail/tests/attempt_steps.rs
@@ -1,4 +1,4 @@
-//! What follows a failed attempt, against the two promises it may not break.
+//! What follows a failed attempt, and the guarantees on repeated requests.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 const LEFT: Duration = Duration::from_secs(1);
 const WINDOW: Duration = Duration::from_secs(10);
 
-fn any_fate() -> impl Strategy<Value = AttemptOutcome> {
+fn any_outcome() -> impl Strategy<Value = AttemptOutcome> {
     prop::sample::select(vec![
         AttemptOutcome::NotSent,
         AttemptOutcome::Declined,
@@ -31,24 +31,25 @@
 }
 
 proptest! {
-    /// A request that may run once is sent again only while it provably has not run, and a status
-    /// that promises so is given only then. No request goes to more servers than its route allows.
+    /// A request that must run at most once is sent again only while it has provably not run, and a
+    /// status that says so is returned only in that case. No request is sent to more servers than
+    /// its route allows.
     #[test]
-    fn promises_kept(
+    fn guarantees_kept(
         kind in any_kind(),
         limit in 1_u32..4,
-        fates in prop::collection::vec(any_fate(), 1..12),
+        outcomes in prop::collection::vec(any_outcome(), 1..12),
     ) {
-        let mut tally = AttemptHistory::new(kind, limit);
-        for fate in fates {
-            let ran = tally.may_have_run;
-            prop_assert!(tally.sent < limit);
+        let mut history = AttemptHistory::new(kind, limit);
+        for outcome in outcomes {
+            let ran = history.may_have_run;
+            prop_assert!(history.sent < limit);
             prop_assert!(kind.is_repeatable() || !ran);
-            tally.record(fate);
-            match tally.next_step(fate, LEFT) {
+            history.record(outcome);
+            match history.next_step(outcome, LEFT) {
                 NextStep::Retry => continue,
                 NextStep::Fail(code) if matches!(code.row().status, 429 | 503) => {
-                    prop_assert_eq!(tally.run_state(), RunState::NotRun);
+                    prop_assert_eq!(history.run_state(), RunState::NotRun);
                 }
                 _ => {}
             }
@@ -56,16 +57,16 @@
         }
     }
 
-    /// However entries divide a fleet's reserve of retries, they never exceed it together with
-    /// their share of fresh requests.
+    /// Entries that divide the fleet's retry reserve in any way never exceed the reserve and their
+    /// share of the original requests together.
     #[test]
     fn shared_budget(entries in 1_usize..30, steps in prop::collection::vec((0_usize..30, any::<bool>()), 0..400)) {
         let (share, reserve) = (0.12, 30.0);
         let bounds = RetryBounds { share, reserve: reserve / entries as f64, window: WINDOW };
         let mut budgets = vec![RetryBudget::with_bounds(bounds); entries];
         let (mut fresh, mut retries) = (0_u32, 0_u32);
-        for (who, retry) in steps {
-            let budget = &mut budgets[who % entries];
+        for (index, retry) in steps {
+            let budget = &mut budgets[index % entries];
             if retry {
                 retries += u32::from(budget.try_spend(Duration::ZERO));
             } else {
@@ -76,8 +77,8 @@
         prop_assert!(f64::from(retries) <= reserve + share * f64::from(fresh) + 1e-6);
     }
 
-    /// The same while time passes: in no window are there more retries than the reserve and twice the
-    /// share of what was fresh in it or in the window before, whichever had more.
+    /// The same bound over time: in no window are there more retries than the reserve plus twice
+    /// the share of the original requests in it or in the window before, whichever had more.
     #[test]
     fn sliding_windows(
         entries in 1_usize..8,
@@ -88,9 +89,9 @@
         let mut budgets = vec![RetryBudget::with_bounds(bounds); entries];
         let (mut fresh, mut retries) = (Vec::new(), Vec::new());
         let mut now = Duration::ZERO;
-        for (who, pause, kind) in steps {
+        for (index, pause, kind) in steps {
             now += Duration::from_millis(pause);
-            let budget = &mut budgets[who % entries];
+            let budget = &mut budgets[index % entries];
             if kind == 0 {
                 budget.note_request(now);
                 fresh.push(now);
@@ -111,9 +112,10 @@
     }
 }
 
-/// A service whose lookups fail one time in seven, in groups of three: callers got the failure although
-/// another server would have answered. An entry's part of the fleet's reserve is 1.4, and what calm
-/// seconds had earned was forgotten, so that of each group only the first was sent again.
+/// Lookups fail one time in seven, in groups of three, and another server would have answered.
+/// Guards against a budget that forgets what quiet seconds have earned: an entry whose part of the
+/// fleet's reserve is 1.4 then retries only the first of each group, and callers get the other
+/// failures.
 #[test]
 fn grouped_failures() {
     let bounds = RetryBounds { share: 0.1, reserve: 1.4, window: WINDOW };
@@ -131,22 +133,22 @@
     assert_eq!(refused, 0);
 }
 
-/// A stream breaks in the middle and may not be resumed: its caller must see that it is cut.
+/// A stream breaks and must not be resumed: its caller must see that it is truncated.
 #[test]
 fn broken_stream() {
-    let mut tally = AttemptHistory::new(RouteKind::Stream { resumable: false }, 2);
-    tally.begun = true;
-    tally.record(AttemptOutcome::Broken);
-    assert_eq!(tally.next_step(AttemptOutcome::Broken, LEFT), NextStep::Truncate);
+    let mut history = AttemptHistory::new(RouteKind::Stream { resumable: false }, 2);
+    history.begun = true;
+    history.record(AttemptOutcome::Broken);
+    assert_eq!(history.next_step(AttemptOutcome::Broken, LEFT), NextStep::Truncate);
 }
 
-/// A resumable stream breaks with an attempt and time to spare: another server goes on.
+/// A resumable stream breaks with an attempt and time left: another server continues it.
 #[test]
 fn resumed_stream() {
-    let mut tally = AttemptHistory::new(RouteKind::Stream { resumable: true }, 2);
-    tally.begun = true;
-    tally.record(AttemptOutcome::Broken);
-    assert_eq!(tally.next_step(AttemptOutcome::Broken, LEFT), NextStep::Retry);
-    tally.record(AttemptOutcome::Broken);
-    assert_eq!(tally.next_step(AttemptOutcome::Broken, LEFT), NextStep::Truncate);
+    let mut history = AttemptHistory::new(RouteKind::Stream { resumable: true }, 2);
+    history.begun = true;
+    history.record(AttemptOutcome::Broken);
+    assert_eq!(history.next_step(AttemptOutcome::Broken, LEFT), NextStep::Retry);
+    history.record(AttemptOutcome::Broken);
+    assert_eq!(history.next_step(AttemptOutcome::Broken, LEFT), NextStep::Truncate);
 }
--- a/toucanrail/tests/backend_placement.rs
+++ b/toucanrail/tests/backend_placement.rs
@@ -1,4 +1,4 @@
-//! Where requests go: sessions, slots and servers that are leaving.
+//! Placement of requests: sessions, slots and servers that are leaving.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -47,18 +47,18 @@
     placement::pick_backend(&eligible, &query).expect("a server").entry.id.to_string()
 }
 
-/// Makes the query of a request whose prompt is these parts.
+/// Creates the query of a request whose prompt consists of `parts`.
 fn make_query<'call>(data_centre: &'call str, parts: &'call [PromptPart]) -> PlacementQuery<'call> {
     let prompt = parts.iter().map(|part| part.tokens).sum();
     PlacementQuery { data_centre, parts, prompt, now: NOW, random: 0.5 }
 }
 
-fn flight(uncached: u64) -> FlightRow {
+fn in_flight(uncached: u64) -> FlightRow {
     FlightRow { sent_at: NOW, uncached, begun: false }
 }
 
-/// Two callers of one session reach entries in two data centres. Sent to two servers, its shared
-/// part is read twice, which delays every stream at the second one.
+/// Requests of one session at entries in two data centres must reach the same server. On two
+/// servers the shared part is prefilled twice, which delays every stream of the second one.
 #[test]
 fn shared_session() {
     let table = make_table();
@@ -67,21 +67,21 @@
     }
 }
 
-/// Most callers ask about one thing at once. Its server's prompts queue up, and the next request
-/// would begin too late there: it goes elsewhere, and the part is read a second time.
+/// Most callers use one session at once, and its server has a queue of prompts. The next request
+/// would begin too late there, so it goes elsewhere although the shared part is prefilled again.
 #[test]
 fn hot_session() {
     let mut table = make_table();
-    let home = pick(&table, "a", 7, 1);
+    let preferred = pick(&table, "a", 7, 1);
     for _ in 0..12 {
-        table.note_sent(&home, flight(6_600), &[]);
+        table.note_sent(&preferred, in_flight(6_600), &[]);
     }
-    assert_ne!(pick(&table, "a", 7, 2), home);
+    assert_ne!(pick(&table, "a", 7, 2), preferred);
 }
 
-/// Prompts of all sizes come in a burst. With servers set aside for long prompts, and slow ones kept for
-/// short prompts, four of nine servers had nothing to read while the prompts at the others waited for
-/// half a second: each server must get its part of the tokens, by its pace.
+/// Prompts of all sizes arrive in a burst, and each server must get its share of the tokens
+/// according to its pace. When servers were reserved for long prompts and slow servers for short
+/// ones, four of nine servers were idle while prompts at the others waited for half a second.
 #[test]
 fn whole_fleet() {
     let mut table = addressed_table();
@@ -99,7 +99,7 @@
         let id = pick_parts(&table, "a", &parts);
         let parts = parts.map(|(id, tokens)| PromptPart { id, tokens });
         let uncached = table.get(&id).unwrap().uncached_tokens(&parts, 100 + shared + own);
-        table.note_sent(&id, flight(uncached), &parts);
+        table.note_sent(&id, in_flight(uncached), &parts);
         let weight = if slow.contains(&id) { 13 } else { 10 };
         *sent.entry(id).or_default() += uncached * weight;
     }
@@ -108,13 +108,13 @@
     assert!(*most < *least * 3 / 2, "{sent:?}");
 }
 
-/// A session's server is crowded, and its next prompt goes elsewhere. Its shared part of 4,900 tokens was
-/// read a second time there, in which all streams beside it pause. It is fetched instead, from the
-/// session's server; a request that goes there, and one with a small part, fetches nothing.
+/// A session's server is crowded, and its next prompt goes elsewhere. The shared part of 4,900
+/// tokens must be fetched from the session's server instead of being prefilled again while all
+/// streams pause. A request at the session's server and one with a small shared part fetch nothing.
 #[test]
 fn fetched_parts() {
     let mut table = make_table();
-    let home = pick(&table, "a", 100, 7);
+    let preferred = pick(&table, "a", 100, 7);
     let source = |table: &BackendTable, own: u64, shared: u64| {
         let parts = [(1, 500), (100, shared), (7, own)];
         let parts = parts.map(|(id, tokens)| PromptPart { id, tokens });
@@ -126,32 +126,36 @@
     };
     assert_eq!(source(&table, 6_600, 4_900), None);
     for _ in 0..12 {
-        table.note_sent(&home, flight(6_600), &[]);
+        table.note_sent(&preferred, in_flight(6_600), &[]);
     }
-    assert_eq!(source(&table, 33_000, 4_900), Some(home.clone()));
-    assert_eq!(source(&table, 6_600, 4_900), Some(home));
+    assert_eq!(source(&table, 33_000, 4_900), Some(preferred.clone()));
+    assert_eq!(source(&table, 6_600, 4_900), Some(preferred));
     assert_eq!(source(&table, 33_000, 200), None);
 }
 
-/// A session's first server turns out to be slow, and another is its first from then on. There its part
-/// of 4,900 tokens was read anew, for most sessions at once; it is fetched from the server before.
+/// A session's preferred server turns out to be slow, and another server is preferred from then on.
+/// The shared part of 4,900 tokens must be fetched from the previous server; otherwise most
+/// sessions are prefilled again at once.
 #[test]
 fn moved_session() {
     let mut table = addressed_table();
-    let homes: Vec<String> = (100..300).map(|session| pick(&table, "a", session, 1)).collect();
-    for (session, home) in (100..).zip(&homes) {
+    let preferred_servers: Vec<String> =
+        (100..300).map(|session| pick(&table, "a", session, 1)).collect();
+    for (session, preferred) in (100..).zip(&preferred_servers) {
         let parts = [(1, 500), (session, 4_900)];
         let parts = parts.map(|(id, tokens)| PromptPart { id, tokens });
-        table.note_sent(home, flight(6_600), &parts);
+        table.note_sent(preferred, in_flight(6_600), &parts);
     }
-    // What was sent has ended.
+    // The requests sent above have ended.
     let ended: Vec<String> = table.rows().map(|row| row.entry.id.to_string()).collect();
     for (id, number) in ended.iter().flat_map(|id| (0..=200).map(move |number| (id, number))) {
         table.note_ended(id, number);
     }
-    make_slow(&mut table, &BTreeSet::from([homes[0].clone()]));
+    make_slow(&mut table, &BTreeSet::from([preferred_servers[0].clone()]));
     let moved: Vec<u64> = (100..300)
-        .filter(|session| pick(&table, "a", *session, 1) != homes[*session as usize - 100])
+        .filter(|session| {
+            pick(&table, "a", *session, 1) != preferred_servers[*session as usize - 100]
+        })
         .collect();
     assert!(!moved.is_empty());
     let eligible = table.eligible("llm", &[], NOW);
@@ -161,32 +165,32 @@
         let query = make_query("a", &parts);
         let target = placement::pick_backend(&eligible, &query).expect("a server");
         let source = placement::pick_fetch_source(&eligible, &query, target).expect("a holder");
-        assert_eq!(*source.entry.id, *homes[session as usize - 100]);
+        assert_eq!(*source.entry.id, *preferred_servers[session as usize - 100]);
     }
 }
 
-/// All servers are gone but one that is crowded and one that is far and slow: the next prompt goes there
+/// Only a crowded server and a remote slow one are left: the next prompt goes to the slow one
 /// rather than wait for seconds.
 #[test]
 fn crowded_server() {
     let mut table = addressed_table();
-    let home = pick(&table, "a", 7, 1);
-    let last = if home == "s8" { "s7" } else { "s8" };
+    let preferred = pick(&table, "a", 7, 1);
+    let last = if preferred == "s8" { "s7" } else { "s8" };
     make_slow(&mut table, &BTreeSet::from([last.to_owned()]));
     for at in 0..9 {
         let id = format!("s{at}");
-        if id != home && id != last {
+        if id != preferred && id != last {
             table.note_missing(&id, None);
         }
     }
     for _ in 0..12 {
-        table.note_sent(&home, flight(6_600), &[]);
+        table.note_sent(&preferred, in_flight(6_600), &[]);
     }
     assert_eq!(pick(&table, "a", 7, 2), last);
 }
 
-/// An entry lapses while the store is away, and its server lives on. It is used for the time in which
-/// live servers come back, and no longer.
+/// An entry expires during a store outage while its server is alive. The server is used for as long
+/// as live servers need to register again, and no longer.
 #[test]
 fn lapsed_entry() {
     let mut table = make_table();
@@ -196,9 +200,9 @@
     assert_eq!(table.drop_expired(NOW + MISSING_GRACE + Duration::from_millis(1)).len(), 1);
 }
 
-/// A server leaves without a word just as an entry comes back to the store: its entry is gone, and
-/// looks lapsed. It is used for less than the two seconds that a leaving server may still get work,
-/// counted at each choice and not when the table is next swept.
+/// A server leaves without notice just when an entry reaches the store again, so that its missing
+/// entry looks expired. It must get work for less than the two seconds allowed for a leaving
+/// server; this is checked at each choice, not only when the table is swept.
 #[test]
 fn unswept_entry() {
     let mut table = make_table();
@@ -207,7 +211,8 @@
     assert_eq!(table.eligible("llm", &[], late).len(), 8);
 }
 
-/// A server's entry vanishes while the store is well: it has left without a word, and gets nothing.
+/// A server's entry vanishes while the store is available: the server has left without notice and
+/// gets no more work.
 #[test]
 fn vanished_entry() {
     let mut table = make_table();
@@ -215,20 +220,20 @@
     assert!(table.get("s0").is_none());
 }
 
-/// A server starts again under its id. What it had cached and what ran there is gone.
+/// A server restarts under the same id: its cache and its requests are gone.
 #[test]
-fn reborn_server() {
+fn restarted_server() {
     let mut table = make_table();
-    table.note_sent("s0", flight(100), &[PromptPart { id: 5, tokens: 100 }]);
+    table.note_sent("s0", in_flight(100), &[PromptPart { id: 5, tokens: 100 }]);
     table.apply_entry(BackendEntry { started_at: 2, ..entry("s0") });
     let row = table.get("s0").unwrap();
     assert_eq!(row.flights.len(), 0);
     assert_eq!(row.uncached_tokens(&[PromptPart { id: 5, tokens: 100 }], 100), 100);
 }
 
-/// All VMs lose power and start again. A server's new process registers under another id at the old
-/// address, while the entry of the one before stands for some seconds more. Callers whose requests went
-/// to it were refused, since the new process does not run what is meant for another one.
+/// All VMs lose power and restart. A server's new process registers under another id at the same
+/// address, while the old entry remains for some seconds. Requests sent to the old id are refused,
+/// because the new process does not run requests for another one.
 #[test]
 fn replaced_server() {
     for last in [true, false] {
@@ -244,8 +249,8 @@
     }
 }
 
-/// Every server of a service was found down in a bad moment. Refusing all would be worse than
-/// trying those that the store still lists as ready; one that is draining is not among them.
+/// Every server of a service was found down. Servers that the store still lists as ready must be
+/// tried rather than all requests refused; a draining server is not among them.
 #[test]
 fn all_down() {
     let mut table = make_table();
@@ -256,7 +261,7 @@
     assert_eq!(table.eligible("llm", &[], NOW).len(), 8);
 }
 
-/// Makes a table of servers on VMs of their own.
+/// Creates a table of servers on separate VMs.
 fn addressed_table() -> BackendTable {
     let mut table = BackendTable::new();
     for at in 0..9_u8 {
@@ -266,7 +271,7 @@
     table
 }
 
-/// States that some servers are 1.3 times slower than the others.
+/// Sets paces so that the `slow` servers are 1.3 times slower than the others.
 fn make_slow(table: &mut BackendTable, slow: &BTreeSet<String>) {
     let paces = table.rows().map(|row| {
         let pace = if slow.contains(&*row.entry.id) { 26 } else { 20 };
@@ -276,9 +281,9 @@
     table.apply_paces(&paces);
 }
 
-/// Three of nine servers are 1.3 times slower, and no server tells its speed. Once the relays have measured
-/// them, slow servers are first for fewer sessions, by their pace, and get no long prompts while others
-/// are free.
+/// Three of nine servers are 1.3 times slower, and no server states its speed. Once the relays have
+/// measured them, slow servers are preferred for fewer sessions, in proportion to their pace, and
+/// get no long prompts while other servers are free.
 #[test]
 fn slow_servers() {
     let mut table = addressed_table();
@@ -289,10 +294,10 @@
     };
     assert!((600..733).contains(&count(&table, 6_600)));
     make_slow(&mut table, &slow);
-    // 3 of 3 + 6 * 1.3 parts of 2,000 sessions.
+    // A fraction of 3 / (3 + 6 * 1.3) of 2,000 sessions.
     for own in [600, 6_600] {
         assert!((500..611).contains(&count(&table, own)), "{own}: {}", count(&table, own));
     }
-    // What a fast one reads 170 ms sooner does not wait for a slow one.
+    // A prompt that a fast server prefills 170 ms sooner is not placed at a slow one.
     assert_eq!(count(&table, 33_000), 0);
 }
--- a/toucanrail/tests/board_updates.rs
+++ b/toucanrail/tests/board_updates.rs
@@ -1,4 +1,4 @@
-//! What boards tell entries, against entries that watch the store themselves.
+//! Updates that boards give to entries, compared with a direct view of the store.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -19,8 +19,9 @@
     MirrorChange { object: object(name, version), removed }
 }
 
-/// A board is cut off from the store and goes on answering that nothing changed. Its entries would send
-/// to a server that left, although they reach the store themselves; so it says that it is stale.
+/// A board that is cut off from the store must say that it is stale. If it answered that nothing
+/// changed, its entries would send requests to servers that have left, although they can reach the
+/// store themselves.
 #[test]
 fn silent_store() {
     let mut table = BoardTable::new();
@@ -30,8 +31,8 @@
     assert_eq!(table.empty_update(3, later), NewsReply::Stale);
 }
 
-/// The board's call to the store failed. Entries that wait for news must not wait on: those who reach
-/// the store can know the change that the board misses.
+/// The board's call to the store failed. Entries that wait for updates must be answered at once:
+/// those that can reach the store may learn of a change that the board misses.
 #[test]
 fn failed_call() {
     let mut table = BoardTable::new();
@@ -42,10 +43,10 @@
     assert_eq!(table.updates_since(Some(3), NOW), None);
 }
 
-/// An entry that asked the store itself knows more than the board. The board's older changes must not
-/// bring back what the entry knows as gone.
+/// An entry that asked the store itself may know more than the board. The board's older changes
+/// must not restore objects that the entry knows to be removed.
 #[test]
-fn late_board() {
+fn lagging_board() {
     let mut table = BoardTable::new();
     table.apply_listing(vec![object("a", 3)], 3, NOW);
     table.apply_changes(vec![change("b", 5, false)], 5, NOW);
@@ -53,14 +54,14 @@
     assert_eq!(table.empty_update(9, NOW), NewsReply::Changes { changes: Vec::new(), revision: 9 });
 }
 
-/// The store forgot its history, and the board listed anew. An entry that is further behind must get
-/// the listing: the removals in between are in no change.
+/// The store lost its history, and the board was listed anew. An entry that is further behind must
+/// get the listing, because no change contains the removals in between.
 #[test]
 fn forgotten_history() {
     let mut table = BoardTable::new();
     table.apply_listing(vec![object("a", 8)], 20, NOW);
-    let news = table.updates_since(Some(12), NOW);
-    assert!(matches!(news, Some(NewsReply::Listing { revision: 20, .. })), "{news:?}");
+    let updates = table.updates_since(Some(12), NOW);
+    assert!(matches!(updates, Some(NewsReply::Listing { revision: 20, .. })), "{updates:?}");
 }
 
 #[derive(Debug, Default)]
@@ -87,18 +88,18 @@
     }
 }
 
-/// A board that was never asked begins in an outage. Its entries waited for its first listing for as long
-/// as for news, in vain.
+/// A board is first asked during an outage. Its entries must not wait for its first listing as long
+/// as for an update.
 #[test]
-fn fresh_board() {
+fn unlisted_board() {
     let mut table = BoardTable::new();
     assert_eq!(table.updates_since(None, NOW), None);
     table.note_store_failure();
     assert_eq!(table.updates_since(None, NOW), Some(NewsReply::Stale));
 }
 
-/// The store is down for four seconds, and 68 entries look every 640 ms at the latest whether they may ask
-/// it. Retries of the entries were most of the calls of such a day.
+/// The store is down for four seconds, and each of 68 entries checks every 640 ms whether it may
+/// ask it. Without a limit, the entries' retries were most of a day's calls.
 #[test]
 fn outage_calls() {
     let step = Duration::from_millis(640);
@@ -118,7 +119,7 @@
 }
 
 proptest! {
-    /// Whenever an entry has asked, it knows what the board knew, or more.
+    /// After each reply, an entry knows at least what the board knew.
     #[test]
     fn same_view(steps in prop::collection::vec((0_u8..5, 0_u8..4), 1..300)) {
         let mut store = NaiveStore::default();
@@ -154,7 +155,7 @@
                         }
                         seen = Some(revision);
                     }
-                    Some(NewsReply::Stale) => prop_assert!(false, "the store is there"),
+                    Some(NewsReply::Stale) => prop_assert!(false, "the store is available"),
                     None => {}
                 },
             }
--- a/toucanrail/tests/zone_evacuations.rs
+++ b/toucanrail/tests/centre_evacuations.rs
@@ -1,4 +1,4 @@
-//! Data centres that are emptied and taken back.
+//! Data centres that are evacuated and taken back into use.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -45,7 +45,8 @@
     table.eligible("llm", &[], now).len()
 }
 
-/// A third of the servers gets nothing new within the bound, and not one step moves all of its sessions.
+/// A third of the servers gets no new work within the bound, and no single step moves all of their
+/// sessions.
 #[test]
 fn closes_gradually() {
     let mut table = make_table(54);
@@ -57,15 +58,15 @@
     assert_eq!(counts.last(), Some(&36));
 }
 
-/// The news of an evacuation came late. It is in force at once then.
+/// An evacuation that becomes known late takes effect at once.
 #[test]
-fn late_news() {
+fn late_change() {
     let mut table = make_table(9);
     table.evacuations.begin(&Arc::from("b"), BOUND / 2, NOW);
     assert_eq!(count_eligible(&table, NOW), 6);
 }
 
-/// An entry starts in the middle of an evacuation that it has not heard of yet.
+/// An entry starts during an evacuation that it does not know of yet.
 #[test]
 fn unknown_at_start() {
     let evacuations = EvacuationTable::awaiting_listing(BOUND);
@@ -78,7 +79,7 @@
     assert_eq!(count_eligible(&table, NOW), 1);
 }
 
-/// The store forgets its history. The evacuation in the new listing must go on as it was, not begin anew.
+/// The store loses its history. The evacuation in the new listing must continue, not begin again.
 #[test]
 fn listed_again() {
     let mut table = make_table(9);
@@ -89,9 +90,9 @@
     assert_eq!(table.evacuations.apply_listing(&listed(&[]), later), [Arc::from("b")]);
 }
 
-/// Where all data centres are emptied nothing is eligible, also not as the last resort.
+/// If all data centres are evacuated no server is eligible, not even as a last resort.
 #[test]
-fn all_emptied() {
+fn all_evacuated() {
     let mut table = make_table(9);
     table.evacuations.apply_listing(&listed(&["a", "b", "c"]), NOW);
     for at in 0..9 {
@@ -100,8 +101,8 @@
     assert_eq!(count_eligible(&table, NOW), 0);
 }
 
-/// A session moves away from a server that is closed. Its part of 4,900 tokens is fetched from there for as
-/// long as that is allowed, and not any longer.
+/// A session leaves a server that is closed. Its part of 4,900 tokens is fetched from there while
+/// that is allowed, and no longer.
 #[test]
 fn fetched_while_closing() {
     let mut table = make_table(9);
@@ -116,19 +117,19 @@
         let source = placement::pick_fetch_source(&sources, &query, target);
         (target.entry.clone(), source.map(|source| Arc::clone(&source.entry.id)))
     };
-    let (home, _) = source(&table, NOW);
-    let flight = FlightRow { sent_at: NOW, uncached: 12_000, begun: true };
-    table.note_sent(&home.id, flight, &parts);
-    table.evacuations.begin(&home.data_centre, Duration::ZERO, NOW);
+    let (preferred, _) = source(&table, NOW);
+    let in_flight = FlightRow { sent_at: NOW, uncached: 12_000, begun: true };
+    table.note_sent(&preferred.id, in_flight, &parts);
+    table.evacuations.begin(&preferred.data_centre, Duration::ZERO, NOW);
     let closed = NOW + BOUND.mul_f64(0.3);
-    let (target, holder) = source(&table, closed);
-    assert_ne!(target.data_centre, home.data_centre);
-    assert_eq!(holder, Some(home.id));
+    let (target, source_id) = source(&table, closed);
+    assert_ne!(target.data_centre, preferred.data_centre);
+    assert_eq!(source_id, Some(preferred.id));
     assert_eq!(source(&table, NOW + BOUND.mul_f64(0.5)).1, None);
 }
 
-/// The servers of a data centre were started anew while it was empty, and the news that it is taken back
-/// comes before theirs. They must not get a fleet's load at once.
+/// The servers of a data centre were restarted during its evacuation, and the end of the evacuation
+/// becomes known before their restarts. They must not get a fleet's load at once.
 #[test]
 fn cold_when_reopened() {
     let mut table = make_table(9);
--- a/toucanrail/tests/cold_starts.rs
+++ b/toucanrail/tests/cold_starts.rs
@@ -1,4 +1,4 @@
-//! Servers that have just started, and the permits for them.
+//! Permits for servers that have just started.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,15 +10,15 @@
 
 const RULE: ColdRule = ColdRule { time: Duration::from_secs(3), rate: 10.0 };
 const SLACK: ColdSlack = ColdSlack { factor: 1.5, extra: 5.0 };
-/// Arrivals in one second that a cold server bears.
-const BOUND: usize = 20;
+/// Maximum number of arrivals per second that a cold server tolerates.
+const MAX_ARRIVALS: usize = 20;
 const SECOND: Duration = Duration::from_secs(1);
 
-fn order() -> PermitRequest {
+fn permit_request() -> PermitRequest {
     PermitRequest { server: Arc::from("s"), limit: coldstarts::permit_limit(RULE, SLACK) }
 }
 
-/// Returns the most arrivals within one second, both ends included.
+/// Returns the maximum number of arrivals within one second, including both ends.
 fn count_most(arrivals: &mut [Duration]) -> usize {
     arrivals.sort_unstable();
     let within = |from: &Duration| {
@@ -28,62 +28,63 @@
 }
 
 proptest! {
-    /// Any number of entries ask at any time and send as late as their permits allow; in one of the runs the
-    /// relay is killed and starts anew, knowing nothing. The server is not pressed beyond its bound.
+    /// Any number of entries request permits at any time and send as late as their permits allow;
+    /// in some cases the relay is killed and restarts without its state. The server must not get
+    /// more than its maximum.
     #[test]
-    fn never_pressed(
-        asks in proptest::collection::vec((0_u64..3_000, 0_u64..149), 1..400),
-        killed in proptest::option::of(0_u64..3_000),
+    fn never_overloaded(
+        requests in proptest::collection::vec((0_u64..3_000, 0_u64..149), 1..400),
+        killed_at in proptest::option::of(0_u64..3_000),
     ) {
-        let mut asks = asks;
-        asks.sort_unstable();
+        let mut requests = requests;
+        requests.sort_unstable();
         let mut table = PermitTable::new(Duration::ZERO);
         let start = PermitTable::WINDOW;
-        let killed = killed.map(|at| start + Duration::from_millis(at));
+        let killed_at = killed_at.map(|at| start + Duration::from_millis(at));
         let mut restarted = false;
         let mut arrivals = Vec::new();
-        for (at, delay) in asks {
+        for (at, delay) in requests {
             let now = start + Duration::from_millis(at);
-            if killed.is_some_and(|killed| now >= killed) && !restarted {
+            if killed_at.is_some_and(|killed_at| now >= killed_at) && !restarted {
                 restarted = true;
                 table = PermitTable::new(now);
             }
-            if table.grant(&order(), now) == PermitReply::Given {
+            if table.grant(&permit_request(), now) == PermitReply::Given {
                 let delay = Duration::from_millis(delay);
                 prop_assert!(delay < PERMIT_VALIDITY);
                 arrivals.push(now + delay);
             }
         }
-        let most = count_most(&mut arrivals);
-        let allowed = if restarted { BOUND } else { order().limit };
-        prop_assert!(most <= allowed, "{most}");
+        let peak = count_most(&mut arrivals);
+        let allowed = if restarted { MAX_ARRIVALS } else { permit_request().limit };
+        prop_assert!(peak <= allowed, "{peak}");
     }
 }
 
-/// A cold server must not starve: the rate that it is made for is to be had of the permits.
+/// A cold server must not starve: permits for the rate that it is designed for must be available.
 #[test]
 fn rate_served() {
     let mut table = PermitTable::new(Duration::ZERO);
     let start = PermitTable::WINDOW;
     let given = (0..3_000_u64)
         .filter(|at| {
-            table.grant(&order(), start + Duration::from_millis(*at)) == PermitReply::Given
+            table.grant(&permit_request(), start + Duration::from_millis(*at)) == PermitReply::Given
         })
         .count();
     assert!(given as f64 >= RULE.rate * 3.0, "{given}");
 }
 
-/// All entries turn to one server whose permits are used up. They are told when the next one is to be had,
-/// and it is.
+/// All entries use one server whose permits are exhausted. The delay they are told must lead to the
+/// next available permit.
 #[test]
-fn told_wait() {
+fn told_delay() {
     let mut table = PermitTable::new(Duration::ZERO);
     let now = PermitTable::WINDOW * 2;
-    for _ in 0..order().limit {
-        assert_eq!(table.grant(&order(), now), PermitReply::Given);
+    for _ in 0..permit_request().limit {
+        assert_eq!(table.grant(&permit_request(), now), PermitReply::Given);
     }
-    let PermitReply::After(wait) = table.grant(&order(), now) else {
-        panic!("a permit too many");
+    let PermitReply::After(wait) = table.grant(&permit_request(), now) else {
+        panic!("a permit above the limit");
     };
-    assert_eq!(table.grant(&order(), now + wait), PermitReply::Given);
+    assert_eq!(table.grant(&permit_request(), now + wait), PermitReply::Given);
 }
--- a/toucanrail/tests/fleet_members.rs
+++ b/toucanrail/tests/fleet_members.rs
@@ -1,4 +1,4 @@
-//! Who is watched by whom, and who is gone.
+//! Heartbeats between entries, and detection of lost peers and VMs.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -10,7 +10,7 @@
 use toucanrail::messages::VmSnapshot;
 use toucanrail::servers::{NodeEntry, NodeRole};
 
-fn names(count: usize) -> Vec<EntryId> {
+fn entry_ids(count: usize) -> Vec<EntryId> {
     (0..count).map(|at| Arc::from(format!("entry-{at}"))).collect()
 }
 
@@ -25,12 +25,12 @@
     }
 }
 
-/// A fleet of 24 entries. Each sends heartbeats to eight; an entry that took the silence of the
-/// others for their death ended their registrations, they registered again, and the object API
-/// got 139 writes a second from a fleet with nothing to do.
+/// A fleet of 24 entries that each send heartbeats to eight peers. Guards against treating the
+/// silence of the other peers as their failure: entries ended each other's registrations and
+/// registered again, and an idle fleet made 139 writes a second to the object API.
 #[test]
 fn unwatched_peers() {
-    let all = names(24);
+    let all = entry_ids(24);
     let (me, second) = (&all[0], Duration::from_secs(1));
     let nodes: Vec<NodeEntry> = all.iter().map(node).collect();
     let mut table = MemberTable::new();
@@ -42,13 +42,14 @@
     }
     assert!(table.lost_peers(second * 20).is_empty());
     let lost = table.lost_peers(second * 25);
-    assert_eq!(lost.len(), members::HEARTBEAT_TARGETS, "those that fell silent");
+    assert_eq!(lost.len(), members::HEARTBEAT_TARGETS, "the peers that stopped answering");
 }
 
-/// Every entry of a large fleet that dies is noticed by some, and they agree on who acts first.
+/// Each failed entry of a large fleet is detected by several others, and they agree on which one
+/// acts first.
 #[test]
 fn observer_ranks() {
-    let all = names(40);
+    let all = entry_ids(40);
     for dead in &all {
         let live: Vec<EntryId> =
             all.iter().filter(|entry| *entry != dead).map(Arc::clone).collect();
@@ -73,7 +74,7 @@
     table.apply_vms(snapshot(&["new"], 3));
     assert!(table.is_vm_gone(&Arc::from("old")));
     table.apply_vms(snapshot(&["new", "old"], 4));
-    assert!(!table.is_vm_gone(&Arc::from("old")), "it came back");
+    assert!(!table.is_vm_gone(&Arc::from("old")), "the VM is listed again");
 }
 
 #[test]
