--- a/toucanrail/tests/load_probes.rs
+++ b/toucanrail/tests/load_probes.rs
@@ -1,4 +1,4 @@
-//! Load probes before a placement, against placing by what an entry knows itself.
+//! Placement with load probes, compared with placement by an entry's own knowledge.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -7,18 +7,17 @@
 
 use toucanrail::backends::{BackendEntry, BackendTable, FlightRow, PromptPart};
 use toucanrail::paces::{BackendReport, RunProgress};
-use toucanrail::placement;
-use toucanrail::placement::PlacementQuery;
+use toucanrail::placement::{self, PlacementQuery};
 use toucanrail::probes::{self, ProbeRow, SlotGauge};
 
-const AIM: Duration = Duration::from_millis(500);
+const LATENCY_TARGET: Duration = Duration::from_millis(500);
 const SLOTS: u64 = 16;
 const SERVERS: usize = 12;
 const ENTRIES: usize = 24;
-/// Time for which a request runs once it has a place, and between two requests: 85 % of all places are
+/// Run time of a request once it has a slot, and time between two requests: 85 % of all slots are
 /// taken.
-const RUN: Duration = Duration::from_secs(3);
-const PAUSE: Duration = Duration::from_millis(18);
+const RUN_TIME: Duration = Duration::from_secs(3);
+const REQUEST_INTERVAL: Duration = Duration::from_millis(18);
 const REQUESTS: usize = 3_000;
 
 fn entry(at: usize) -> BackendEntry {
@@ -58,39 +57,44 @@
         .map(|(id, tokens)| PromptPart { id, tokens })
 }
 
-/// The server that an entry takes for the best has no place free, which it cannot know; another has.
+/// The server that an entry expects to be the best has no free slot, which only a probe can show;
+/// another one has.
 #[test]
 fn full_server() {
     let table = make_table();
     let parts = make_parts(7, 1);
-    let query = make_query(&parts, RUN);
-    let eligible = table.eligible("llm", &[], RUN);
+    let query = make_query(&parts, RUN_TIME);
+    let eligible = table.eligible("llm", &[], RUN_TIME);
     let candidates = probes::pick_candidates(&eligible, &query, &[0.1, 0.9]);
     assert_eq!(candidates.len(), 3);
-    let home = Arc::clone(&candidates[0].id);
-    let load = |at: usize| if at == 0 { make_report(SLOTS, 4) } else { make_report(3, 0) };
-    let probed: Vec<ProbeRow> =
-        candidates.into_iter().enumerate().map(|(at, entry)| (entry, Some(load(at)))).collect();
-    let chosen = probes::pick_probed(&eligible, &query, &probed, AIM).expect("a server");
-    assert_ne!(chosen.entry.id, home);
+    let preferred = Arc::clone(&candidates[0].id);
+    let make_load = |at: usize| if at == 0 { make_report(SLOTS, 4) } else { make_report(3, 0) };
+    let probed: Vec<ProbeRow> = candidates
+        .into_iter()
+        .enumerate()
+        .map(|(at, entry)| (entry, Some(make_load(at))))
+        .collect();
+    let chosen = probes::pick_probed(&eligible, &query, &probed, LATENCY_TARGET).expect("a server");
+    assert_ne!(chosen.entry.id, preferred);
 }
 
-/// Nothing is known of servers whose relays do not answer: the request goes where it would go unasked.
+/// Without any report from the relays, the request goes where it would go without probes.
 #[test]
 fn silent_relays() {
     let table = make_table();
     let parts = make_parts(7, 1);
-    let query = make_query(&parts, RUN);
-    let eligible = table.eligible("llm", &[], RUN);
+    let query = make_query(&parts, RUN_TIME);
+    let eligible = table.eligible("llm", &[], RUN_TIME);
     let candidates = probes::pick_candidates(&eligible, &query, &[0.1, 0.9]);
     let probed: Vec<ProbeRow> = candidates.into_iter().map(|entry| (entry, None)).collect();
-    let chosen = probes::pick_probed(&eligible, &query, &probed, AIM).map(|row| &row.entry.id);
+    let chosen =
+        probes::pick_probed(&eligible, &query, &probed, LATENCY_TARGET).map(|row| &row.entry.id);
     assert_eq!(chosen, placement::pick_backend(&eligible, &query).map(|row| &row.entry.id));
 }
 
-/// Probes delayed each request of a fleet whose servers had places free, and told nothing.
+/// While servers have free slots, requests must not be delayed by probes that add no information.
 #[test]
-fn free_places() {
+fn free_slots() {
     let mut gauge = SlotGauge::default();
     let free: Vec<ProbeRow> = (0..3).map(|at| (entry(at), Some(make_report(5, 0)))).collect();
     let full: Vec<ProbeRow> = (0..3).map(|at| (entry(at), Some(make_report(SLOTS, 2)))).collect();
@@ -104,38 +108,38 @@
     assert!(!gauge.should_probe(0.5));
 }
 
-/// One request as its server sees it.
+/// One request, as seen by its server.
 #[derive(Clone, Copy)]
 struct PlacedRow {
     begins: Duration,
     ends: Duration,
 }
 
-/// A model of a server.
+/// A simulated server.
 trait ServerSim: Default {
-    /// Places a request; true if that was a bad choice.
+    /// Places a request; returns true if that was a bad choice.
     fn place(&mut self, now: Duration) -> bool;
 
-    /// Returns what its relay tells.
+    /// Returns the server's load report.
     fn report(&self, now: Duration) -> BackendReport;
 }
 
-/// A server with a queue: a request begins as soon as one of the places is free.
+/// A server with a queue: a request begins as soon as a slot is free.
 #[derive(Default)]
 struct QueueSim {
     rows: Vec<PlacedRow>,
 }
 
 impl ServerSim for QueueSim {
-    /// The request waits for a place for longer than hoped for.
+    /// A bad choice is one whose wait for a slot exceeds the latency target.
     fn place(&mut self, now: Duration) -> bool {
         let mut ends: Vec<Duration> =
             self.rows.iter().map(|row| row.ends).filter(|ends| *ends > now).collect();
         ends.sort_unstable();
-        let over = (ends.len() + 1).saturating_sub(SLOTS as usize);
-        let begins = over.checked_sub(1).map_or(now, |at| ends[at]);
-        self.rows.push(PlacedRow { begins, ends: begins + RUN });
-        begins.saturating_sub(now) > AIM
+        let ahead = (ends.len() + 1).saturating_sub(SLOTS as usize);
+        let begins = ahead.checked_sub(1).map_or(now, |at| ends[at]);
+        self.rows.push(PlacedRow { begins, ends: begins + RUN_TIME });
+        begins.saturating_sub(now) > LATENCY_TARGET
     }
 
     fn report(&self, now: Duration) -> BackendReport {
@@ -145,17 +149,18 @@
     }
 }
 
-/// Some requests that many entries place, one after the other.
+/// A series of requests that many entries place in turn.
 struct LoadPlan<Parts> {
     seed: u64,
-    pause: Duration,
-    /// Servers drawn for each probe.
-    drawn: usize,
-    /// Makes the prompt of a session's request, by its number.
+    interval: Duration,
+    /// Number of random servers in each probe.
+    samples: usize,
+    /// Creates the prompt of a session's request, given its number.
     make_parts: Parts,
 }
 
-/// Serves a load through entries that each see a part of it, and counts the bad choices.
+/// Simulates a load placed by entries that each see a part of it, and returns the number of bad
+/// choices.
 fn count_bad<Server, Parts>(plan: &LoadPlan<Parts>, probes_first: bool) -> usize
 where
     Server: ServerSim,
@@ -166,12 +171,12 @@
     let mut servers: BTreeMap<Arc<str>, Server> = BTreeMap::new();
     let mut bad = 0;
     for number in 0..REQUESTS {
-        let now = plan.pause * number as u32;
+        let now = plan.interval * number as u32;
         let table = &mut tables[number % ENTRIES];
         let parts = (plan.make_parts)(rng.u64(0..40), number as u64);
         let query = make_query(&parts, now);
         let eligible = table.eligible("llm", &[], now);
-        let draws: Vec<f64> = (0..plan.drawn).map(|_| rng.f64()).collect();
+        let draws: Vec<f64> = (0..plan.samples).map(|_| rng.f64()).collect();
         let candidates = probes::pick_candidates(&eligible, &query, &draws);
         let probed: Vec<ProbeRow> = candidates
             .into_iter()
@@ -181,7 +186,7 @@
             })
             .collect();
         let chosen = if probes_first {
-            probes::pick_probed(&eligible, &query, &probed, AIM)
+            probes::pick_probed(&eligible, &query, &probed, LATENCY_TARGET)
         } else {
             placement::pick_backend(&eligible, &query)
         };
@@ -193,19 +198,24 @@
     bad
 }
 
-/// Nearly all places are taken, and entries that see a twenty-fourth of the load each sent requests into the
-/// queue of one server while another had places free. Asked for, hardly one waits.
+/// Nearly all slots are taken, and each entry sees only a twenty-fourth of the load. Without
+/// probes, requests wait in the queue of one server while another has free slots; with probes,
+/// hardly one waits.
 #[test]
-fn scarce_places() {
-    let plan = LoadPlan { seed: 1, pause: PAUSE, drawn: 2, make_parts };
-    let [unasked, asked] = [false, true].map(|asks| count_bad::<QueueSim, _>(&plan, asks));
-    assert!(unasked > REQUESTS / 10, "{unasked} late without probes: no load that tells");
-    assert!(asked * 20 < REQUESTS, "{asked} late with probes, {unasked} without");
+fn scarce_slots() {
+    let plan = LoadPlan { seed: 1, interval: REQUEST_INTERVAL, samples: 2, make_parts };
+    let [unprobed, probed] =
+        [false, true].map(|probes_first| count_bad::<QueueSim, _>(&plan, probes_first));
+    assert!(
+        unprobed > REQUESTS / 10,
+        "{unprobed} late without probes: the load is too low to show a difference"
+    );
+    assert!(probed * 20 < REQUESTS, "{probed} late with probes, {unprobed} without");
 }
 
-/// Time for which a long prompt is read, and between two of them: 60 % of all servers read one.
-const READ: Duration = Duration::from_millis(700);
-const READ_PAUSE: Duration = Duration::from_millis(97);
+/// Prefill time of a long prompt, and time between two of them: 60 % of all servers are in prefill.
+const PREFILL_TIME: Duration = Duration::from_millis(700);
+const PREFILL_INTERVAL: Duration = Duration::from_millis(97);
 const LONG_PARTS: [u64; 3] = [100, 4_900, 35_000];
 
 fn make_long_parts(session: u64, number: u64) -> [PromptPart; 3] {
@@ -213,18 +223,18 @@
     [0, 1, 2].map(|at| PromptPart { id: ids[at], tokens: LONG_PARTS[at] })
 }
 
-/// A server that reads one prompt after the other.
+/// A server that prefills one prompt after the other.
 #[derive(Default)]
-struct ReadingSim {
+struct PrefillSim {
     until: Duration,
 }
 
-impl ServerSim for ReadingSim {
-    /// Another prompt is being read.
+impl ServerSim for PrefillSim {
+    /// A bad choice is a server at which another prompt is in prefill.
     fn place(&mut self, now: Duration) -> bool {
-        let is_reading = self.until > now;
-        self.until = now.max(self.until) + READ;
-        is_reading
+        let in_prefill = self.until > now;
+        self.until = now.max(self.until) + PREFILL_TIME;
+        in_prefill
     }
 
     fn report(&self, now: Duration) -> BackendReport {
@@ -234,26 +244,32 @@
     }
 }
 
-/// An entry sees one in twenty-four of the long prompts, and sent every second one to a server that was reading
-/// another: both began late, and every stream beside them paused for twice as long.
+/// An entry sees one in twenty-four of the long prompts. Without probes, it sent every second one
+/// to a server that was already in prefill: both began late, and every stream there paused twice as
+/// long.
 #[test]
 fn long_prompts() {
-    let (drawn, make_parts) = (probes::PROBE_SAMPLES, make_long_parts);
-    let plan = LoadPlan { seed: 2, pause: READ_PAUSE, drawn, make_parts };
-    let [unasked, asked] = [false, true].map(|asks| count_bad::<ReadingSim, _>(&plan, asks));
-    assert!(unasked > REQUESTS / 4, "{unasked} doubled without probes: no load that tells");
-    assert!(asked * 3 < unasked, "{asked} doubled with probes, {unasked} without");
+    let (samples, make_parts) = (probes::PROBE_SAMPLES, make_long_parts);
+    let plan = LoadPlan { seed: 2, interval: PREFILL_INTERVAL, samples, make_parts };
+    let [unprobed, probed] =
+        [false, true].map(|probes_first| count_bad::<PrefillSim, _>(&plan, probes_first));
+    assert!(
+        unprobed > REQUESTS / 4,
+        "{unprobed} doubled without probes: the load is too low to show a difference"
+    );
+    assert!(probed * 3 < unprobed, "{probed} doubled with probes, {unprobed} without");
 }
 
-/// Of servers that read nothing a long prompt goes to the one with the fewest streams, which all pause.
+/// Among servers without a prefill, a long prompt goes to the one with the fewest streams, since
+/// all of them pause.
 #[test]
 fn fewest_streams() {
     let table = make_table();
     let parts = [PromptPart { id: 1, tokens: 100 }, PromptPart { id: 2, tokens: 40_000 }];
-    let query = make_query(&parts, RUN);
-    let eligible = table.eligible("llm", &[], RUN);
+    let query = make_query(&parts, RUN_TIME);
+    let eligible = table.eligible("llm", &[], RUN_TIME);
     let probed: Vec<ProbeRow> =
         (0..5).map(|at| (entry(at), Some(make_report(12 - 2 * at as u64, 0)))).collect();
-    let chosen = probes::pick_probed(&eligible, &query, &probed, AIM).expect("a server");
+    let chosen = probes::pick_probed(&eligible, &query, &probed, LATENCY_TARGET).expect("a server");
     assert_eq!(*chosen.entry.id, *"s4");
 }
--- a/toucanrail/tests/retry_delays.rs
+++ b/toucanrail/tests/retry_delays.rs
@@ -1,4 +1,4 @@
-//! When refused callers come back.
+//! Delays after which refused callers retry.
 
 use std::time::Duration;
 
@@ -8,8 +8,8 @@
 const LEFT: Duration = Duration::from_secs(10);
 const CALLERS: u32 = 1_000;
 
-/// Returns the parts of the callers refused through the outage that find it over when they come back once.
-fn count_served(cause: RefusalCause) -> f64 {
+/// Returns the fraction of the callers refused during the outage that retry, once, after its end.
+fn served_fraction(cause: RefusalCause) -> f64 {
     let served = (0..CALLERS).filter(|number| {
         let refused_at = OUTAGE * *number / CALLERS;
         let random = f64::from(number * 7 % 10) / 10.0;
@@ -18,18 +18,18 @@
     served.count() as f64 / f64::from(CALLERS)
 }
 
-/// The store is away for seven seconds. Callers who came back within one second were refused a second time
-/// and lost; as many as can wait for its return are to find it there.
+/// The store is unavailable for seven seconds. Callers that retried within one second were refused
+/// again and lost; as many as can wait for the end of the outage should retry after it.
 #[test]
-fn back_after_outage() {
+fn retry_after_outage() {
     let longest = LEFT.as_secs_f64() / 3.0 / OUTAGE.as_secs_f64();
-    assert!(count_served(RefusalCause::Outage) > longest * 0.8);
-    assert!(count_served(RefusalCause::Unconfirmed) < longest * 0.4);
+    assert!(served_fraction(RefusalCause::Outage) > longest * 0.8);
+    assert!(served_fraction(RefusalCause::Unconfirmed) < longest * 0.4);
 }
 
-/// Callers refused together do not return together, and none is told to come back later than it will.
+/// Callers refused together must not retry together, and none is told to retry later than it would.
 #[test]
-fn spread_returns() {
+fn spread_retries() {
     let causes = [
         RefusalCause::Overload,
         RefusalCause::Outage,
--- a/toucanrail/tests/server_choice.rs
+++ b/toucanrail/tests/server_choice.rs
@@ -1,4 +1,4 @@
-//! The choice of servers, and admission under load.
+//! Choice of servers, and admission under load.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -59,7 +59,7 @@
     let query = RouteQuery { prefix, random, now: NOW };
     let eligible = table.eligible(&service(), usable, &BTreeSet::new(), NOW, 0.5);
     let row = routing::pick_server(RoutingPolicy::Balanced, table, &eligible, &query);
-    row.expect("there is one").agent.to_string()
+    row.expect("an eligible server").agent.to_string()
 }
 
 #[test]
@@ -72,8 +72,8 @@
     }
 }
 
-/// All requests share one prefix. The server that holds it must not be drowned: the load is
-/// bounded against the mean.
+/// All requests share one prefix. The server that has it cached must not be overloaded: its load is
+/// bounded relative to the mean.
 #[test]
 fn hot_prefix() {
     let (mut table, usable) = table_of(&[0; 6]);
@@ -87,8 +87,8 @@
     assert!(most <= 40, "{counts:?}");
 }
 
-/// Reports lag: a server that was idle when it last reported gets everything that comes before
-/// its next report, unless an entry counts what it has sent itself.
+/// Reports lag: a server that was idle in its last report must not get all requests until its next
+/// one, so an entry includes what it has sent itself.
 #[test]
 fn lagging_report() {
     let (mut table, usable) = table_of(&[0, 4, 4, 4, 4, 4]);
@@ -117,7 +117,8 @@
     assert_eq!(names(&table, NOW), ["agent-4"]);
     let silent = NOW + Duration::from_millis(2_001);
     assert!(names(&table, silent).is_empty(), "an agent that fell silent gets no work");
-    // The ejected one comes back, gradually: this draw still leaves it out, a lower one does not.
+    // The ejected server returns gradually: this random number still excludes it, a lower one does
+    // not.
     let later = NOW + Duration::from_secs(3);
     for agent in ["agent-3", "agent-4"] {
         table.apply_report(&report(agent, 0), 0, later, later);
@@ -134,12 +135,12 @@
     let mut admit = |class| table.admit(&service(), &Arc::from("c"), class, 1, known);
     assert!(admit(ServiceClass::Urgent).is_ok());
     assert!(admit(ServiceClass::Standard).is_ok());
-    let refusal = admit(ServiceClass::Batch).expect_err("it is over the bound");
+    let refusal = admit(ServiceClass::Batch).expect_err("the load is over the bound");
     assert_eq!(refusal.code, codetable::OVERLOADED);
     assert!(refusal.retry_after > Duration::ZERO);
 }
 
-/// One customer floods a service; another with a few requests must not be refused for it.
+/// One customer floods a service; another with a few requests must not be refused because of it.
 #[test]
 fn flooding_customer() {
     let mut table = LimitTable::new();
@@ -151,7 +152,7 @@
     };
     assert!(admitted(&mut table, &Arc::from("quiet")));
     let count = (0..40).filter(|_| admitted(&mut table, &flood)).count();
-    assert!(count < 10, "the flood got {count}");
+    assert!(count < 10, "the flooding customer got {count}");
     assert!(admitted(&mut table, &Arc::from("quiet")));
     assert!(admitted(&mut table, &Arc::from("other")));
 }
--- a/toucanrail/tests/server_paces.rs
+++ b/toucanrail/tests/server_paces.rs
@@ -1,4 +1,4 @@
-//! How fast servers are, as relays find out from load reports.
+//! Paces of servers, measured from their load reports.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -6,38 +6,39 @@
 use proptest::prelude::*;
 use toucanrail::paces::{self, BackendReport, PaceMeter, RunProgress};
 
-/// Time of one event of an only stream at a fast server, by the users' engine sheet.
+/// Time per event of a single stream at a fast server, in seconds, from the users' data sheet of
+/// the engine.
 const EVENT: f64 = 0.0185;
 
-/// A server on a model of an engine: all runs make events in step, slower by a thirtieth for each.
-/// Prompts come at random; while one is read, nobody makes an event.
+/// A simulated server: all runs produce events in step, and each run slows a step by a thirtieth.
+/// Prompts arrive at random, and no run produces events during a prefill.
 struct ModelServer {
     factor: f64,
     batch: usize,
-    made: f64,
+    produced: f64,
     next: u64,
-    reading: f64,
+    prefill: f64,
     rng: fastrand::Rng,
 }
 
 impl ModelServer {
     fn step(&mut self, elapsed: f64) -> BackendReport {
-        // A run lasts for 1.5 seconds; a fast server reads for two fifths of its time.
+        // A run takes 1.5 seconds; a fast server spends two fifths of its time in prefill.
         let rate = self.batch as f64 / 1.5;
         if self.rng.f64() > (-rate * elapsed).exp() {
             self.next += 1;
-            self.reading += 0.4 / rate * self.factor;
+            self.prefill += 0.4 / rate * self.factor;
         }
-        let read = self.reading.min(elapsed);
-        self.reading -= read;
+        let prefilled = self.prefill.min(elapsed);
+        self.prefill -= prefilled;
         let event = EVENT * self.factor * (1.0 + self.batch as f64 / 30.0);
-        self.made += (elapsed - read) / event;
+        self.produced += (elapsed - prefilled) / event;
         let runs = (0..self.batch).map(|run| {
             let newest = run + 1 == self.batch;
-            let events = if newest && self.reading > 0.0 {
+            let events = if newest && self.prefill > 0.0 {
                 0
             } else {
-                1 + (self.made + run as f64 / self.batch as f64) as u64
+                1 + (self.produced + run as f64 / self.batch as f64) as u64
             };
             RunProgress { request: Arc::from(format!("r{}", self.next + run as u64)), events }
         });
@@ -45,9 +46,9 @@
     }
 }
 
-fn measure(factor: f64, batch: usize, seed: u64) -> Option<Duration> {
+fn measure_pace(factor: f64, batch: usize, seed: u64) -> Option<Duration> {
     let rng = fastrand::Rng::with_seed(seed);
-    let mut server = ModelServer { factor, batch, made: 0.0, next: 0, reading: 0.0, rng };
+    let mut server = ModelServer { factor, batch, produced: 0.0, next: 0, prefill: 0.0, rng };
     let mut meter = PaceMeter::default();
     for step in 0..200_u32 {
         let report = server.step(0.1);
@@ -57,14 +58,14 @@
 }
 
 proptest! {
-    /// Servers under unlike loads that read prompts two fifths of the time: one that is 1.3 times slower is
-    /// told from the fast ones, and no fast one is taken for slow.
+    /// Servers with different loads that spend two fifths of their time in prefill: one that is 1.3
+    /// times slower is detected, and no fast one is mistaken for a slow one.
     #[test]
-    fn unlike_loads(batches in prop::collection::vec(1_usize..16, 6), seed in 0_u64..1_000) {
+    fn different_loads(batches in prop::collection::vec(1_usize..16, 6), seed in 0_u64..1_000) {
         let factors = [1.0, 1.0, 1.3, 1.0, 1.0, 1.3];
         let servers = factors.iter().zip(&batches).zip(seed..);
         let paces: Vec<_> =
-            servers.map(|((factor, batch), seed)| measure(*factor, *batch, seed)).collect();
+            servers.map(|((factor, batch), seed)| measure_pace(*factor, *batch, seed)).collect();
         prop_assert!(paces.iter().all(Option::is_some), "{:?}", paces);
         let found = paces::relative_slowdowns(&paces);
         for (factor, found) in factors.iter().zip(&found) {
@@ -73,9 +74,9 @@
     }
 }
 
-/// A server starts again on its VM, and is another one: what was measured before says nothing of it.
+/// A server restarts on its VM: earlier measurements do not apply to it.
 #[test]
-fn other_server() {
+fn restarted_server() {
     let mut meter = PaceMeter::default();
     let report = |started_at: u64, events: u64| BackendReport {
         started_at,
@@ -90,7 +91,8 @@
     assert_eq!(meter.pace(), None);
 }
 
-/// Measurements of one server differ by some percent; the store is told of a change, not of each.
+/// Measurements of one server differ by some percent; only a significant change is written to the
+/// store.
 #[test]
 fn small_changes() {
     let pace = |millis: u64| Some(Duration::from_millis(millis));
