--- a/toucanrail-gateway/src/admitting.rs
+++ b/toucanrail-gateway/src/admitting.rs
@@ -9,7 +9,7 @@
 use toucanrail::codes::{ResultCode, RunState};
 use toucanrail::codetable;
 use toucanrail::matching::{CustomerFacts, RouteRule};
-use toucanrail::returns::{self, RefusalCause};
+use toucanrail::retry_delays::{self, RefusalCause};
 use toucanrail_platform::requests::{self, RequestFacts};
 use toucanrail_wire::heads::RequestHead;
 
@@ -136,7 +136,7 @@
     if gateway.admits(&plan.service, query) {
         return Ok(());
     }
-    let wait = returns::pick_wait(RefusalCause::Overload, timeout, fastrand::f64());
+    let wait = retry_delays::pick_delay(RefusalCause::Overload, timeout, fastrand::f64());
     Err(AdmissionRefusal { code: codetable::OVERLOADED, retry_after: Some(wait) })
 }
 
@@ -147,7 +147,7 @@
 ) -> Result<(Arc<RouteRule>, Option<Arc<CustomerFacts>>), AdmissionRefusal> {
     let tables = gateway.tables.borrow();
     let left = facts.timeout.unwrap_or(Duration::MAX);
-    let wait = Some(returns::pick_wait(RefusalCause::Uninformed, left, fastrand::f64()));
+    let wait = Some(retry_delays::pick_delay(RefusalCause::Uninformed, left, fastrand::f64()));
     if tables.routes.version() == 0 {
         return Err(AdmissionRefusal { code: codetable::STORE_UNAVAILABLE, retry_after: wait });
     }
@@ -202,7 +202,7 @@
             let is_outage =
                 gateway.store.age() > OUTAGE_THRESHOLD && !gateway.desk.unanswered.get();
             let cause = if is_outage { RefusalCause::Outage } else { RefusalCause::Unconfirmed };
-            let wait = returns::pick_wait(cause, plan.time_left(), fastrand::f64());
+            let wait = retry_delays::pick_delay(cause, plan.time_left(), fastrand::f64());
             AdmissionRefusal { code: codetable::BUDGET_UNCONFIRMED, retry_after: Some(wait) }
         }
     })
--- a/toucanrail-gateway/src/liveness.rs
+++ b/toucanrail-gateway/src/liveness.rs
@@ -8,8 +8,8 @@
 
 use smol::lock::Mutex;
 use toucanrail::backends::{BackendEntry, BackendId};
-use toucanrail::paces::LoadReport;
-use toucanrail::silences::{RunSight, SilenceVerdict, SilenceWatch};
+use toucanrail::paces::BackendReport;
+use toucanrail::silences::{RunStatus, SilenceDetector, SilenceVerdict};
 
 use crate::lending::REPORT_PATH;
 use crate::peering;
@@ -26,7 +26,7 @@
 #[derive(Debug)]
 struct CachedReport {
     taken_at: Duration,
-    report: Option<LoadReport>,
+    report: Option<BackendReport>,
 }
 
 /// Most recent load report of each server that was queried.
@@ -52,7 +52,7 @@
 
 /// Returns a server's load as reported by its relay, at most a few tenths of a second old. Returns
 /// `None` if the server or the relay does not respond.
-pub async fn fetch_load(gateway: &Gateway, target: &BackendEntry) -> Option<LoadReport> {
+pub async fn fetch_load(gateway: &Gateway, target: &BackendEntry) -> Option<BackendReport> {
     let row = gateway.load_reports.row(&target.id);
     // Held during the query, so that concurrent requests wait for its result.
     let mut row = row.lock().await;
@@ -68,7 +68,7 @@
     report
 }
 
-async fn request_report(gateway: &Gateway, server: &BackendEntry) -> Option<LoadReport> {
+async fn request_report(gateway: &Gateway, server: &BackendEntry) -> Option<BackendReport> {
     let (relay, address) = gateway.store.relay_at(server.address.ip())?;
     let bound = REPORT_TIMEOUT;
     let reply = peering::call_peer(gateway, &relay, address, REPORT_PATH, &(), bound).await;
@@ -80,7 +80,7 @@
 
 /// Waits until an unresponsive server should be given up. The first check is made after `delay`.
 pub async fn wait_until_lost(context: &AttemptContext<'_, '_>, delay: Duration) {
-    let mut detector = SilenceWatch::default();
+    let mut detector = SilenceDetector::default();
     smol::Timer::after(delay).await;
     while !check_lost(context, &mut detector, 0).await {
         smol::Timer::after(CHECK_INTERVAL).await;
@@ -91,12 +91,12 @@
 /// response will never arrive, or nothing is known of the server and a retry is available.
 pub async fn check_lost(
     context: &AttemptContext<'_, '_>,
-    detector: &mut SilenceWatch,
+    detector: &mut SilenceDetector,
     received: u64,
 ) -> bool {
     let AttemptContext { gateway, plan, target, .. } = *context;
     let report = fetch_load(gateway, target).await;
-    let status = report.as_ref().map(|report| RunSight::find(report, &plan.facts.id));
+    let status = report.as_ref().map(|report| RunStatus::find(report, &plan.facts.id));
     let verdict = detector.judge(status, received);
     let lost = match verdict {
         SilenceVerdict::Works => false,
--- a/toucanrail-gateway/src/request_context.rs
+++ b/toucanrail-gateway/src/request_context.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use toucanrail::attempting::AttemptFate;
+use toucanrail::attempts::AttemptOutcome;
 use toucanrail::backends::BackendEntry;
 use toucanrail::events::EventScanner;
 use toucanrail::framing::BodyFramer;
@@ -100,7 +100,7 @@
     /// The server responded with an error, which has not been forwarded to the caller.
     Failed(FailedResponse),
     /// No complete response was received.
-    Incomplete(AttemptFate),
+    Incomplete(AttemptOutcome),
     /// The caller has disconnected.
     CallerGone,
 }
--- a/toucanrail-gateway/src/sending.rs
+++ b/toucanrail-gateway/src/sending.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 
 use smol::future::FutureExt;
-use toucanrail::admissions::WaitRow;
-use toucanrail::attempting::AttemptFate;
+use toucanrail::admissions::PendingRow;
+use toucanrail::attempts::AttemptOutcome;
 use toucanrail::backends::{BackendEntry, FlightRow};
 use toucanrail::framing::BodyFramer;
 use toucanrail::matching::RouteKind;
@@ -60,7 +60,7 @@
     let succeeded = (200..300).contains(&exchange.head.status);
     if succeeded && !facts.signed {
         // The response is not signed, so it was not made by a backend server.
-        return AttemptResult::Incomplete(AttemptFate::Lost);
+        return AttemptResult::Incomplete(AttemptOutcome::Lost);
     }
     if succeeded && plan.route.kind.is_stream() {
         return forwarding::forward_stream(context, exchange, writer, stream, &flight).await;
@@ -77,13 +77,13 @@
     let mut tables = gateway.tables.borrow_mut();
     let prompt = plan.facts.prompt.as_ref();
     let parts = prompt.map_or(&[][..], |prompt| &prompt.parts);
-    let fresh = prompt.map_or(0, |prompt| {
+    let uncached = prompt.map_or(0, |prompt| {
         let row = tables.backends.get(&target.id);
-        row.map_or(prompt.prompt, |row| row.fresh_tokens(parts, prompt.prompt))
+        row.map_or(prompt.prompt, |row| row.uncached_tokens(parts, prompt.prompt))
     });
-    let row = FlightRow { sent_at: gateway.now(), fresh, begun: false };
+    let row = FlightRow { sent_at: gateway.now(), uncached, begun: false };
     let number = tables.backends.note_sent(&target.id, row, parts);
-    let row = WaitRow { sent_at: row.sent_at, aim: plan.route.aim };
+    let row = PendingRow { sent_at: row.sent_at, latency_target: plan.route.aim };
     tables.limits.entry(Arc::clone(&target.service)).or_default().note_sent(number, row);
     drop(tables);
     FlightGuard::new(gateway, target, number)
@@ -103,7 +103,7 @@
 async fn open_exchange(
     context: &AttemptContext<'_, '_>,
     last_event: Option<u64>,
-) -> Result<OpenExchange, AttemptFate> {
+) -> Result<OpenExchange, AttemptOutcome> {
     let AttemptContext { plan, target, .. } = *context;
     let mut channel = open_channel(context).await?;
     let has_no_body = plan.body.is_empty() && plan.head.fields.get("content-length").is_none();
@@ -117,7 +117,7 @@
         body: (!has_no_body).then_some(plan.body.len()),
     };
     if !context.permit.is_valid() {
-        return Err(AttemptFate::Withheld);
+        return Err(AttemptOutcome::Withheld);
     }
     if let Some(budget) = &plan.budget {
         // From here on the server may process the prompt, even if the caller disconnects.
@@ -131,18 +131,22 @@
         Ok(found) => found,
         Err(error) if error.kind() == io::ErrorKind::TimedOut => {
             let deadline_passed = plan.time_left_to_first_byte().is_zero();
-            return Err(if deadline_passed { AttemptFate::TimedOut } else { AttemptFate::Lost });
+            return Err(if deadline_passed {
+                AttemptOutcome::TimedOut
+            } else {
+                AttemptOutcome::Lost
+            });
         }
         Err(error) => {
             tracing::debug!(event = "exchange_broken", server = %target.id, %error);
-            return Err(AttemptFate::Lost);
+            return Err(AttemptOutcome::Lost);
         }
     };
     let framer = BodyFramer::of_answer(head.length);
     Ok(OpenExchange { channel, head, framer, request_sent })
 }
 
-async fn open_channel(context: &AttemptContext<'_, '_>) -> Result<BufferedChannel, AttemptFate> {
+async fn open_channel(context: &AttemptContext<'_, '_>) -> Result<BufferedChannel, AttemptOutcome> {
     let AttemptContext { gateway, plan, target, .. } = *context;
     let idle = match plan.route.kind {
         RouteKind::Once | RouteKind::Stream { resumable: false } => ONCE_MAX_IDLE,
@@ -159,7 +163,7 @@
             event = "connect_failed", request = %plan.facts.id, server = %target.id,
             address = %target.address, %error,
         );
-        AttemptFate::NotSent
+        AttemptOutcome::NotSent
     })
 }
 
@@ -243,5 +247,5 @@
     if read.is_ok() && status != 421 {
         exchange.release_channel(gateway, &target.id);
     }
-    AttemptResult::Incomplete(AttemptFate::Declined)
+    AttemptResult::Incomplete(AttemptOutcome::Declined)
 }
--- a/toucanrail-gateway/src/state.rs
+++ b/toucanrail-gateway/src/state.rs
@@ -12,7 +12,7 @@
 use toucanrail::backends::{BackendEntry, BackendId, BackendTable, FlightId};
 use toucanrail::ids::{EntryId, ServiceName};
 use toucanrail::matching::RouteTable;
-use toucanrail::probes::{PlaceGauge, ProbeRow};
+use toucanrail::probes::{ProbeRow, SlotGauge};
 use toucanrail::retries::{RetryBounds, RetryBudget};
 use toucanrail_daemons::observing::MetricBoard;
 use toucanrail_daemons::starting::ProcessClock;
@@ -51,7 +51,7 @@
     /// Requests that wait for their first event, and the limit on them, by service.
     pub limits: BTreeMap<ServiceName, AdmissionLimit>,
     /// Estimates of free slots at the servers, by service.
-    pub free_slots: BTreeMap<ServiceName, PlaceGauge>,
+    pub free_slots: BTreeMap<ServiceName, SlotGauge>,
 }
 
 /// A running gateway.
@@ -132,7 +132,7 @@
     /// Records a new request, as opposed to a retry, in the retry budget of a service.
     pub fn record_new_request(&self, service: &ServiceName) {
         let now = self.now();
-        self.with_retry_budget(service, |budget| budget.note_fresh(now));
+        self.with_retry_budget(service, |budget| budget.note_request(now));
     }
 
     /// Takes one retry from the budget of a service, if one is left.
@@ -169,14 +169,14 @@
         let now = self.now();
         let tables = self.tables.borrow();
         let free_slots = tables.free_slots.get(service).copied().unwrap_or_default();
-        let pressed = tables.limits.get(service).is_some_and(|limit| limit.is_pressed(now));
-        pressed && free_slots.wants_probe(fastrand::f64())
+        let pressed = tables.limits.get(service).is_some_and(|limit| limit.is_congested(now));
+        pressed && free_slots.should_probe(fastrand::f64())
     }
 
     /// Records the load reports of servers of a service.
     pub fn record_reports(&self, service: &ServiceName, probed: &[ProbeRow]) {
         let mut tables = self.tables.borrow_mut();
-        tables.free_slots.entry(Arc::clone(service)).or_default().take_reports(probed);
+        tables.free_slots.entry(Arc::clone(service)).or_default().record_reports(probed);
     }
 
     fn with_retry_budget<Value, Work>(&self, service: &ServiceName, work: Work) -> Value
@@ -250,9 +250,9 @@
     pub fn record_response_start(&self) {
         let now = self.gateway.now();
         let mut tables = self.gateway.tables.borrow_mut();
-        tables.backends.note_begun(&self.backend, self.number, now);
+        tables.backends.note_first_event(&self.backend, self.number, now);
         if let Some(limit) = tables.limits.get_mut(&self.service) {
-            limit.note_begun(self.number, now);
+            limit.note_first_event(self.number, now);
         }
     }
 }
