--- a/toucanrail-gateway/src/change_feed.rs
+++ b/toucanrail-gateway/src/change_feed.rs
@@ -52,7 +52,7 @@
     }
 
     fn empty_table(wait: Duration) -> BoardTable {
-        BoardTable::with_freshness(wait + STALE_SLACK)
+        BoardTable::with_max_age(wait + STALE_SLACK)
     }
 
     /// Discards the copy; the next watch begins with a listing.
@@ -100,7 +100,9 @@
         let waiting = async {
             loop {
                 let changed = board.changed.listen();
-                if let Some(reply) = board.table.borrow().news(query.after, self.store.now()) {
+                if let Some(reply) =
+                    board.table.borrow().updates_since(query.after, self.store.now())
+                {
                     return reply;
                 }
                 changed.await;
@@ -109,7 +111,7 @@
         let timeout = async {
             smol::Timer::after(query.wait.min(MAX_QUERY_WAIT)).await;
             let after = query.after.unwrap_or_default();
-            board.table.borrow().no_news(after, self.store.now())
+            board.table.borrow().empty_update(after, self.store.now())
         };
         waiting.or(timeout).await
     }
@@ -120,7 +122,7 @@
     tracing::info!(event = "board_opened", kind);
     while store.now().saturating_sub(board.queried_at.get()) < IDLE_TIMEOUT {
         let result = step(&store, kind, &board).await;
-        store.note_call(kind, result.is_ok());
+        store.record_call(kind, result.is_ok());
         match result {
             Ok(false) => {}
             Ok(true) => {
@@ -132,7 +134,7 @@
             Err(failure) => {
                 tracing::debug!(event = "store_failed", kind, %failure);
                 // Waiting queries are answered as stale now instead of at the end of their wait.
-                board.table.borrow_mut().note_silence();
+                board.table.borrow_mut().note_store_failure();
                 board.changed.notify(usize::MAX);
                 smol::Timer::after(FAILURE_PAUSE).await;
             }
@@ -150,11 +152,11 @@
     let Some(revision) = known else {
         let timeout = *wait + ANSWER_SLACK;
         let listing = store.list_kind(kind, ListFreshness::Latest, timeout).await?;
-        table.borrow_mut().take_listing(listing.objects, listing.revision, store.now());
+        table.borrow_mut().apply_listing(listing.objects, listing.revision, store.now());
         return Ok(true);
     };
     let watched = store.watch_kind(kind, revision, *wait, ANSWER_SLACK).await?;
     let changed = !watched.changes.is_empty();
-    table.borrow_mut().take_changes(watched.changes, watched.revision, store.now());
+    table.borrow_mut().apply_changes(watched.changes, watched.revision, store.now());
     Ok(changed)
 }
--- a/toucanrail-gateway/src/dispatching.rs
+++ b/toucanrail-gateway/src/dispatching.rs
@@ -6,14 +6,14 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use toucanrail::attempting::{AttemptFate, AttemptTally, NextStep};
+use toucanrail::attempts::{AttemptHistory, AttemptOutcome, NextStep};
 use toucanrail::backends::{BackendEntry, BackendId, BackendRow, BackendTable};
 use toucanrail::codes::{ResultCode, RunState};
 use toucanrail::codetable;
 use toucanrail::matching;
-use toucanrail::placing::{self, PlaceQuery};
+use toucanrail::placement::{self, PlacementQuery};
 use toucanrail::probes::{self, ProbeRow};
-use toucanrail::returns::{self, RefusalCause};
+use toucanrail::retry_delays::{self, RefusalCause};
 use toucanrail_wire::clocks;
 
 use crate::liveness;
@@ -49,7 +49,7 @@
     let mut dispatch = RequestDispatch {
         gateway,
         plan,
-        tally: AttemptTally::new(plan.route.kind, plan.route.attempts),
+        tally: AttemptHistory::new(plan.route.kind, plan.route.attempts),
         tried: Vec::new(),
         stream: StreamState::new(plan.facts.last_event),
         failed_response: None,
@@ -64,7 +64,7 @@
 struct RequestDispatch<'run, 'call> {
     gateway: &'run Rc<Gateway>,
     plan: &'run RequestPlan<'call>,
-    tally: AttemptTally,
+    tally: AttemptHistory,
     tried: Vec<BackendId>,
     stream: StreamState,
     failed_response: Option<FailedResponse>,
@@ -87,11 +87,11 @@
         loop {
             let probed = self.probe_servers().await;
             let Some((target, source)) = self.pick_target(&probed) else {
-                let step = self.tally.give_up(self.last_fate());
+                let step = self.tally.final_step(self.last_fate());
                 return self.finish(step, writer).await;
             };
             if !self.wait_for_permit(&target).await {
-                let step = self.tally.give_up(self.last_fate());
+                let step = self.tally.final_step(self.last_fate());
                 return self.finish(step, writer).await;
             }
             let permit = permits::request_permit(self.gateway, &target).await;
@@ -104,14 +104,14 @@
                 AttemptResult::CallerGone => return RequestEnd::CallerGone,
                 AttemptResult::Failed(response) => {
                     self.failed_response = Some(response);
-                    AttemptFate::Failed
+                    AttemptOutcome::Failed
                 }
                 AttemptResult::Incomplete(fate) => fate,
             };
             self.record_fate(&target, fate);
-            let step = match self.tally.decide(fate, self.plan.time_left()) {
-                NextStep::Again if self.may_retry() => continue,
-                NextStep::Again => self.tally.give_up(fate),
+            let step = match self.tally.next_step(fate, self.plan.time_left()) {
+                NextStep::Retry if self.may_retry() => continue,
+                NextStep::Retry => self.tally.final_step(fate),
                 step => step,
             };
             return self.finish(step, writer).await;
@@ -125,7 +125,7 @@
         let wait = {
             let tables = self.gateway.tables.borrow();
             let row = tables.backends.get(&target.id);
-            row.map_or(Duration::ZERO, |row| row.permit_wait(now))
+            row.map_or(Duration::ZERO, |row| row.permit_delay(now))
         };
         if wait.is_zero() {
             return true;
@@ -149,18 +149,22 @@
         allowed
     }
 
-    fn last_fate(&self) -> AttemptFate {
-        if self.failed_response.is_some() { AttemptFate::Failed } else { AttemptFate::NotSent }
+    fn last_fate(&self) -> AttemptOutcome {
+        if self.failed_response.is_some() {
+            AttemptOutcome::Failed
+        } else {
+            AttemptOutcome::NotSent
+        }
     }
 
-    fn place_query(&self) -> PlaceQuery<'_> {
+    fn place_query(&self) -> PlacementQuery<'_> {
         let prompt = self.plan.facts.prompt.as_ref();
-        PlaceQuery {
+        PlacementQuery {
             data_centre: &self.gateway.settings.data_centre,
             parts: prompt.map_or(&[], |prompt| &prompt.parts),
             prompt: prompt.map_or(0, |prompt| prompt.prompt),
             now: self.gateway.now(),
-            dice: fastrand::f64(),
+            random: fastrand::f64(),
         }
     }
 
@@ -197,7 +201,7 @@
         let candidates = {
             let tables = self.gateway.tables.borrow();
             let eligible = self.list_eligible(&tables.backends, query.now);
-            let dice: [f64; probes::SAMPLE_COUNT] = std::array::from_fn(|_| fastrand::f64());
+            let dice: [f64; probes::PROBE_SAMPLES] = std::array::from_fn(|_| fastrand::f64());
             probes::pick_candidates(&eligible, &query, &dice)
         };
         let probing = candidates.into_iter().map(|entry| {
@@ -235,10 +239,10 @@
         let tables = self.gateway.tables.borrow();
         let eligible = self.list_eligible(&tables.backends, query.now);
         let chosen = probes::pick_probed(&eligible, &query, probed, self.plan.route.aim);
-        let row = chosen.or_else(|| placing::pick_backend(&eligible, &query))?;
-        let mut sources = tables.backends.sources(&self.plan.service, &self.tried, query.now);
+        let row = chosen.or_else(|| placement::pick_backend(&eligible, &query))?;
+        let mut sources = tables.backends.fetch_sources(&self.plan.service, &self.tried, query.now);
         sources.retain(|row| self.is_region_allowed(row));
-        let source = placing::pick_source(&sources, &query, row);
+        let source = placement::pick_fetch_source(&sources, &query, row);
         Some((row.entry.clone(), source.map(|source| source.entry.address)))
     }
 
@@ -250,7 +254,7 @@
         writer: &mut ResponseWriter,
     ) -> AttemptResult {
         // Giving up on this attempt early only helps if another attempt may follow.
-        let next = AttemptTally { sent: self.tally.sent + 1, may_have_run: true, ..self.tally };
+        let next = AttemptHistory { sent: self.tally.sent + 1, may_have_run: true, ..self.tally };
         let may_fail_over = next.may_send(self.plan.time_left());
         let (gateway, plan) = (self.gateway, self.plan);
         let context = AttemptContext { gateway, plan, target, source, permit, may_fail_over };
@@ -259,22 +263,22 @@
         end
     }
 
-    fn record_fate(&mut self, target: &BackendEntry, fate: AttemptFate) {
+    fn record_fate(&mut self, target: &BackendEntry, fate: AttemptOutcome) {
         let now = self.gateway.now();
-        self.tally.note(fate);
+        self.tally.record(fate);
         if let Some(budget) = &self.plan.budget {
             budget.set_may_have_run(self.tally.may_have_run);
         }
         let mut tables = self.gateway.tables.borrow_mut();
         match fate {
-            AttemptFate::NotSent => tables.backends.note_down(&target.id, now),
-            AttemptFate::Declined | AttemptFate::Withheld => {}
-            AttemptFate::Failed
-            | AttemptFate::Lost
-            | AttemptFate::Broken
-            | AttemptFate::TimedOut => tables.backends.note_failure(&target.id, now),
+            AttemptOutcome::NotSent => tables.backends.note_connect_failure(&target.id, now),
+            AttemptOutcome::Declined | AttemptOutcome::Withheld => {}
+            AttemptOutcome::Failed
+            | AttemptOutcome::Lost
+            | AttemptOutcome::Broken
+            | AttemptOutcome::TimedOut => tables.backends.note_failure(&target.id, now),
         }
-        if matches!(fate, AttemptFate::NotSent | AttemptFate::Lost | AttemptFate::Broken) {
+        if matches!(fate, AttemptOutcome::NotSent | AttemptOutcome::Lost | AttemptOutcome::Broken) {
             // The server may have restarted, and be cold again, before its new registration is seen
             // here.
             if let Some(rule) = tables.routes.cold_rule(&target.service) {
@@ -291,7 +295,7 @@
 
     async fn finish(&mut self, step: NextStep, writer: &mut ResponseWriter) -> RequestEnd {
         match step {
-            NextStep::Deliver => match self.failed_response.take() {
+            NextStep::Forward => match self.failed_response.take() {
                 Some(response) => {
                     // The caller may have disconnected; then nobody needs the response.
                     writer.send_response(&response.head, &response.body).await.ok();
@@ -299,15 +303,18 @@
                 }
                 None => self.refuse(codetable::BACKEND_FAILED, writer).await,
             },
-            NextStep::Answer(code) => self.refuse(code, writer).await,
-            NextStep::Cut | NextStep::Again => RequestEnd::Cut,
+            NextStep::Fail(code) => self.refuse(code, writer).await,
+            NextStep::Truncate | NextStep::Retry => RequestEnd::Cut,
         }
     }
 
     async fn refuse(&self, code: ResultCode, writer: &mut ResponseWriter) -> RequestEnd {
         let run = self.tally.run_state();
-        let wait =
-            returns::pick_wait(RefusalCause::Declined, self.plan.time_left(), fastrand::f64());
+        let wait = retry_delays::pick_delay(
+            RefusalCause::Declined,
+            self.plan.time_left(),
+            fastrand::f64(),
+        );
         let wait = (run == RunState::NotRun).then_some(wait);
         let note = responding::make_refusal(code, run, wait);
         // The caller may have disconnected; then nobody needs the refusal.
--- a/toucanrail-gateway/src/forwarding.rs
+++ b/toucanrail-gateway/src/forwarding.rs
@@ -5,9 +5,9 @@
 
 use smol::Timer;
 use smol::future::FutureExt;
-use toucanrail::attempting::AttemptFate;
+use toucanrail::attempts::AttemptOutcome;
 use toucanrail::framing::BodyFramer;
-use toucanrail::silences::SilenceWatch;
+use toucanrail::silences::SilenceDetector;
 use toucanrail_wire::clocks;
 
 use crate::liveness;
@@ -58,9 +58,9 @@
     match clocks::within(context.plan.time_left(), read_body(&mut exchange, &mut body)).await {
         Ok(()) => {}
         Err(error) if error.kind() == io::ErrorKind::TimedOut => {
-            return AttemptResult::Incomplete(AttemptFate::TimedOut);
+            return AttemptResult::Incomplete(AttemptOutcome::TimedOut);
         }
-        Err(_) => return AttemptResult::Incomplete(AttemptFate::Lost),
+        Err(_) => return AttemptResult::Incomplete(AttemptOutcome::Lost),
     }
     let head = exchange.head.clone();
     exchange.release_channel(context.gateway, &context.target.id);
@@ -88,7 +88,7 @@
     let mut tick = Timer::interval(CHECK_INTERVAL);
     let mut pending = Vec::new();
     let mut last_event_at = Instant::now();
-    let mut detector = SilenceWatch::default();
+    let mut detector = SilenceDetector::default();
     let events_before = stream.scanner.count;
     loop {
         let consumed = exchange.framer.feed(&exchange.channel.buffer, &mut pending);
@@ -121,7 +121,7 @@
             ReadOutcome::Bytes => {}
             ReadOutcome::Tick => {
                 if plan.time_left().is_zero() {
-                    return AttemptResult::Incomplete(AttemptFate::TimedOut);
+                    return AttemptResult::Incomplete(AttemptOutcome::TimedOut);
                 }
                 let received = stream.scanner.count - events_before;
                 let stalled = context.may_fail_over && last_event_at.elapsed() > stall;
@@ -163,8 +163,8 @@
     reading.or(ticking).await
 }
 
-fn truncation_fate(writer: &ResponseWriter) -> AttemptFate {
-    if writer.started { AttemptFate::Broken } else { AttemptFate::Lost }
+fn truncation_fate(writer: &ResponseWriter) -> AttemptOutcome {
+    if writer.started { AttemptOutcome::Broken } else { AttemptOutcome::Lost }
 }
 
 async fn forward_events(
--- a/toucanrail-gateway/src/grant_manager.rs
+++ b/toucanrail-gateway/src/grant_manager.rs
@@ -274,7 +274,7 @@
         let answered = !matches!(outcome, SyncOutcome::Unavailable);
         self.board.count_event(outcome_kind(&outcome));
         self.board.add_events("sync_calls", u64::from(calls));
-        self.store.note_call(USAGE, answered);
+        self.store.record_call(USAGE, answered);
         let was_open = self.grants.borrow().is_open(shard);
         self.grants.borrow_mut().apply_sync(shard, outcome);
         if !was_open && !leave {
--- a/toucanrail-gateway/src/permits.rs
+++ b/toucanrail-gateway/src/permits.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use toucanrail::backends::BackendEntry;
-use toucanrail::coldstarts::{self, PERMIT_TIME, PermitOrder, PermitReply};
+use toucanrail::coldstarts::{self, PERMIT_VALIDITY, PermitReply, PermitRequest};
 use toucanrail::detours::RelayName;
 use toucanrail::loans;
 
@@ -47,10 +47,10 @@
     };
     let requested_at = Instant::now();
     let PermitReply::After(wait) = call_permit_relay(gateway, target, limit).await else {
-        return SendPermit::Until(requested_at + PERMIT_TIME);
+        return SendPermit::Until(requested_at + PERMIT_VALIDITY);
     };
     let until = gateway.now() + wait;
-    gateway.tables.borrow_mut().backends.note_no_permit(&target.id, until);
+    gateway.tables.borrow_mut().backends.note_permit_denied(&target.id, until);
     gateway.metrics.count_event("permits_denied");
     tracing::info!(
         event = "permit_denied", server = %target.id, limit, wait_ms = wait.as_millis() as u64,
@@ -72,7 +72,7 @@
     let Some((relay, address)) = find_relay(gateway, target) else {
         return PermitReply::After(UNANSWERED_DELAY);
     };
-    let request = PermitOrder { server: Arc::clone(server), limit };
+    let request = PermitRequest { server: Arc::clone(server), limit };
     let timeout = PERMIT_TIMEOUT;
     let reply =
         relay_client::call_relay(gateway, &relay, address, PERMIT_PATH, &request, timeout).await;
--- a/toucanrail-gateway/src/relay_api.rs
+++ b/toucanrail-gateway/src/relay_api.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use smol::{Async, LocalExecutor};
-use toucanrail::coldstarts::{PermitOrder, PermitReply, PermitTable};
+use toucanrail::coldstarts::{PermitReply, PermitRequest, PermitTable};
 use toucanrail::loans::{LoanEnd, LoanOrder, LoanReply, LoanTable};
 use toucanrail_wire::calling;
 use toucanrail_wire::channels::BufferedChannel;
@@ -26,11 +26,11 @@
 /// Path of a call that takes a list of [`LoanEnd`]s and returns `true`.
 pub const LOAN_END_PATH: &str = "/loans/end";
 
-/// Path of a call without arguments that returns the [`LoadReport`](toucanrail::paces::LoadReport) of the
+/// Path of a call without arguments that returns the [`BackendReport`](toucanrail::paces::BackendReport) of the
 /// backend server beside the relay, if there is one.
 pub const REPORT_PATH: &str = "/report";
 
-/// Path of a call that takes a [`PermitOrder`] and returns a [`PermitReply`].
+/// Path of a call that takes a [`PermitRequest`] and returns a [`PermitReply`].
 pub const PERMIT_PATH: &str = "/permit";
 
 /// Path of a call without arguments that returns `true` immediately.
@@ -134,8 +134,8 @@
     }
 }
 
-fn grant_permit(api: &RelayApi, request: &PermitOrder) -> PermitReply {
-    let reply = api.permits.borrow_mut().give(request, api.change_feed.now());
+fn grant_permit(api: &RelayApi, request: &PermitRequest) -> PermitReply {
+    let reply = api.permits.borrow_mut().grant(request, api.change_feed.now());
     tracing::info!(event = "permit", server = %request.server, limit = request.limit, reply = ?reply);
     reply
 }
--- a/toucanrail-gateway/src/relay_registration.rs
+++ b/toucanrail-gateway/src/relay_registration.rs
@@ -68,17 +68,17 @@
     let mut meter = PaceMeter::default();
     let mut written_at = clock.now();
     loop {
-        let pause = if meter.wants_reports() { MEASURING_INTERVAL } else { MONITORING_INTERVAL };
+        let pause = if meter.needs_reports() { MEASURING_INTERVAL } else { MONITORING_INTERVAL };
         smol::Timer::after(pause).await;
         match report_client.fetch().await {
-            Ok(report) => meter.take_report(&report, clock.now()),
+            Ok(report) => meter.apply_report(&report, clock.now()),
             // A missing server has no pace; entries learn from the store that it is gone.
             Err(failure) => tracing::debug!(event = "report_failed", %server, %failure),
         }
         let known = registration.entry.pace_us.map(Duration::from_micros);
         let may_write =
             clock.now().saturating_sub(written_at) > MIN_WRITE_INTERVAL || known.is_none();
-        if may_write && paces::is_news(known, meter.pace()) {
+        if may_write && paces::is_significant_change(known, meter.pace()) {
             registration.entry.pace_us = meter.pace().map(|pace| pace.as_micros() as u64);
             tracing::info!(event = "server_pace", %server, pace_us = registration.entry.pace_us);
             registration.write().await;
--- a/toucanrail-gateway/src/report_client.rs
+++ b/toucanrail-gateway/src/report_client.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use toucanrail::paces::LoadReport;
+use toucanrail::paces::BackendReport;
 use toucanrail_platform::stores::{StoreClient, StoreFailure};
 
 /// Timeout of a report call; the server is on the same VM.
@@ -25,12 +25,12 @@
     }
 
     /// Fetches a report.
-    pub async fn fetch(&self) -> Result<LoadReport, StoreFailure> {
+    pub async fn fetch(&self) -> Result<BackendReport, StoreFailure> {
         self.client.read_report(self.server, REPORT_TIMEOUT).await
     }
 
     /// Fetches a report, or returns `None` if the server does not answer with one.
-    pub async fn try_fetch(&self) -> Option<LoadReport> {
+    pub async fn try_fetch(&self) -> Option<BackendReport> {
         match self.fetch().await {
             Ok(report) => Some(report),
             Err(failure) => {
--- a/toucanrail-gateway/src/store_access.rs
+++ b/toucanrail-gateway/src/store_access.rs
@@ -11,8 +11,8 @@
 use smol::future::FutureExt;
 use toucanrail::detours::{DetourTable, RelayEntry, RelayName, StoreWay};
 use toucanrail::ids::Version;
-use toucanrail::patience::AnswerPatience;
 use toucanrail::storecalls::{self, StoreCall, StoreReply};
+use toucanrail::timeouts::AdaptiveTimeout;
 use toucanrail_daemons::starting::ProcessClock;
 use toucanrail_platform::names;
 use toucanrail_platform::stores::{
@@ -42,7 +42,7 @@
 #[derive(Debug)]
 pub struct StoreAccess {
     client: StoreClient,
-    timeout: Cell<AnswerPatience>,
+    timeout: Cell<AdaptiveTimeout>,
     endpoints: RefCell<DetourTable>,
     relays_listed: Cell<bool>,
     /// Notified when another endpoint is used from now on.
@@ -57,7 +57,7 @@
 impl StoreAccess {
     /// Creates the access for one process.
     pub fn new(client: StoreClient, endpoints: DetourTable, clock: ProcessClock) -> Self {
-        let timeout = Cell::new(AnswerPatience::new());
+        let timeout = Cell::new(AdaptiveTimeout::new());
         Self {
             client,
             timeout,
@@ -85,8 +85,8 @@
         self.now().saturating_sub(self.answered_at.get().unwrap_or_default())
     }
 
-    /// Notes whether a call was answered. Logs when a use of the store begins or ceases to be unanswered.
-    pub fn note_call(&self, usage: &'static str, answered: bool) {
+    /// Records whether a call was answered. Logs when a use of the store begins or ceases to be unanswered.
+    pub fn record_call(&self, usage: &'static str, answered: bool) {
         let mut unanswered = self.unanswered.borrow_mut();
         if answered {
             let age = self.time_since_answer().as_millis() as u64;
@@ -155,8 +155,8 @@
         // Reads the timeout again, since concurrent calls may have changed it meanwhile.
         let mut timeout = self.timeout.get();
         if reply == StoreReply::Unavailable {
-            timeout.note_silence(wait);
-            self.note_failure(&endpoint);
+            timeout.note_timeout(wait);
+            self.record_failure(&endpoint);
         } else {
             timeout.note_answer(self.now().saturating_sub(started));
         }
@@ -173,7 +173,7 @@
     ) -> Result<KindListing, StoreFailure> {
         let (endpoint, address) = self.endpoints.borrow().way();
         let listing = self.client.list_kind(address, kind, freshness, timeout).await;
-        self.note_endpoint_result(&endpoint, &listing);
+        self.record_endpoint_result(&endpoint, &listing);
         listing
     }
 
@@ -194,29 +194,29 @@
             Err(StoreFailure::NoAnswer(io::ErrorKind::ConnectionAborted.into()))
         };
         let watched = watching.or(changing).await;
-        self.note_endpoint_result(&endpoint, &watched);
+        self.record_endpoint_result(&endpoint, &watched);
         watched
     }
 
-    fn note_endpoint_result<Value>(
+    fn record_endpoint_result<Value>(
         &self,
         endpoint: &StoreWay,
         result: &Result<Value, StoreFailure>,
     ) {
         if matches!(result, Err(StoreFailure::NoAnswer(_) | StoreFailure::Declined(_))) {
-            self.note_failure(endpoint);
+            self.record_failure(endpoint);
         }
     }
 
-    fn note_failure(&self, endpoint: &StoreWay) {
+    fn record_failure(&self, endpoint: &StoreWay) {
         let now = self.now();
         let changed = self.endpoints.borrow_mut().note_failure(endpoint, fastrand::f64(), now);
         if changed {
-            self.note_endpoint_change("failure");
+            self.announce_endpoint_change("failure");
         }
     }
 
-    fn note_endpoint_change(&self, reason: &str) {
+    fn announce_endpoint_change(&self, reason: &str) {
         let (way, address) = self.endpoints.borrow().way();
         tracing::info!(event = "store_way", ?way, %address, reason);
         self.endpoint_changed.notify(usize::MAX);
@@ -229,7 +229,7 @@
         let reply = self.client.call(store, &call, PROBE_TIMEOUT).await;
         if matches!(reply, StoreReply::Found { .. } | StoreReply::Missing) {
             self.endpoints.borrow_mut().note_direct();
-            self.note_endpoint_change("direct endpoint works again");
+            self.announce_endpoint_change("direct endpoint works again");
         }
     }
 }
--- a/toucanrail-gateway/src/store_watch.rs
+++ b/toucanrail-gateway/src/store_watch.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use toucanrail::boards::{self, OutageTimer};
+use toucanrail::boards::{self, OutageBackoff};
 use toucanrail::ids::Version;
 use toucanrail::messages::{MirrorChange, MirrorObject, NewsOrder, NewsReply};
 use toucanrail_platform::stores::{ListFreshness, StoreFailure};
@@ -82,12 +82,12 @@
     loop {
         smol::Timer::after(SWEEP_INTERVAL).await;
         let now = gateway.now();
-        let expired = gateway.tables.borrow_mut().backends.drop_lapsed(now);
+        let expired = gateway.tables.borrow_mut().backends.drop_expired(now);
         for id in expired {
             tracing::info!(event = "server_gone", server = %id, reason = "lapsed");
             gateway.channels.forget(&id);
         }
-        gateway.tables.borrow_mut().backends.take_paces(&gateway.store.server_paces());
+        gateway.tables.borrow_mut().backends.apply_paces(&gateway.store.server_paces());
         gateway.channels.sweep();
         let tables = gateway.tables.borrow();
         gateway.load_reports.retain(|server| tables.backends.get(server).is_some());
@@ -105,14 +105,14 @@
     /// Time of the last answer.
     answered_at: Duration,
     /// Backoff of direct calls to the store while no board gets answers from it.
-    outage: OutageTimer,
+    outage: OutageBackoff,
 }
 
 async fn watch<Handler>(gateway: Rc<Gateway>, mut handler: Handler)
 where
     Handler: KindHandler,
 {
-    let outage = OutageTimer::default();
+    let outage = OutageBackoff::default();
     let mut state = WatchState { revision: None, answered_at: gateway.now(), outage };
     let mut pause = MIN_RETRY_PAUSE;
     loop {
@@ -121,7 +121,7 @@
                 state.revision = Some(next);
                 state.answered_at = gateway.now();
                 pause = MIN_RETRY_PAUSE;
-                gateway.store.note_call(Handler::KIND, true);
+                gateway.store.record_call(Handler::KIND, true);
             }
             Err(StoreFailure::Forgotten) => {
                 tracing::info!(event = "history_gone", kind = Handler::KIND);
@@ -129,7 +129,7 @@
             }
             Err(failure) => {
                 tracing::debug!(event = "store_failed", kind = Handler::KIND, %failure);
-                gateway.store.note_call(Handler::KIND, false);
+                gateway.store.record_call(Handler::KIND, false);
                 smol::Timer::after(pause.mul_f64(0.5 + 0.5 * fastrand::f64())).await;
                 pause = (pause * 2).min(MAX_RETRY_PAUSE);
             }
@@ -179,7 +179,7 @@
     kind: &str,
     state: &mut WatchState,
 ) -> Result<NewsReply, StoreFailure> {
-    if !state.outage.is_over(gateway.now()) {
+    if !state.outage.may_ask(gateway.now()) {
         return Err(no_answer());
     }
     let result = query_store(gateway, kind, state.revision).await;
@@ -256,7 +256,7 @@
             Err(error) => error.to_string(),
         };
         tracing::info!(event = "board_failed", %board, kind, reason);
-        gateway.failed_boards.note_failure(board, gateway.now());
+        gateway.failed_boards.record_failure(board, gateway.now());
         return BoardOutcome::Unavailable;
     }
     if stale { BoardOutcome::Stale } else { BoardOutcome::Unavailable }
@@ -325,14 +325,15 @@
                         address = %entry.address, draining = entry.draining,
                         cold_ms = entry.cold.as_millis() as u64, revision = object.version,
                     );
-                    let restarted = known.as_ref().is_some_and(|known| known.born != entry.born);
+                    let restarted =
+                        known.as_ref().is_some_and(|known| known.started_at != entry.started_at);
                     if restarted || entry.draining {
                         gateway.channels.forget(&entry.id);
                     }
                 }
                 // The remaining cold time of an entry that a listing repeats was stated some time ago.
                 let cold = if known.as_ref() == Some(&entry) { Duration::ZERO } else { entry.cold };
-                tables.backends.take_entry(entry);
+                tables.backends.apply_entry(entry);
                 if !cold.is_zero() {
                     tables.backends.note_cold(&object.name, cold, now);
                 }
@@ -377,7 +378,7 @@
         for id in known.iter().filter(|id| !listed.contains(*id)) {
             self.note_missing(gateway, id);
         }
-        gateway.tables.borrow_mut().backends.note_listed();
+        gateway.tables.borrow_mut().backends.mark_listed();
     }
 
     fn apply_change(&mut self, gateway: &Gateway, change: &MirrorChange) {
@@ -403,7 +404,7 @@
         let now = gateway.now();
         let mut tables = gateway.tables.borrow_mut();
         let GatewayTables { routes, backends, .. } = &mut *tables;
-        backends.reopen(data_centre, now, |service| {
+        backends.end_evacuation(data_centre, now, |service| {
             routes.cold_rule(service).map_or(Duration::ZERO, |rule| rule.time)
         });
         tracing::info!(event = "evacuation_over", data_centre);
@@ -417,7 +418,7 @@
     fn apply_listing(&mut self, gateway: &Gateway, objects: &[MirrorObject]) {
         let listed = objects.iter().map(|object| Arc::clone(&object.name)).collect();
         let now = gateway.now();
-        let ended = gateway.tables.borrow_mut().backends.evacuations.take_listing(&listed, now);
+        let ended = gateway.tables.borrow_mut().backends.evacuations.apply_listing(&listed, now);
         for data_centre in &ended {
             Self::end_evacuation(gateway, data_centre);
         }
@@ -431,7 +432,7 @@
             return;
         }
         let now = gateway.now();
-        gateway.tables.borrow_mut().backends.evacuations.note_closed(data_centre, self.age, now);
+        gateway.tables.borrow_mut().backends.evacuations.begin(data_centre, self.age, now);
         let (age_ms, revision) = (self.age.as_millis() as u64, change.object.version);
         tracing::info!(event = "evacuation", %data_centre, age_ms, revision);
     }
