--- a/toucanrail-gateway/src/store_watch.rs
+++ b/toucanrail-gateway/src/store_watch.rs
@@ -55,7 +55,7 @@
 
     /// Called before each update is applied. `silence` is the time since the previous answer, `age` the longest
     /// time ago that a change in this update can have been made.
-    fn note_answer(&mut self, gateway: &Gateway, silence: Duration, age: Duration);
+    fn record_answer(&mut self, gateway: &Gateway, silence: Duration, age: Duration);
 }
 
 /// Keeps the configuration up to date.
@@ -153,7 +153,7 @@
         BoardOutcome::Stale => query_in_outage(gateway, Handler::KIND, state).await?,
         BoardOutcome::Unavailable => query_store(gateway, Handler::KIND, revision).await?,
     };
-    handler.note_answer(gateway, gateway.now().saturating_sub(state.answered_at), age);
+    handler.record_answer(gateway, gateway.now().saturating_sub(state.answered_at), age);
     match update {
         NewsReply::Listing { objects, revision } => {
             handler.apply_listing(gateway, &objects);
@@ -303,7 +303,7 @@
         }
     }
 
-    fn note_answer(&mut self, _: &Gateway, _: Duration, _: Duration) {}
+    fn record_answer(&mut self, _: &Gateway, _: Duration, _: Duration) {}
 }
 
 struct ServerHandler {
@@ -346,9 +346,9 @@
         }
     }
 
-    /// Notes that a known server is missing from the store. After an outage it may have expired there and
+    /// Records that a known server is missing from the store. After an outage it may have expired there and
     /// register again, so it is kept for a while.
-    fn note_missing(&self, gateway: &Gateway, id: &Arc<str>) {
+    fn record_missing(&self, gateway: &Gateway, id: &Arc<str>) {
         let now = gateway.now();
         let window = |since: &Duration| now.saturating_sub(*since) < REREGISTRATION_WINDOW;
         let since = self.outage_ended_at.filter(window);
@@ -376,18 +376,18 @@
             tables.backends.rows().map(|row| Arc::clone(&row.entry.id)).collect()
         };
         for id in known.iter().filter(|id| !listed.contains(*id)) {
-            self.note_missing(gateway, id);
+            self.record_missing(gateway, id);
         }
         gateway.tables.borrow_mut().backends.mark_listed();
     }
 
     fn apply_change(&mut self, gateway: &Gateway, change: &MirrorChange) {
         if change.removed || !Self::apply(gateway, &change.object) {
-            self.note_missing(gateway, &change.object.name);
+            self.record_missing(gateway, &change.object.name);
         }
     }
 
-    fn note_answer(&mut self, gateway: &Gateway, silence: Duration, _: Duration) {
+    fn record_answer(&mut self, gateway: &Gateway, silence: Duration, _: Duration) {
         if silence > EXPIRY_THRESHOLD {
             self.outage_ended_at = Some(gateway.now());
         }
@@ -437,7 +437,7 @@
         tracing::info!(event = "evacuation", %data_centre, age_ms, revision);
     }
 
-    fn note_answer(&mut self, _: &Gateway, _: Duration, age: Duration) {
+    fn record_answer(&mut self, _: &Gateway, _: Duration, age: Duration) {
         self.age = age;
     }
 }
