--- a/toucanrail-gateway/src/accepting.rs
+++ b/toucanrail-gateway/src/accepting.rs
@@ -181,8 +181,8 @@
 
 /// Closes a connection. After a complete response, closes it gracefully so that the caller receives
 /// all of it.
-async fn close_connection(mut channel: BufferedChannel, whole: bool) -> io::Result<()> {
-    if !whole {
+async fn close_connection(mut channel: BufferedChannel, complete: bool) -> io::Result<()> {
+    if !complete {
         return Ok(());
     }
     channel.writer().finish()?;
--- a/toucanrail-gateway/src/admitting.rs
+++ b/toucanrail-gateway/src/admitting.rs
@@ -189,14 +189,14 @@
         rank: plan.urgency,
         left: plan.time_left(),
     };
-    let taken = borrowing::take_budget(gateway, &need).await;
-    if let Err(failure) = &taken {
+    let reserved = borrowing::take_budget(gateway, &need).await;
+    if let Err(failure) = &reserved {
         tracing::info!(
             event = "budget_refused", request = %need.request, customer = %need.customer,
             prompt = need.prompt, output = need.output, stated = need.stated, failure = ?failure,
         );
     }
-    taken.map(Some).map_err(|failure| match failure {
+    reserved.map(Some).map_err(|failure| match failure {
         HoldFailure::Uncovered => codetable::BUDGET_EXHAUSTED.into(),
         HoldFailure::Short => {
             let is_outage =
--- a/toucanrail-gateway/src/dispatching.rs
+++ b/toucanrail-gateway/src/dispatching.rs
@@ -153,7 +153,7 @@
         if self.failed_response.is_some() { AttemptFate::Failed } else { AttemptFate::NotSent }
     }
 
-    fn place_query(&self) -> PlaceQuery<'_> {
+    fn placement_query(&self) -> PlaceQuery<'_> {
         let prompt = self.plan.facts.prompt.as_ref();
         PlaceQuery {
             data_centre: &self.gateway.settings.data_centre,
@@ -185,15 +185,15 @@
     }
 
     /// Requests load reports from the relays beside some of the servers. Done for long prompts, and
-    /// for all prompts while requests wait too long for their first event.
+    /// for others while requests wait too long for their first event and free slots may be scarce.
     async fn probe_servers(&self) -> Vec<ProbeRow> {
         let Some(prompt) = &self.plan.facts.prompt else {
             return Vec::new();
         };
-        if !probes::is_long(prompt.prompt) && !self.gateway.wants_probe(&self.plan.service) {
+        if !probes::is_long(prompt.prompt) && !self.gateway.should_probe(&self.plan.service) {
             return Vec::new();
         }
-        let query = self.place_query();
+        let query = self.placement_query();
         let candidates = {
             let tables = self.gateway.tables.borrow();
             let eligible = self.list_eligible(&tables.backends, query.now);
@@ -231,7 +231,7 @@
     /// Picks a server, and a second one that holds shared parts of the prompt in its cache, if
     /// there is a better source than the server itself.
     fn pick_target(&self, probed: &[ProbeRow]) -> Option<(BackendEntry, Option<SocketAddr>)> {
-        let query = self.place_query();
+        let query = self.placement_query();
         let tables = self.gateway.tables.borrow();
         let eligible = self.list_eligible(&tables.backends, query.now);
         let chosen = probes::pick_probed(&eligible, &query, probed, self.plan.route.aim);
--- a/toucanrail-gateway/src/state.rs
+++ b/toucanrail-gateway/src/state.rs
@@ -165,7 +165,7 @@
 
     /// Returns whether load reports should be requested before a request is placed: requests wait
     /// too long for their first event, and free slots may be scarce.
-    pub fn wants_probe(&self, service: &ServiceName) -> bool {
+    pub fn should_probe(&self, service: &ServiceName) -> bool {
         let now = self.now();
         let tables = self.tables.borrow();
         let free_slots = tables.free_slots.get(service).copied().unwrap_or_default();
--- a/toucanrail-gateway/tests/departed_callers.rs
+++ b/toucanrail-gateway/tests/departed_callers.rs
@@ -48,8 +48,8 @@
 fn late_loan() {
     let store = Store::start();
     let events = platform::chunk("id: 1\ndata: x\n\n");
-    let answer = [platform::STREAM, &events, "0\r\n\r\n"].concat();
-    let backend = Backend::start("i-1", move |_, _| Act::Answer(answer.clone()));
+    let response = [platform::STREAM, &events, "0\r\n\r\n"].concat();
+    let backend = Backend::start("i-1", move |_, _| Act::Answer(response.clone()));
     platform::configure_total(&store, 1, &[&backend], 100_000);
     let relay = Process::start_relay(&store, "side-1");
     platform::wait_until("the relay", || store.has("relays", "side-1"));
@@ -87,8 +87,8 @@
     let gateway = Process::start_gateway(&store);
     let text = request("POST", "/once/a", "r1", "", "order").replace(": 8000", ": 1000");
     let start = Instant::now();
-    let answer = platform::call(gateway.callers, &text).unwrap();
-    assert_eq!(answer.status(), 504);
+    let response = platform::call(gateway.callers, &text).unwrap();
+    assert_eq!(response.status(), 504);
     assert!(start.elapsed() < Duration::from_secs(1), "{:?}", start.elapsed());
 }
 
@@ -101,8 +101,8 @@
     let gateway = Process::start_gateway(&store);
     let text = request("POST", "/stream/a", "r1", platform::PROMPT, "p");
     let start = Instant::now();
-    let answer = platform::call(gateway.callers, &text).unwrap();
-    assert_eq!(answer.status(), 504);
+    let response = platform::call(gateway.callers, &text).unwrap();
+    assert_eq!(response.status(), 504);
     // The tests' route accepts pauses of 600 ms, and its callers wait for eight times that.
     assert!(start.elapsed() < Duration::from_millis(4_800), "{:?}", start.elapsed());
 }
--- a/toucanrail-gateway/tests/direct_requests.rs
+++ b/toucanrail-gateway/tests/direct_requests.rs
@@ -14,8 +14,8 @@
     let gateway = Process::start_gateway(&store);
     let headers = "X-Tenant: rich\r\nX-Hold: h\r\n";
     let text = request("POST", "/once/../a%2Fb?x=%20", "r1", headers, "order");
-    let answer = platform::call(gateway.callers, &text).unwrap();
-    assert_eq!((answer.status(), answer.body.as_slice()), (200, &b"fine"[..]));
+    let response = platform::call(gateway.callers, &text).unwrap();
+    assert_eq!((response.status(), response.body.as_slice()), (200, &b"fine"[..]));
     let received = backend.seen().pop().unwrap();
     assert_eq!(received.target(), "/once/../a%2Fb?x=%20");
     assert_eq!(received.field("x-tenant"), Some("acme"));
@@ -32,8 +32,8 @@
     let gateway = Process::start_unready(&store);
     gateway.wait_ready(false);
     let text = request("GET", "/safe/a", "r1", "", "");
-    platform::wait_until("an answer", || {
-        platform::call(gateway.callers, &text).is_some_and(|answer| answer.status() == 503)
+    platform::wait_until("a response", || {
+        platform::call(gateway.callers, &text).is_some_and(|response| response.status() == 503)
     });
 }
 
@@ -87,9 +87,9 @@
     let refused = loop {
         let headers = format!("{}Connection: close\r\n", platform::PROMPT);
         let text = request("POST", "/stream/a", &format!("r{served}"), &headers, "p");
-        let answer = platform::call_raw(gateway.callers, &text);
-        if !answer.starts_with("HTTP/1.1 200") {
-            break answer;
+        let response = platform::call_raw(gateway.callers, &text);
+        if !response.starts_with("HTTP/1.1 200") {
+            break response;
         }
         served += 1;
         assert!(served < 10, "overspent");
--- a/toucanrail-gateway/tests/fault_soak.rs
+++ b/toucanrail-gateway/tests/fault_soak.rs
@@ -93,17 +93,17 @@
         let headers = format!("{headers}Connection: close\r\n");
         let (method, body) = if route == "safe" { ("GET", "") } else { ("POST", "b") };
         let text = request(method, &format!("/{route}/a"), &attempt, &headers, body);
-        let Some(answer) = platform::try_raw(entries[rng.usize(0..entries.len())], &text) else {
+        let Some(response) = platform::try_raw(entries[rng.usize(0..entries.len())], &text) else {
             thread::sleep(Duration::from_millis(30));
             continue;
         };
-        check_response(&attempt, streams, &answer, &mut record.lock().expect("unpoisoned lock"));
+        check_response(&attempt, streams, &response, &mut record.lock().expect("unpoisoned lock"));
         thread::sleep(Duration::from_millis(rng.u64(5..40)));
     }
 }
 
-fn check_response(attempt: &str, streams: bool, answer: &str, record: &mut SoakRecord) {
-    let status = answer.split(' ').nth(1).unwrap_or_default();
+fn check_response(attempt: &str, streams: bool, response: &str, record: &mut SoakRecord) {
+    let status = response.split(' ').nth(1).unwrap_or_default();
     if matches!(status, "408" | "421" | "429" | "503") {
         record.refused.push(attempt.to_owned());
     }
@@ -112,23 +112,25 @@
     }
     if !streams {
         // A body shorter than its stated length is visibly truncated.
-        let body = answer.split("\r\n\r\n").nth(1).unwrap_or_default();
+        let body = response.split("\r\n\r\n").nth(1).unwrap_or_default();
         if !attempt.starts_with(body) {
             record.violations.push(format!("{attempt} got {body}"));
         }
         record.served += u64::from(body == attempt);
         return;
     }
-    let ids: Vec<u64> = answer
+    let ids: Vec<u64> = response
         .lines()
         .filter_map(|line| line.strip_prefix("id: "))
         .filter_map(|id| id.parse().ok())
         .collect();
     let expected: Vec<u64> = (1..=ids.len() as u64).collect();
-    if ids != expected || answer.matches("data: ").count() != answer.matches(attempt).count() - 1 {
+    if ids != expected
+        || response.matches("data: ").count() != response.matches(attempt).count() - 1
+    {
         record.violations.push(format!("{attempt} got events {ids:?}"));
     }
-    let complete = answer.ends_with("0\r\n\r\n");
+    let complete = response.ends_with("0\r\n\r\n");
     if complete && ids.len() as u64 != EVENTS_PER_STREAM {
         record.violations.push(format!("{attempt} looks complete after {ids:?}"));
     }
--- a/toucanrail-gateway/tests/faulty_responses.rs
+++ b/toucanrail-gateway/tests/faulty_responses.rs
@@ -26,9 +26,9 @@
 fn lost_submission() {
     let (_store, first, second, gateway) = start_pair(|_| Act::Break(String::new()));
     let text = request("POST", "/once/a", "r1", "", "file");
-    let answer = platform::call(gateway.callers, &text).unwrap();
-    assert_eq!(answer.status(), 502);
-    assert_eq!(answer.field("toucanrail-run"), Some("unknown"));
+    let response = platform::call(gateway.callers, &text).unwrap();
+    assert_eq!(response.status(), 502);
+    assert_eq!(response.field("toucanrail-run"), Some("unknown"));
     assert_eq!(first.seen().len() + second.seen().len(), 1);
 }
 
@@ -51,10 +51,10 @@
 fn declined_submission() {
     let (_store, first, second, gateway) = start_pair(|_| Act::Answer(DECLINED.to_owned()));
     let text = request("POST", "/once/a", "r1", "", "file");
-    let answer = platform::call(gateway.callers, &text).unwrap();
-    assert_eq!(answer.status(), 429);
-    assert_eq!(answer.field("toucanrail-run"), Some("not-run"));
-    assert!(answer.field("retry-after").is_some());
+    let response = platform::call(gateway.callers, &text).unwrap();
+    assert_eq!(response.status(), 429);
+    assert_eq!(response.field("toucanrail-run"), Some("not-run"));
+    assert!(response.field("retry-after").is_some());
     assert_eq!((first.seen().len(), second.seen().len()), (1, 1));
 }
 
@@ -111,11 +111,11 @@
     platform::configure(&store, 1, &[&first, &second]);
     let gateway = Process::start_gateway(&store);
     let headers = format!("{}Connection: close\r\n", platform::PROMPT);
-    let answer =
+    let response =
         platform::call_raw(gateway.callers, &request("POST", "/resume/a", "r1", &headers, "p"));
-    assert_eq!(answer.matches("data: a").count(), 1, "{answer}");
-    assert_eq!(answer.matches("data: b").count(), 1, "{answer}");
-    assert!(answer.ends_with("0\r\n\r\n") && !answer.contains("id: 2\nda\r"), "{answer}");
+    assert_eq!(response.matches("data: a").count(), 1, "{response}");
+    assert_eq!(response.matches("data: b").count(), 1, "{response}");
+    assert!(response.ends_with("0\r\n\r\n") && !response.contains("id: 2\nda\r"), "{response}");
 }
 
 /// The same for a stream that cannot be resumed: the caller must be able to see that it was
@@ -125,9 +125,9 @@
     let broken = [platform::STREAM, &platform::chunk("id: 1\ndata: a\n\nid: 2\nda")].concat();
     let (_store, first, second, gateway) = start_pair(move |_| Act::Break(broken.clone()));
     let headers = format!("{}Connection: close\r\n", platform::PROMPT);
-    let answer =
+    let response =
         platform::call_raw(gateway.callers, &request("POST", "/stream/a", "r1", &headers, "p"));
-    assert!(answer.contains("data: a") && !answer.ends_with("0\r\n\r\n"), "{answer}");
+    assert!(response.contains("data: a") && !response.ends_with("0\r\n\r\n"), "{response}");
     assert_eq!(first.seen().len() + second.seen().len(), 1);
 }
 
--- a/toucanrail-gateway/tests/fresh_start.rs
+++ b/toucanrail-gateway/tests/fresh_start.rs
@@ -16,10 +16,10 @@
     let gateway = Process::start_unready(&store);
     let unknown = request("GET", "/nowhere/a", "r0", "", "");
     platform::wait_until("the configuration", || {
-        platform::call(gateway.callers, &unknown).is_some_and(|answer| answer.status() == 404)
+        platform::call(gateway.callers, &unknown).is_some_and(|response| response.status() == 404)
     });
     let response = platform::call(gateway.readiness, "GET /api/ready HTTP/1.1\r\nHost: x\r\n\r\n");
-    assert_eq!(response.map(|answer| answer.status()), Some(503));
+    assert_eq!(response.map(|response| response.status()), Some(503));
     store.hold("servers", false);
     gateway.wait_ready(true);
     let text = request("GET", "/safe/a", "r1", "", "");
--- a/toucanrail-gateway/tests/gateway_disruptions.rs
+++ b/toucanrail-gateway/tests/gateway_disruptions.rs
@@ -29,8 +29,8 @@
     platform::wait_until("the request", || !backend.seen().is_empty());
     gateway.signal("TERM");
     gateway.wait_ready(false);
-    let answer = caller.join().unwrap();
-    assert!(answer.contains("id: 20") && answer.ends_with("0\r\n\r\n"), "{answer}");
+    let response = caller.join().unwrap();
+    assert!(response.contains("id: 20") && response.ends_with("0\r\n\r\n"), "{response}");
     assert!(gateway.wait_end());
 }
 
@@ -63,11 +63,11 @@
         })
     };
     let calls: Vec<_> = (0..30).map(call).collect();
-    let answers: Vec<String> = calls.into_iter().map(|call| call.join().unwrap()).collect();
+    let responses: Vec<String> = calls.into_iter().map(|call| call.join().unwrap()).collect();
     assert!(gateway.wait_end());
     let ran = backend.seen().iter().filter(|message| message.field("x-model").is_none()).count();
-    let whole = answers.iter().filter(|answer| answer.ends_with("whole")).count();
-    assert_eq!(whole, ran, "{answers:?}");
+    let complete = responses.iter().filter(|response| response.ends_with("whole")).count();
+    assert_eq!(complete, ran, "{responses:?}");
 }
 
 /// A caller disconnects in the middle of its stream. The server must stop working on it.
@@ -98,7 +98,7 @@
     let gateway = Process::start_gateway(&store);
     let text = request("GET", "/safe/a", "r1", "", "");
     platform::wait_until("service", || {
-        platform::call(gateway.callers, &text).is_some_and(|answer| answer.status() == 200)
+        platform::call(gateway.callers, &text).is_some_and(|response| response.status() == 200)
     });
     store.cut(true);
     let start = Instant::now();
@@ -137,7 +137,7 @@
     store.remove("servers", "i-1");
     platform::wait_until("the new server", || {
         let text = request("GET", "/safe/a", "r2", "", "");
-        platform::call(gateway.callers, &text).is_some_and(|answer| answer.body == b"second")
+        platform::call(gateway.callers, &text).is_some_and(|response| response.body == b"second")
     });
     drop(relay);
 }
@@ -155,8 +155,8 @@
     relay.signal("KILL");
     let text = request("POST", "/stream/a", "r1", platform::PROMPT, "p");
     platform::wait_until("a refusal that closes", || {
-        let answer = platform::call(gateway.callers, &text).unwrap();
-        answer.status() == 503 && answer.field("connection") == Some("close")
+        let response = platform::call(gateway.callers, &text).unwrap();
+        response.status() == 503 && response.field("connection") == Some("close")
     });
     gateway.wait_ready(false);
     // Requests that need no budget are still served.
@@ -183,7 +183,7 @@
     store.put_unseen("config", "main", config);
     let start = Instant::now();
     platform::wait_until("the lost key", || {
-        platform::call(gateway.callers, &text).is_some_and(|answer| answer.status() == 401)
+        platform::call(gateway.callers, &text).is_some_and(|response| response.status() == 401)
     });
     assert!(start.elapsed() < Duration::from_secs(2), "{:?}", start.elapsed());
 }
--- a/toucanrail-gateway/tests/silent_servers.rs
+++ b/toucanrail-gateway/tests/silent_servers.rs
@@ -12,7 +12,7 @@
     format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())
 }
 
-fn whole_stream() -> String {
+fn complete_stream() -> String {
     [platform::STREAM, &platform::chunk("id: 1\ndata: whole\n\n"), "0\r\n\r\n"].concat()
 }
 
@@ -25,9 +25,9 @@
     let store = Store::start();
     let slow = Backend::start("i-1", move |_, message: &Message| match message.target() {
         "/api/report" => Act::Answer(reports.to_owned()),
-        _ => Act::Answer(["PAUSE".repeat(70), whole_stream()].concat()),
+        _ => Act::Answer(["PAUSE".repeat(70), complete_stream()].concat()),
     });
-    let fast = Backend::start("i-2", |_, _| Act::Answer(whole_stream()));
+    let fast = Backend::start("i-2", |_, _| Act::Answer(complete_stream()));
     let backends: Vec<Backend> = if with_fast { vec![fast] } else { Vec::new() };
     let all: Vec<&Backend> = std::iter::once(&slow).chain(&backends).collect();
     platform::configure_total(&store, 1, &all, 100_000);
@@ -65,8 +65,8 @@
 fn queued_request() {
     let reports = Box::leak(load_report(3, "").into_boxed_str());
     let (store, slow, _fast, _relay, gateway) = start_slow(reports, false);
-    let answer = send_prompt(&gateway, "r1");
-    assert!(answer.starts_with("HTTP/1.1 200") && answer.contains("whole"), "{answer}");
+    let response = send_prompt(&gateway, "r1");
+    assert!(response.starts_with("HTTP/1.1 200") && response.contains("whole"), "{response}");
     assert_eq!(count_prompts(&slow), 1);
     platform::wait_until("the bill", || store.billed("acme") == 106);
 }
@@ -76,8 +76,8 @@
 fn running_request() {
     let reports = Box::leak(load_report(0, "[\"r1\",50,0,1]").into_boxed_str());
     let (_store, slow, _fast, _relay, gateway) = start_slow(reports, false);
-    let answer = send_prompt(&gateway, "r1");
-    assert!(answer.starts_with("HTTP/1.1 200") && answer.contains("whole"), "{answer}");
+    let response = send_prompt(&gateway, "r1");
+    assert!(response.starts_with("HTTP/1.1 200") && response.contains("whole"), "{response}");
     assert_eq!(count_prompts(&slow), 1);
 }
 
@@ -117,8 +117,8 @@
         for number in 0..16 {
             scope.spawn(move || {
                 let start = Instant::now();
-                let answer = send_prompt(gateway, &format!("r{number}"));
-                assert!(answer.starts_with("HTTP/1.1 502"), "{answer}");
+                let response = send_prompt(gateway, &format!("r{number}"));
+                assert!(response.starts_with("HTTP/1.1 502"), "{response}");
                 assert!(start.elapsed() < Duration::from_secs(3), "{:?}", start.elapsed());
             });
         }
