--- a/toucanrail-gateway/src/dispatching.rs
+++ b/toucanrail-gateway/src/dispatching.rs
@@ -197,8 +197,8 @@
         let candidates = {
             let tables = self.gateway.tables.borrow();
             let eligible = self.list_eligible(&tables.backends, query.now);
-            let dice: [f64; probes::SAMPLE_COUNT] = std::array::from_fn(|_| fastrand::f64());
-            probes::pick_candidates(&eligible, &query, &dice)
+            let random: [f64; probes::SAMPLE_COUNT] = std::array::from_fn(|_| fastrand::f64());
+            probes::pick_candidates(&eligible, &query, &random)
         };
         let probing = candidates.into_iter().map(|entry| {
             let gateway = Rc::clone(self.gateway);
