--- a/toucanrail-gateway/src/dispatching.rs
+++ b/toucanrail-gateway/src/dispatching.rs
@@ -157,7 +157,7 @@
         }
     }
 
-    fn place_query(&self) -> PlacementQuery<'_> {
+    fn placement_query(&self) -> PlacementQuery<'_> {
         let prompt = self.plan.facts.prompt.as_ref();
         PlacementQuery {
             data_centre: &self.gateway.settings.data_centre,
@@ -189,20 +189,20 @@
     }
 
     /// Requests load reports from the relays beside some of the servers. Done for long prompts, and
-    /// for all prompts while requests wait too long for their first event.
+    /// for others while requests wait too long for their first event and free slots may be scarce.
     async fn probe_servers(&self) -> Vec<ProbeRow> {
         let Some(prompt) = &self.plan.facts.prompt else {
             return Vec::new();
         };
-        if !probes::is_long(prompt.prompt) && !self.gateway.wants_probe(&self.plan.service) {
+        if !probes::is_long(prompt.prompt) && !self.gateway.should_probe(&self.plan.service) {
             return Vec::new();
         }
-        let query = self.place_query();
+        let query = self.placement_query();
         let candidates = {
             let tables = self.gateway.tables.borrow();
             let eligible = self.list_eligible(&tables.backends, query.now);
-            let dice: [f64; probes::PROBE_SAMPLES] = std::array::from_fn(|_| fastrand::f64());
-            probes::pick_candidates(&eligible, &query, &dice)
+            let random: [f64; probes::PROBE_SAMPLES] = std::array::from_fn(|_| fastrand::f64());
+            probes::pick_candidates(&eligible, &query, &random)
         };
         let probing = candidates.into_iter().map(|entry| {
             let gateway = Rc::clone(self.gateway);
@@ -235,7 +235,7 @@
     /// Picks a server, and a second one that holds shared parts of the prompt in its cache, if
     /// there is a better source than the server itself.
     fn pick_target(&self, probed: &[ProbeRow]) -> Option<(BackendEntry, Option<SocketAddr>)> {
-        let query = self.place_query();
+        let query = self.placement_query();
         let tables = self.gateway.tables.borrow();
         let eligible = self.list_eligible(&tables.backends, query.now);
         let chosen = probes::pick_probed(&eligible, &query, probed, self.plan.route.aim);
