--- a/toucanrail-daemons/src/attempts.rs
+++ b/toucanrail-daemons/src/attempts.rs
@@ -178,7 +178,7 @@
                     received += bytes.len() as u64;
                     if std::mem::take(&mut first) {
                         let now = entry.now();
-                        entry.lock().servers.note_first_token(
+                        entry.lock().servers.record_first_token(
                             &target.agent,
                             started.elapsed(),
                             now,
--- a/toucanrail-daemons/src/serving.rs
+++ b/toucanrail-daemons/src/serving.rs
@@ -184,7 +184,7 @@
             if slots == 0 {
                 return Err(Box::new(self.refusal(codetable::NO_BACKEND_SERVER)));
             }
-            tables.retries.note_request(now);
+            tables.retries.record_request(now);
             let (class, weight) = (customer.class, customer.weight);
             tables.limits.admit(&service, &customer.name, class, weight, known)
         };
@@ -362,7 +362,7 @@
         self.note(format!("sent to {} as {run}", target.agent));
         {
             let mut tables = self.entry.lock();
-            tables.servers.note_sent(&target.agent);
+            tables.servers.record_sent(&target.agent);
             tables.grants.mark_agent(&hold.shard, &target.agent, true);
         }
         let entry = Arc::clone(&self.entry);
@@ -411,15 +411,15 @@
         {
             let now = self.entry.now();
             let mut tables = self.entry.lock();
-            tables.servers.note_ended(&target.agent);
+            tables.servers.record_ended(&target.agent);
             match end {
                 AttemptEnd::NotRun { code, .. } if *code == codetable::STOPPING => {
-                    tables.servers.note_leaving(&target.agent);
+                    tables.servers.record_leaving(&target.agent);
                 }
                 AttemptEnd::Whole { .. } => {}
                 AttemptEnd::Lost { code, .. } | AttemptEnd::Open { code }
                     if *code == codetable::CANCELLED => {}
-                _ => tables.servers.note_failure(&target.agent, now),
+                _ => tables.servers.record_failure(&target.agent, now),
             }
             if !open {
                 tables.grants.mark_agent(&hold.shard, &target.agent, false);
--- a/toucanrail-daemons/src/watching.rs
+++ b/toucanrail-daemons/src/watching.rs
@@ -154,7 +154,7 @@
         entry.board.count_event("heartbeats_lost");
         return;
     };
-    entry.lock().members.note_answer(&peer, &news.id, entry.now());
+    entry.lock().members.record_answer(&peer, &news.id, entry.now());
     entry.mirrors.take_news(news);
 }
 
@@ -193,7 +193,7 @@
     // Another incarnation answers: this one is gone, with all that it knew.
     {
         let mut tables = entry.lock();
-        tables.servers.note_leaving(&agent);
+        tables.servers.record_leaving(&agent);
         tables.grants.note_acked(&agent, &BTreeSet::new(), true);
     }
     registering::write_node(&entry.store, &agent, Vec::new()).await;
--- a/toucanrail-gateway/src/dispatching.rs
+++ b/toucanrail-gateway/src/dispatching.rs
@@ -271,18 +271,18 @@
         }
         let mut tables = self.gateway.tables.borrow_mut();
         match fate {
-            AttemptOutcome::NotSent => tables.backends.note_connect_failure(&target.id, now),
+            AttemptOutcome::NotSent => tables.backends.record_connect_failure(&target.id, now),
             AttemptOutcome::Declined | AttemptOutcome::Withheld => {}
             AttemptOutcome::Failed
             | AttemptOutcome::Lost
             | AttemptOutcome::Broken
-            | AttemptOutcome::TimedOut => tables.backends.note_failure(&target.id, now),
+            | AttemptOutcome::TimedOut => tables.backends.record_failure(&target.id, now),
         }
         if matches!(fate, AttemptOutcome::NotSent | AttemptOutcome::Lost | AttemptOutcome::Broken) {
             // The server may have restarted, and be cold again, before its new registration is seen
             // here.
             if let Some(rule) = tables.routes.cold_rule(&target.service) {
-                tables.backends.note_cold(&target.id, rule.time, now);
+                tables.backends.record_cold(&target.id, rule.time, now);
             }
         }
         drop(tables);
--- a/toucanrail-gateway/src/following.rs
+++ b/toucanrail-gateway/src/following.rs
@@ -181,7 +181,7 @@
     }
     let asked = ask_store(gateway, kind, state.revision).await;
     if asked.is_err() {
-        state.outage.note_failure(gateway.now(), fastrand::f64());
+        state.outage.record_failure(gateway.now(), fastrand::f64());
     }
     asked
 }
@@ -329,7 +329,7 @@
                 let cold = if known.as_ref() == Some(&entry) { Duration::ZERO } else { entry.cold };
                 tables.backends.apply_entry(entry);
                 if !cold.is_zero() {
-                    tables.backends.note_cold(&object.name, cold, now);
+                    tables.backends.record_cold(&object.name, cold, now);
                 }
                 true
             }
@@ -348,7 +348,7 @@
         if tables.backends.get(id).is_none() {
             return;
         }
-        tables.backends.note_missing(id, since);
+        tables.backends.record_missing(id, since);
         let lapsed = since.is_some();
         tracing::info!(event = "server_missing", server = %id, lapsed);
         if !lapsed {
--- a/toucanrail-gateway/src/mirroring.rs
+++ b/toucanrail-gateway/src/mirroring.rs
@@ -131,7 +131,7 @@
             Err(failure) => {
                 tracing::debug!(event = "store_failed", kind, %failure);
                 // Those who wait learn it now, and not when their wait is over.
-                board.table.borrow_mut().note_store_failure();
+                board.table.borrow_mut().record_store_failure();
                 board.changed.notify(usize::MAX);
                 smol::Timer::after(FAILURE_PAUSE).await;
             }
--- a/toucanrail-gateway/src/permitting.rs
+++ b/toucanrail-gateway/src/permitting.rs
@@ -50,7 +50,7 @@
         return SendPermit::Until(asked + PERMIT_VALIDITY);
     };
     let until = gateway.now() + wait;
-    gateway.tables.borrow_mut().backends.note_permit_denied(&target.id, until);
+    gateway.tables.borrow_mut().backends.record_permit_denied(&target.id, until);
     gateway.metrics.count_event("permits_denied");
     tracing::info!(
         event = "permit_denied", server = %target.id, limit, wait_ms = wait.as_millis() as u64,
--- a/toucanrail-gateway/src/sending.rs
+++ b/toucanrail-gateway/src/sending.rs
@@ -82,9 +82,9 @@
         row.map_or(prompt.prompt, |row| row.uncached_tokens(parts, prompt.prompt))
     });
     let row = FlightRow { sent_at: gateway.now(), uncached, begun: false };
-    let number = tables.backends.note_sent(&target.id, row, parts);
+    let number = tables.backends.record_sent(&target.id, row, parts);
     let row = PendingRow { sent_at: row.sent_at, latency_target: plan.route.aim };
-    tables.limits.entry(Arc::clone(&target.service)).or_default().note_sent(number, row);
+    tables.limits.entry(Arc::clone(&target.service)).or_default().record_sent(number, row);
     drop(tables);
     FlightGuard::new(gateway, target, number)
 }
@@ -235,7 +235,7 @@
     let AttemptContext { gateway, plan, target, .. } = *context;
     let status = exchange.head.status;
     if status == 421 {
-        gateway.tables.borrow_mut().backends.note_leaving(&target.id);
+        gateway.tables.borrow_mut().backends.record_leaving(&target.id);
         gateway.channels.forget(&target.id);
     }
     tracing::info!(
--- a/toucanrail-gateway/src/state.rs
+++ b/toucanrail-gateway/src/state.rs
@@ -132,7 +132,7 @@
     /// Records a new request, as opposed to a retry, in the retry budget of a service.
     pub fn record_new_request(&self, service: &ServiceName) {
         let now = self.now();
-        self.with_retry_budget(service, |budget| budget.note_request(now));
+        self.with_retry_budget(service, |budget| budget.record_request(now));
     }
 
     /// Takes one retry from the budget of a service, if one is left.
@@ -250,9 +250,9 @@
     pub fn record_response_start(&self) {
         let now = self.gateway.now();
         let mut tables = self.gateway.tables.borrow_mut();
-        tables.backends.note_first_event(&self.backend, self.number, now);
+        tables.backends.record_first_event(&self.backend, self.number, now);
         if let Some(limit) = tables.limits.get_mut(&self.service) {
-            limit.note_first_event(self.number, now);
+            limit.record_first_event(self.number, now);
         }
     }
 }
@@ -261,9 +261,9 @@
     fn drop(&mut self) {
         let now = self.gateway.now();
         let mut tables = self.gateway.tables.borrow_mut();
-        tables.backends.note_ended(&self.backend, self.number);
+        tables.backends.record_ended(&self.backend, self.number);
         if let Some(limit) = tables.limits.get_mut(&self.service) {
-            limit.note_ended(self.number, now);
+            limit.record_ended(self.number, now);
         }
     }
 }
--- a/toucanrail-gateway/src/storing.rs
+++ b/toucanrail-gateway/src/storing.rs
@@ -153,10 +153,10 @@
         // Calls run at the same time: what another one learnt meanwhile counts too.
         let mut patience = self.patience.get();
         if reply == StoreReply::Unavailable {
-            patience.note_timeout(wait);
+            patience.record_timeout(wait);
             self.note_failure(&way);
         } else {
-            patience.note_answer(self.now().saturating_sub(asked));
+            patience.record_answer(self.now().saturating_sub(asked));
         }
         self.patience.set(patience);
         reply
--- a/toucanrail/src/admissions.rs
+++ b/toucanrail/src/admissions.rs
@@ -127,7 +127,7 @@
     }
 
     /// Records a request that was sent.
-    pub fn note_sent(&mut self, number: FlightId, row: PendingRow) {
+    pub fn record_sent(&mut self, number: FlightId, row: PendingRow) {
         self.end_step(row.sent_at);
         let weight = if self.latency_target.is_zero() { 1.0 } else { TARGET_WEIGHT };
         self.latency_target =
@@ -137,12 +137,12 @@
     }
 
     /// Records a first event.
-    pub fn note_first_event(&mut self, number: FlightId, now: Duration) {
+    pub fn record_first_event(&mut self, number: FlightId, now: Duration) {
         self.first_events += u32::from(self.remove_pending(number, now));
     }
 
     /// Records the end of a request; has no effect after its first event.
-    pub fn note_ended(&mut self, number: FlightId, now: Duration) {
+    pub fn record_ended(&mut self, number: FlightId, now: Duration) {
         self.remove_pending(number, now);
     }
 
--- a/toucanrail/src/backends.rs
+++ b/toucanrail/src/backends.rs
@@ -166,7 +166,7 @@
         prompt.saturating_sub(self.cached_tokens(parts))
     }
 
-    fn note_parts(&mut self, parts: &[PromptPart], now: Duration) {
+    fn record_parts(&mut self, parts: &[PromptPart], now: Duration) {
         for part in parts {
             self.parts.insert(part.id, now);
         }
@@ -240,7 +240,7 @@
     /// After an outage of the store that ended at `returned`, the entry of a live server may be
     /// missing; such a server is used until [`MISSING_GRACE`] has passed. Without an outage, the
     /// server has left or died and gets no more work.
-    pub fn note_missing(&mut self, id: &str, returned: Option<Duration>) {
+    pub fn record_missing(&mut self, id: &str, returned: Option<Duration>) {
         match (returned, self.rows.get_mut(id)) {
             (Some(returned), Some(row)) => {
                 row.missing_since.get_or_insert(returned);
@@ -339,24 +339,24 @@
     /// use toucanrail::backends::{BackendTable, FlightRow};
     /// let mut table = BackendTable::new();
     /// let row = FlightRow { sent_at: Default::default(), uncached: 0, begun: false };
-    /// assert_ne!(table.note_sent("a", row, &[]), table.note_sent("a", row, &[]));
+    /// assert_ne!(table.record_sent("a", row, &[]), table.record_sent("a", row, &[]));
     /// ```
-    pub fn note_sent(&mut self, id: &str, flight: FlightRow, parts: &[PromptPart]) -> FlightId {
+    pub fn record_sent(&mut self, id: &str, flight: FlightRow, parts: &[PromptPart]) -> FlightId {
         self.next_flight += 1;
         if let Some(row) = self.rows.get_mut(id) {
             row.flights.insert(self.next_flight, flight);
-            row.note_parts(parts, flight.sent_at);
+            row.record_parts(parts, flight.sent_at);
         }
         self.next_flight
     }
 
     /// Records that the answer to a request has begun.
-    pub fn note_first_event(&mut self, id: &str, number: FlightId, now: Duration) {
+    pub fn record_first_event(&mut self, id: &str, number: FlightId, now: Duration) {
         let Some(row) = self.rows.get_mut(id) else {
             return;
         };
         row.connect_failures = 0;
-        row.ejection.note_success(now);
+        row.ejection.record_success(now);
         if let Some(flight) = row.flights.get_mut(&number) {
             flight.begun = true;
             let wait = now.saturating_sub(flight.sent_at).as_secs_f64();
@@ -373,21 +373,21 @@
     }
 
     /// Records that a request is no longer in flight.
-    pub fn note_ended(&mut self, id: &str, number: FlightId) {
+    pub fn record_ended(&mut self, id: &str, number: FlightId) {
         if let Some(row) = self.rows.get_mut(id) {
             row.flights.remove(&number);
         }
     }
 
     /// Records a failed attempt.
-    pub fn note_failure(&mut self, id: &str, now: Duration) {
+    pub fn record_failure(&mut self, id: &str, now: Duration) {
         if let Some(row) = self.rows.get_mut(id) {
-            row.ejection.note_failure(now);
+            row.ejection.record_failure(now);
         }
     }
 
     /// Records that no connection could be opened.
-    pub fn note_connect_failure(&mut self, id: &str, now: Duration) {
+    pub fn record_connect_failure(&mut self, id: &str, now: Duration) {
         if let Some(row) = self.rows.get_mut(id) {
             let time = CONNECT_BACKOFF
                 .saturating_mul(1 << row.connect_failures.min(8))
@@ -398,14 +398,14 @@
     }
 
     /// Records that a server is or may be cold for some time.
-    pub fn note_cold(&mut self, id: &str, time: Duration, now: Duration) {
+    pub fn record_cold(&mut self, id: &str, time: Duration, now: Duration) {
         if let Some(row) = self.rows.get_mut(id) {
             row.cold_until = row.cold_until.max(now.max(row.down_until) + time);
         }
     }
 
     /// Records that no permit for a cold server is available before `until`.
-    pub fn note_permit_denied(&mut self, id: &str, until: Duration) {
+    pub fn record_permit_denied(&mut self, id: &str, until: Duration) {
         if let Some(row) = self.rows.get_mut(id) {
             row.permit_retry_at = until;
         }
@@ -432,7 +432,7 @@
 
     /// Records that a server declared in an answer that it is leaving, or that it is not the server
     /// named in its entry.
-    pub fn note_leaving(&mut self, id: &str) {
+    pub fn record_leaving(&mut self, id: &str) {
         if let Some(row) = self.rows.get_mut(id) {
             row.entry.draining = true;
         }
--- a/toucanrail/src/boards.rs
+++ b/toucanrail/src/boards.rs
@@ -87,7 +87,7 @@
     }
 
     /// Records that the store did not answer: the board is stale until it does.
-    pub fn note_store_failure(&mut self) {
+    pub fn record_store_failure(&mut self) {
         self.is_silent = true;
     }
 
@@ -183,7 +183,7 @@
     /// use std::time::Duration;
     /// let mut backoff = toucanrail::boards::OutageBackoff::default();
     /// assert!(backoff.may_ask(Duration::ZERO));
-    /// backoff.note_failure(Duration::ZERO, 0.5);
+    /// backoff.record_failure(Duration::ZERO, 0.5);
     /// assert!(!backoff.may_ask(Duration::from_secs(1)));
     /// assert!(backoff.may_ask(Duration::from_secs(2)));
     /// ```
@@ -192,7 +192,7 @@
     }
 
     /// Records that the store did not answer; `random` in `0..1` spreads entries.
-    pub fn note_failure(&mut self, now: Duration, random: f64) {
+    pub fn record_failure(&mut self, now: Duration, random: f64) {
         self.until = now + MAX_OUTAGE_PAUSE.mul_f64(0.5 + 0.5 * random);
     }
 }
--- a/toucanrail/src/ejections.rs
+++ b/toucanrail/src/ejections.rs
@@ -32,10 +32,10 @@
     /// ```
     /// use std::time::Duration;
     /// let mut state = toucanrail::ejections::EjectionState::default();
-    /// (0..3).for_each(|_| state.note_failure(Duration::ZERO));
+    /// (0..3).for_each(|_| state.record_failure(Duration::ZERO));
     /// assert!(state.is_ejected(Duration::from_secs(1)));
     /// ```
-    pub fn note_failure(&mut self, now: Duration) {
+    pub fn record_failure(&mut self, now: Duration) {
         self.failures += 1;
         if self.failures >= FAILURE_LIMIT {
             let time = EJECTION_BASE.saturating_mul(1 << self.ejections.min(5));
@@ -46,7 +46,7 @@
     }
 
     /// Records a successful attempt.
-    pub fn note_success(&mut self, now: Duration) {
+    pub fn record_success(&mut self, now: Duration) {
         self.failures = 0;
         if now.saturating_sub(self.until) > RAMP_TIME {
             self.ejections = 0;
--- a/toucanrail/src/members.rs
+++ b/toucanrail/src/members.rs
@@ -127,7 +127,7 @@
     }
 
     /// Records which entry answered at a peer's address.
-    pub fn note_answer(&mut self, peer: &EntryId, answered: &EntryId, now: Duration) {
+    pub fn record_answer(&mut self, peer: &EntryId, answered: &EntryId, now: Duration) {
         if let Some(row) = self.peers.get_mut(peer) {
             if answered == peer {
                 row.heard_at = now;
--- a/toucanrail/src/probes.rs
+++ b/toucanrail/src/probes.rs
@@ -87,7 +87,7 @@
 pub type ProbeRow = (BackendEntry, Option<BackendReport>);
 
 /// Returns the servers to probe: the one with the lowest expected cost, and one more for each
-/// number of `random` in `0..1`.
+/// number in `random`, all of them in `0..1`.
 ///
 /// # Examples
 /// ```
--- a/toucanrail/src/retries.rs
+++ b/toucanrail/src/retries.rs
@@ -81,7 +81,7 @@
     }
 
     /// Records an original request.
-    pub fn note_request(&mut self, now: Duration) {
+    pub fn record_request(&mut self, now: Duration) {
         self.bucket_at(now).requests += 1;
     }
 
--- a/toucanrail/src/servers.rs
+++ b/toucanrail/src/servers.rs
@@ -161,42 +161,42 @@
     }
 
     /// Records that an agent announced that it is leaving.
-    pub fn note_leaving(&mut self, agent: &AgentId) {
+    pub fn record_leaving(&mut self, agent: &AgentId) {
         if let Some(row) = self.rows.get_mut(agent) {
             row.leaving = true;
         }
     }
 
     /// Records a request that was sent.
-    pub fn note_sent(&mut self, agent: &AgentId) {
+    pub fn record_sent(&mut self, agent: &AgentId) {
         if let Some(row) = self.rows.get_mut(agent) {
             row.own += 1;
         }
     }
 
     /// Records the end of a request.
-    pub fn note_ended(&mut self, agent: &AgentId) {
+    pub fn record_ended(&mut self, agent: &AgentId) {
         if let Some(row) = self.rows.get_mut(agent) {
             row.own = row.own.saturating_sub(1);
         }
     }
 
     /// Records the first token of an answer, which arrived after `wait`.
-    pub fn note_first_token(&mut self, agent: &AgentId, wait: Duration, now: Duration) {
+    pub fn record_first_token(&mut self, agent: &AgentId, wait: Duration, now: Duration) {
         if let Some(row) = self.rows.get_mut(agent) {
             let wait = wait.as_secs_f64();
             let known = row.first_token > 0.0;
             let weight = if known { LATENCY_WEIGHT } else { 1.0 };
             row.first_token += (wait - row.first_token) * weight;
             row.heard_at = Some(now);
-            row.ejection.note_success(now);
+            row.ejection.record_success(now);
         }
     }
 
     /// Records a failed attempt; enough consecutive failures eject the server for a while.
-    pub fn note_failure(&mut self, agent: &AgentId, now: Duration) {
+    pub fn record_failure(&mut self, agent: &AgentId, now: Duration) {
         if let Some(row) = self.rows.get_mut(agent) {
-            row.ejection.note_failure(now);
+            row.ejection.record_failure(now);
         }
     }
 
--- a/toucanrail/src/timeouts.rs
+++ b/toucanrail/src/timeouts.rs
@@ -40,17 +40,17 @@
     /// ```
     /// use std::time::Duration;
     /// let mut timeout = toucanrail::timeouts::AdaptiveTimeout::new();
-    /// timeout.note_answer(Duration::from_millis(400));
+    /// timeout.record_answer(Duration::from_millis(400));
     /// assert_eq!(timeout.wait(), Duration::from_millis(1_200));
     /// ```
-    pub fn note_answer(&mut self, took: Duration) {
+    pub fn record_answer(&mut self, took: Duration) {
         let wait = self.wait.mul_f64(DECAY_FACTOR).max(took * ANSWER_TIME_FACTOR);
         self.wait = wait.clamp(MIN_WAIT, MAX_WAIT);
     }
 
     /// Records that no answer arrived within the time that a call waited. Concurrent calls that
     /// fail together increase the timeout only once.
-    pub fn note_timeout(&mut self, waited: Duration) {
+    pub fn record_timeout(&mut self, waited: Duration) {
         self.wait = self.wait.max(waited * 2).min(MAX_WAIT);
     }
 }
--- a/toucanrail/tests/admission_limits.rs
+++ b/toucanrail/tests/admission_limits.rs
@@ -59,8 +59,10 @@
             return;
         }
         self.next += 1;
-        self.limit
-            .note_sent(self.next, PendingRow { sent_at: self.now, latency_target: LATENCY_TARGET });
+        self.limit.record_sent(
+            self.next,
+            PendingRow { sent_at: self.now, latency_target: LATENCY_TARGET },
+        );
         self.queue.push_back((self.next, self.now, work));
     }
 
@@ -73,7 +75,7 @@
             }
             tokens -= *work;
             let wait = self.now.saturating_sub(*sent);
-            self.limit.note_first_event(*number, self.now);
+            self.limit.record_first_event(*number, self.now);
             tally.waits.push(wait);
             *(if wait > LATENCY_TARGET { &mut tally.late } else { &mut tally.timely }) += 1;
             self.queue.pop_front();
--- a/toucanrail/tests/attempt_steps.rs
+++ b/toucanrail/tests/attempt_steps.rs
@@ -70,7 +70,7 @@
             if retry {
                 retries += u32::from(budget.try_spend(Duration::ZERO));
             } else {
-                budget.note_request(Duration::ZERO);
+                budget.record_request(Duration::ZERO);
                 fresh += 1;
             }
         }
@@ -93,7 +93,7 @@
             now += Duration::from_millis(pause);
             let budget = &mut budgets[index % entries];
             if kind == 0 {
-                budget.note_request(now);
+                budget.record_request(now);
                 fresh.push(now);
             } else if budget.try_spend(now) {
                 retries.push(now);
@@ -125,7 +125,7 @@
     let requests = (0..2_000).map(|number| Duration::from_secs_f64(f64::from(number) / 13.7));
     let mut refused = 0;
     for (number, now) in requests.enumerate() {
-        budget.note_request(now);
+        budget.record_request(now);
         if number > 140 && (number as f64 % group) < 3.0 {
             refused += u32::from(!budget.try_spend(now));
         }
--- a/toucanrail/tests/backend_placement.rs
+++ b/toucanrail/tests/backend_placement.rs
@@ -74,7 +74,7 @@
     let mut table = make_table();
     let preferred = pick(&table, "a", 7, 1);
     for _ in 0..12 {
-        table.note_sent(&preferred, in_flight(6_600), &[]);
+        table.record_sent(&preferred, in_flight(6_600), &[]);
     }
     assert_ne!(pick(&table, "a", 7, 2), preferred);
 }
@@ -99,7 +99,7 @@
         let id = pick_parts(&table, "a", &parts);
         let parts = parts.map(|(id, tokens)| PromptPart { id, tokens });
         let uncached = table.get(&id).unwrap().uncached_tokens(&parts, 100 + shared + own);
-        table.note_sent(&id, in_flight(uncached), &parts);
+        table.record_sent(&id, in_flight(uncached), &parts);
         let weight = if slow.contains(&id) { 13 } else { 10 };
         *sent.entry(id).or_default() += uncached * weight;
     }
@@ -126,7 +126,7 @@
     };
     assert_eq!(source(&table, 6_600, 4_900), None);
     for _ in 0..12 {
-        table.note_sent(&preferred, in_flight(6_600), &[]);
+        table.record_sent(&preferred, in_flight(6_600), &[]);
     }
     assert_eq!(source(&table, 33_000, 4_900), Some(preferred.clone()));
     assert_eq!(source(&table, 6_600, 4_900), Some(preferred));
@@ -144,12 +144,12 @@
     for (session, preferred) in (100..).zip(&preferred_servers) {
         let parts = [(1, 500), (session, 4_900)];
         let parts = parts.map(|(id, tokens)| PromptPart { id, tokens });
-        table.note_sent(preferred, in_flight(6_600), &parts);
+        table.record_sent(preferred, in_flight(6_600), &parts);
     }
     // The requests sent above have ended.
     let ended: Vec<String> = table.rows().map(|row| row.entry.id.to_string()).collect();
     for (id, number) in ended.iter().flat_map(|id| (0..=200).map(move |number| (id, number))) {
-        table.note_ended(id, number);
+        table.record_ended(id, number);
     }
     make_slow(&mut table, &BTreeSet::from([preferred_servers[0].clone()]));
     let moved: Vec<u64> = (100..300)
@@ -180,11 +180,11 @@
     for at in 0..9 {
         let id = format!("s{at}");
         if id != preferred && id != last {
-            table.note_missing(&id, None);
+            table.record_missing(&id, None);
         }
     }
     for _ in 0..12 {
-        table.note_sent(&preferred, in_flight(6_600), &[]);
+        table.record_sent(&preferred, in_flight(6_600), &[]);
     }
     assert_eq!(pick(&table, "a", 7, 2), last);
 }
@@ -194,7 +194,7 @@
 #[test]
 fn lapsed_entry() {
     let mut table = make_table();
-    table.note_missing("s0", Some(NOW));
+    table.record_missing("s0", Some(NOW));
     assert_eq!(table.eligible("llm", &[], NOW).len(), 9);
     assert!(table.drop_expired(NOW + MISSING_GRACE).is_empty());
     assert_eq!(table.drop_expired(NOW + MISSING_GRACE + Duration::from_millis(1)).len(), 1);
@@ -206,7 +206,7 @@
 #[test]
 fn unswept_entry() {
     let mut table = make_table();
-    table.note_missing("s0", Some(NOW));
+    table.record_missing("s0", Some(NOW));
     let late = NOW + Duration::from_millis(1_800);
     assert_eq!(table.eligible("llm", &[], late).len(), 8);
 }
@@ -216,7 +216,7 @@
 #[test]
 fn vanished_entry() {
     let mut table = make_table();
-    table.note_missing("s0", None);
+    table.record_missing("s0", None);
     assert!(table.get("s0").is_none());
 }
 
@@ -224,7 +224,7 @@
 #[test]
 fn restarted_server() {
     let mut table = make_table();
-    table.note_sent("s0", in_flight(100), &[PromptPart { id: 5, tokens: 100 }]);
+    table.record_sent("s0", in_flight(100), &[PromptPart { id: 5, tokens: 100 }]);
     table.apply_entry(BackendEntry { started_at: 2, ..entry("s0") });
     let row = table.get("s0").unwrap();
     assert_eq!(row.flights.len(), 0);
@@ -255,7 +255,7 @@
 fn all_down() {
     let mut table = make_table();
     for at in 0..9 {
-        table.note_connect_failure(&format!("s{at}"), NOW);
+        table.record_connect_failure(&format!("s{at}"), NOW);
     }
     table.apply_entry(BackendEntry { draining: true, ..entry("s8") });
     assert_eq!(table.eligible("llm", &[], NOW).len(), 8);
--- a/toucanrail/tests/board_updates.rs
+++ b/toucanrail/tests/board_updates.rs
@@ -37,7 +37,7 @@
 fn failed_call() {
     let mut table = BoardTable::new();
     table.apply_listing(vec![object("a", 3)], 3, NOW);
-    table.note_store_failure();
+    table.record_store_failure();
     assert_eq!(table.updates_since(Some(3), NOW), Some(NewsReply::Stale));
     table.apply_changes(Vec::new(), 3, NOW);
     assert_eq!(table.updates_since(Some(3), NOW), None);
@@ -94,7 +94,7 @@
 fn unlisted_board() {
     let mut table = BoardTable::new();
     assert_eq!(table.updates_since(None, NOW), None);
-    table.note_store_failure();
+    table.record_store_failure();
     assert_eq!(table.updates_since(None, NOW), Some(NewsReply::Stale));
 }
 
@@ -110,7 +110,7 @@
         while now < NOW + Duration::from_secs(4) {
             if timer.may_ask(now) {
                 calls += 1;
-                timer.note_failure(now, f64::from(entry) / 68.0);
+                timer.record_failure(now, f64::from(entry) / 68.0);
             }
             now += step;
         }
--- a/toucanrail/tests/centre_evacuations.rs
+++ b/toucanrail/tests/centre_evacuations.rs
@@ -96,7 +96,7 @@
     let mut table = make_table(9);
     table.evacuations.apply_listing(&listed(&["a", "b", "c"]), NOW);
     for at in 0..9 {
-        table.note_connect_failure(&format!("s{at:02}"), NOW);
+        table.record_connect_failure(&format!("s{at:02}"), NOW);
     }
     assert_eq!(count_eligible(&table, NOW), 0);
 }
@@ -119,7 +119,7 @@
     };
     let (preferred, _) = source(&table, NOW);
     let in_flight = FlightRow { sent_at: NOW, uncached: 12_000, begun: true };
-    table.note_sent(&preferred.id, in_flight, &parts);
+    table.record_sent(&preferred.id, in_flight, &parts);
     table.evacuations.begin(&preferred.data_centre, Duration::ZERO, NOW);
     let closed = NOW + BOUND.mul_f64(0.3);
     let (target, source_id) = source(&table, closed);
--- a/toucanrail/tests/load_probes.rs
+++ b/toucanrail/tests/load_probes.rs
@@ -193,7 +193,7 @@
         let id = Arc::clone(&chosen.expect("a server").entry.id);
         bad += usize::from(servers.entry(Arc::clone(&id)).or_default().place(now));
         let flight = FlightRow { sent_at: now, uncached: 0, begun: true };
-        table.note_sent(&id, flight, &parts);
+        table.record_sent(&id, flight, &parts);
     }
     bad
 }
--- a/toucanrail/tests/server_choice.rs
+++ b/toucanrail/tests/server_choice.rs
@@ -80,7 +80,7 @@
     let mut counts: BTreeMap<String, u64> = BTreeMap::new();
     for draw in 0..120 {
         let agent = pick(&table, &usable, Some(7), draw);
-        table.note_sent(&Arc::from(agent.as_str()));
+        table.record_sent(&Arc::from(agent.as_str()));
         *counts.entry(agent).or_default() += 1;
     }
     let most = counts.values().max().copied().unwrap_or(0);
@@ -95,7 +95,7 @@
     let mut counts: BTreeMap<String, u64> = BTreeMap::new();
     for draw in 0..60 {
         let agent = pick(&table, &usable, None, draw);
-        table.note_sent(&Arc::from(agent.as_str()));
+        table.record_sent(&Arc::from(agent.as_str()));
         *counts.entry(agent).or_default() += 1;
     }
     assert!(counts["agent-0"] <= 20, "{counts:?}");
@@ -108,7 +108,7 @@
     table.apply_report(&LoadReport { healthy: false, ..report("agent-1", 0) }, 0, NOW, NOW);
     table.mark_leaving_vms(&BTreeSet::from([Arc::from("vm-agent-2")]));
     for _ in 0..3 {
-        table.note_failure(&Arc::from("agent-3"), NOW);
+        table.record_failure(&Arc::from("agent-3"), NOW);
     }
     let names = |table: &ServerTable, now| -> Vec<String> {
         let rows = table.eligible(&service(), &usable, &BTreeSet::new(), now, 0.99);
--- a/toucanrail/tests/store_detours.rs
+++ b/toucanrail/tests/store_detours.rs
@@ -106,15 +106,15 @@
     let given_up = (0..40).filter(|_| {
         let silent = patience.wait() < answer;
         if silent {
-            patience.note_timeout(patience.wait());
+            patience.record_timeout(patience.wait());
         } else {
-            patience.note_answer(answer);
+            patience.record_answer(answer);
         }
         silent
     });
     assert_eq!(given_up.count(), 1);
     for _ in 0..12 {
-        patience.note_answer(Duration::from_millis(4));
+        patience.record_answer(Duration::from_millis(4));
     }
     assert_eq!(patience.wait(), Duration::from_millis(300));
 }
