--- a/toucanrail-daemons/src/billing.rs
+++ b/toucanrail-daemons/src/billing.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 
-use toucanrail::budgets::{BillRow, RunNote};
+use toucanrail::budgets::{BillRow, BilledRun};
 use toucanrail::grants::GrantHold;
 use toucanrail::ids::{RunId, Tokens, Version};
 use toucanrail::records::{self, RecordState, RunRecord};
@@ -23,7 +23,7 @@
     /// Held by tries whose usage cannot be known.
     pub unproved: Tokens,
     /// The tries.
-    pub runs: Vec<RunNote>,
+    pub runs: Vec<BilledRun>,
 }
 
 impl UsageSum {
@@ -35,7 +35,7 @@
     /// Adds a try.
     pub fn add_run(&mut self, target: &AttemptTarget, run: &RunId, used: Tokens) {
         let (run, agent) = (Arc::clone(run), Arc::clone(&target.agent));
-        self.runs.push(RunNote { run, agent, used });
+        self.runs.push(BilledRun { run, agent, used });
     }
 
     /// Turns all of it into usage that is not charged.
@@ -140,7 +140,7 @@
         let mut tables = self.entry.lock();
         let grants = &mut tables.grants;
         grants.mark_agent(&self.hold.shard, &self.target.agent, false);
-        grants.finish(&self.hold, bill);
+        grants.end_hold(&self.hold, bill);
     }
 
     async fn read_bill(&self, end: &AttemptEnd) -> Option<BillRow> {
--- a/toucanrail-daemons/src/serving.rs
+++ b/toucanrail-daemons/src/serving.rs
@@ -309,7 +309,7 @@
             return true;
         }
         // The tenure was lost meanwhile: what was used belongs to it, the rest begins anew.
-        self.entry.lock().grants.finish(&more, None);
+        self.entry.lock().grants.end_hold(&more, None);
         self.sum.write_off();
         self.settle();
         self.hold = self.take_hold(self.plan.hold).await.ok();
@@ -510,7 +510,7 @@
         smol::spawn(async move {
             recording::close_surely(&entry, &record, version, state).await;
             if let Some((bill, hold)) = bill {
-                entry.lock().grants.finish(&hold, bill);
+                entry.lock().grants.end_hold(&hold, bill);
             }
             drop(guard);
         })
@@ -534,7 +534,7 @@
             if let Some(row) = &bill {
                 self.note(format!("to be billed {}", row.billed));
             }
-            self.entry.lock().grants.finish(&hold, bill);
+            self.entry.lock().grants.end_hold(&hold, bill);
         }
     }
 
--- a/toucanrail-daemons/src/settling.rs
+++ b/toucanrail-daemons/src/settling.rs
@@ -6,7 +6,7 @@
 
 use smol::future::FutureExt;
 use toucanrail::archives::ArchiveMachine;
-use toucanrail::budgets::RECENT_LIMIT;
+use toucanrail::budgets::RECENT_KEY_LIMIT;
 use toucanrail::codes::ResultCode;
 use toucanrail::codetable;
 use toucanrail::grants::{GrantHold, HoldRefusal};
@@ -60,7 +60,7 @@
                     }
                     // A request that began to wait during this sync found it running, and
                     // would otherwise wait for the next flush.
-                    if entry.lock().grants.has_unseen(&shard) {
+                    if entry.lock().grants.has_unplanned_waits(&shard) {
                         entry.wanted.notify(usize::MAX);
                     }
                 })
@@ -86,7 +86,7 @@
     };
     let mut machine = SyncMachine::new(plan, entry.settings.policy, cached);
     while let Some(call) = machine.next_call() {
-        machine.take_reply(entry.store.call(&call).await);
+        machine.handle_reply(entry.store.call(&call).await);
     }
     let outcome = machine.into_outcome();
     let applied = matches!(outcome, SyncOutcome::Applied { .. } | SyncOutcome::Unchanged { .. });
@@ -95,7 +95,7 @@
         SyncOutcome::Unchanged { .. } => entry.board.count_event("syncs_idle"),
         SyncOutcome::Unavailable => entry.board.count_event("syncs_unanswered"),
         // The next sync meets the same until the reclaim is done.
-        SyncOutcome::Revoked { .. } if !entry.lock().grants.is_open(shard) => {}
+        SyncOutcome::Revoked { .. } if !entry.lock().grants.has_tenure(shard) => {}
         SyncOutcome::Revoked { .. } => {
             entry.board.count_event("tenures_lost");
             tracing::warn!(id = %entry.id, %shard, "tenure was revoked");
@@ -106,7 +106,7 @@
     entry.lock().grants.apply_sync(shard, outcome);
     entry.synced.notify(usize::MAX);
     send_acks(entry).await;
-    if applied && entry.lock().grants.is_crowded(shard) {
+    if applied && entry.lock().grants.needs_archiving(shard) {
         archive_keys(entry, shard).await;
     }
     applied
@@ -114,7 +114,7 @@
 
 /// Moves old keyed requests of a shard to its archive.
 async fn archive_keys(entry: &Arc<Entry>, shard: &ShardName) {
-    let mut machine = ArchiveMachine::new(Arc::clone(shard), RECENT_LIMIT);
+    let mut machine = ArchiveMachine::new(Arc::clone(shard), RECENT_KEY_LIMIT);
     while let Some(call) = machine.next_call() {
         machine.take_reply(entry.store.call(&call).await);
     }
@@ -125,7 +125,7 @@
 
 /// Tells agents which runs are settled.
 async fn send_acks(entry: &Arc<Entry>) {
-    let due = entry.lock().grants.due_acks();
+    let due = entry.lock().grants.pending_acks();
     for (agent, runs) in due {
         send_ack(entry, &agent, runs).await;
     }
@@ -135,7 +135,7 @@
     let known = entry.lock().servers.get(agent).map(|row| (row.address, Arc::clone(&row.vm)));
     let Some((address, vm)) = known else {
         // Its registration has ended, so its process has.
-        entry.lock().grants.note_acked(agent, &BTreeSet::new(), true);
+        entry.lock().grants.record_acked(agent, &BTreeSet::new(), true);
         return;
     };
     let order = AckOrder { runs };
@@ -148,7 +148,7 @@
     };
     if gone || reply.is_ok() {
         let dropped: BTreeSet<RunId> = order.runs.into_iter().collect();
-        tables.grants.note_acked(agent, &dropped, gone);
+        tables.grants.record_acked(agent, &dropped, gone);
     }
 }
 
@@ -171,11 +171,11 @@
     if known.is_some() {
         return Err(codetable::BUDGET_EXHAUSTED);
     }
-    entry.lock().grants.add_shortage(customer, amount);
+    entry.lock().grants.begin_wait(customer, amount);
     let waited = clocks::bounded(entry.settings.budget_wait, wait_hold(entry, customer, amount));
     let waited = waited.await.unwrap_or(Err(codetable::BUDGET_UNCONFIRMED));
     let mut tables = entry.lock();
-    tables.grants.drop_shortage(customer, amount);
+    tables.grants.end_wait(customer, amount);
     if waited == Err(codetable::BUDGET_EXHAUSTED) {
         tables.exhausted.insert(Arc::clone(customer), (entry.now() + EXHAUSTED_TIME, amount));
     }
@@ -209,10 +209,10 @@
             Err(HoldRefusal::Exhausted(_) | HoldRefusal::Short(_)) => {}
         }
         let shard = entry.shard_of(customer);
-        let before = entry.lock().grants.looks(&shard);
+        let before = entry.lock().grants.confirmed_syncs(&shard);
         entry.wanted.notify(usize::MAX);
         synced.await;
-        fresh = entry.lock().grants.looks(&shard) > before;
+        fresh = entry.lock().grants.confirmed_syncs(&shard) > before;
     }
 }
 
@@ -264,7 +264,7 @@
         let shards = if close { entry.lock().grants.shards() } else { Vec::new() };
         for shard in shards {
             // A sync that was under way may come first: only the leaving one ends the tenure.
-            while entry.lock().grants.is_open(&shard) {
+            while entry.lock().grants.has_tenure(&shard) {
                 sync_shard(entry, &shard, true).await;
                 smol::Timer::after(LEAVE_STEP).await;
             }
--- a/toucanrail-daemons/src/watching.rs
+++ b/toucanrail-daemons/src/watching.rs
@@ -94,7 +94,7 @@
         let leaving = tables.members.leaving_vms();
         tables.servers.take_leaving_vms(&leaving);
         let agents = tables.servers.choose_agents(&entry.id);
-        tables.grants.want_agents(agents);
+        tables.grants.set_wanted_agents(agents);
         for customer in customers {
             let shard = entry.shard_of(&customer);
             tables.grants.add_account(&customer, &shard);
@@ -187,14 +187,14 @@
         let mut tables = entry.lock();
         tables.servers.take_report(&report, own, asked, now);
         let agents = tables.servers.choose_agents(&entry.id);
-        tables.grants.want_agents(agents);
+        tables.grants.set_wanted_agents(agents);
         return;
     }
     // Another incarnation answers: this one is gone, with all that it knew.
     {
         let mut tables = entry.lock();
         tables.servers.note_leaving(&agent);
-        tables.grants.note_acked(&agent, &BTreeSet::new(), true);
+        tables.grants.record_acked(&agent, &BTreeSet::new(), true);
     }
     registering::write_node(&entry.store, &agent, Vec::new()).await;
 }
@@ -203,7 +203,7 @@
     loop {
         smol::Timer::after(TICK).await;
         let mut tables = entry.lock();
-        tables.grants.smooth_burn(TICK);
+        tables.grants.update_burn_rates(TICK);
         tables.limits.smooth_drain(TICK);
         let now = entry.now();
         tables.exhausted.retain(|_, (until, _)| *until > now);
--- a/toucanrail-gateway/src/budgeting.rs
+++ b/toucanrail-gateway/src/budgeting.rs
@@ -112,7 +112,7 @@
         if grants.account(customer).is_none() {
             grants.add_account(customer, &self.shard_of(customer));
         }
-        grants.note_prepaid(customer, total);
+        grants.raise_prepaid(customer, total);
     }
 
     /// Returns the shard of a customer's account.
@@ -148,10 +148,10 @@
             self.log_short(customer, amount);
             return Err(HoldFailure::Short);
         }
-        self.grants.borrow_mut().add_shortage(customer, amount);
+        self.grants.borrow_mut().begin_wait(customer, amount);
         let waiting = clocks::bounded(GRANT_WAIT.min(left / 4), self.wait_hold(customer, amount));
         let waited = waiting.await;
-        self.grants.borrow_mut().drop_shortage(customer, amount);
+        self.grants.borrow_mut().end_wait(customer, amount);
         let taken = waited.unwrap_or(Err(HoldFailure::Short));
         if taken.is_err() {
             self.log_short(customer, amount);
@@ -164,7 +164,7 @@
         let grants = self.grants.borrow();
         let available = grants.account(customer).map_or(0, GrantAccount::available);
         self.store.silence(USAGE) < OUTAGE_LEAST
-            || policies::spends_in_outage(available, amount, rank)
+            || policies::may_spend_in_outage(available, amount, rank)
     }
 
     async fn wait_hold(
@@ -176,17 +176,17 @@
         // read it before.
         let shard = self.shard_of(customer);
         let running = u64::from(self.syncing.borrow().contains(&shard));
-        let needed = self.grants.borrow().looks(&shard) + 1 + running;
+        let needed = self.grants.borrow().confirmed_syncs(&shard) + 1 + running;
         loop {
             let synced = self.synced.listen();
-            self.grants.borrow_mut().want_look(customer);
+            self.grants.borrow_mut().request_sync(customer);
             self.wanted.notify(usize::MAX);
             synced.await;
             let mut grants = self.grants.borrow_mut();
             if let Ok(hold) = grants.hold(customer, amount) {
                 return Ok(hold);
             }
-            if grants.looks(&shard) < needed {
+            if grants.confirmed_syncs(&shard) < needed {
                 continue;
             }
             // What is left is granted elsewhere: no further sync brings it until others settle.
@@ -211,7 +211,7 @@
             unproved: 0,
             runs: Vec::new(),
         });
-        self.grants.borrow_mut().finish(hold, bill);
+        self.grants.borrow_mut().end_hold(hold, bill);
     }
 
     fn log_short(&self, customer: &CustomerId, amount: Tokens) {
@@ -223,7 +223,7 @@
             held = account.map(|account| account.held),
             burn = account.map(|account| account.burn as Tokens),
             stated = account.map(|account| account.prepaid),
-            prepaid_unspent_unallocated = ?grants.known_balance(customer),
+            prepaid_unspent_unallocated = ?grants.cached_balance(customer),
             store_age_ms = self.store.age().as_millis() as u64,
         );
     }
@@ -232,7 +232,7 @@
         if self.syncing.borrow().contains(shard) {
             return false;
         }
-        self.settles(shard) || self.grants.borrow().is_wanted(shard)
+        self.settles(shard) || self.grants.borrow().needs_early_sync(shard)
     }
 
     /// Tells whether a shard's bills are due.
@@ -261,14 +261,14 @@
         let mut calls = 0_u32;
         while let Some(call) = machine.next_call() {
             calls += 1;
-            machine.take_reply(self.store.call(&call).await);
+            machine.handle_reply(self.store.call(&call).await);
         }
         let outcome = machine.into_outcome();
         let answered = !matches!(outcome, SyncOutcome::Unavailable);
         self.board.count_event(name_outcome(&outcome));
         self.board.add_events("sync_calls", u64::from(calls));
         self.store.note_use(USAGE, answered);
-        let was_open = self.grants.borrow().is_open(shard);
+        let was_open = self.grants.borrow().has_tenure(shard);
         self.grants.borrow_mut().apply_sync(shard, outcome);
         if !was_open && !leave {
             self.log_accounts(shard);
@@ -280,7 +280,7 @@
     /// Logs what stands in a shard when this process joins its holders.
     fn log_accounts(&self, shard: &ShardName) {
         let grants = self.grants.borrow();
-        let Some(shard) = grants.known_shard(shard) else {
+        let Some(shard) = grants.cached_shard(shard) else {
             return;
         };
         for (customer, account) in &shard.accounts {
@@ -357,7 +357,7 @@
 }
 
 async fn leave_shard(keeper: Rc<BudgetKeeper>, shard: ShardName) {
-    while keeper.grants.borrow().is_open(&shard) {
+    while keeper.grants.borrow().has_tenure(&shard) {
         if keeper.syncing.borrow().contains(&shard) {
             smol::Timer::after(SYNC_PAUSE).await;
             continue;
--- a/toucanrail-gateway/src/following.rs
+++ b/toucanrail-gateway/src/following.rs
@@ -89,7 +89,7 @@
         let tables = gateway.tables.borrow();
         gateway.sights.retain(|server| tables.backends.get(server).is_some());
         drop(tables);
-        gateway.keeper.grants.borrow_mut().smooth_burn(now.saturating_sub(swept));
+        gateway.keeper.grants.borrow_mut().update_burn_rates(now.saturating_sub(swept));
         swept = now;
     }
 }
--- a/toucanrail-gateway/src/lending.rs
+++ b/toucanrail-gateway/src/lending.rs
@@ -113,16 +113,16 @@
     office.keeper.note_total(customer, order.stated);
     match office.keeper.take_hold(customer, *amount, *rank, ORDER_TIME).await {
         Ok(hold) if office.leaving.get() => {
-            office.keeper.grants.borrow_mut().finish(&hold, None);
+            office.keeper.grants.borrow_mut().end_hold(&hold, None);
             LoanReply::Leaving
         }
-        Ok(hold) if office.loans.borrow().is_new(&order.loan) => {
+        Ok(hold) if office.loans.borrow().can_open(&order.loan) => {
             office.loans.borrow_mut().open(&order.loan, hold);
             LoanReply::Held
         }
         Ok(hold) => {
             // Ended while it waited: the entry gave it up.
-            office.keeper.grants.borrow_mut().finish(&hold, None);
+            office.keeper.grants.borrow_mut().end_hold(&hold, None);
             LoanReply::Short
         }
         Err(HoldFailure::Short) => LoanReply::Short,
--- a/toucanrail-gateway/src/tuning.rs
+++ b/toucanrail-gateway/src/tuning.rs
@@ -48,10 +48,10 @@
     pub fn read(values: &mut SettingValues) -> Self {
         let horizon = values.duration("grant-horizon");
         let floor: Tokens = values.parse("grant-floor", "a number of tokens");
-        let part = values.parse_with("grant-part", "a part from 0 to 1", |text| {
+        let max_fraction = values.parse_with("grant-part", "a part from 0 to 1", |text| {
             text.parse().ok().filter(|part| (0.0..=1.0).contains(part))
         });
-        let policy = GrantPolicy::RideThrough { horizon, floor, part };
+        let policy = GrantPolicy::OutageTolerant { horizon, floor, max_fraction };
         let shards = values.parse("shards", "a number");
         Self { policy, flush: values.duration("flush"), shards }
     }
--- a/toucanrail-gateway/src/tunnelling.rs
+++ b/toucanrail-gateway/src/tunnelling.rs
@@ -94,7 +94,7 @@
 async fn smooth_burn(office: Rc<LoanOffice>) {
     loop {
         smol::Timer::after(BURN_TICK).await;
-        office.keeper.grants.borrow_mut().smooth_burn(BURN_TICK);
+        office.keeper.grants.borrow_mut().update_burn_rates(BURN_TICK);
     }
 }
 
--- a/toucanrail/examples/message_sizes.rs
+++ b/toucanrail/examples/message_sizes.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use toucanrail::budgets::{BillRow, BudgetShard, RunNote};
+use toucanrail::budgets::{BillRow, BilledRun, BudgetShard};
 use toucanrail::catalogue::{CustomerEntry, ServiceClass};
 use toucanrail::messages::{LoadReport, MirrorOrder};
 use toucanrail::servers::{NodeEntry, NodeRole};
@@ -75,7 +75,7 @@
         billed: 345,
         written_off: 0,
         unproved: 0,
-        runs: vec![RunNote {
+        runs: vec![BilledRun {
             run: Arc::from(format!("{}.1-01234567", "0".repeat(32))),
             agent: name("agent-south-a-123.0123abcd"),
             used: 345,
--- a/toucanrail/src/accounts.rs
+++ b/toucanrail/src/accounts.rs
@@ -93,7 +93,7 @@
     }
 
     /// Updates the burn rate; once a tick.
-    pub fn smooth_burn(&mut self, elapsed: Duration) {
+    pub fn update_burn_rate(&mut self, elapsed: Duration) {
         // The time before an account's first use says nothing about its burn.
         if self.used == 0.0 && self.burn_sum == 0.0 {
             return;
--- a/toucanrail/src/archives.rs
+++ b/toucanrail/src/archives.rs
@@ -121,7 +121,7 @@
             return ArchiveStage::Done;
         };
         let crowded = shard.accounts.iter().find_map(|(customer, account)| {
-            let keys = account.old_keys(self.limit);
+            let keys = account.keys_to_archive(self.limit);
             (!keys.is_empty()).then(|| (Arc::clone(customer), keys))
         });
         let Some((customer, keys)) = crowded else {
--- a/toucanrail/src/budgets.rs
+++ b/toucanrail/src/budgets.rs
@@ -19,7 +19,7 @@
 use crate::storecalls;
 
 /// Keyed requests an account remembers before the older half moves to its archive.
-pub const RECENT_LIMIT: usize = 512;
+pub const RECENT_KEY_LIMIT: usize = 512;
 
 quick_error! {
     /// Why a budget was not changed.
@@ -107,7 +107,7 @@
     /// What each holder may still spend or has not settled yet.
     pub grants: BTreeMap<EntryId, Tokens>,
     /// Keyed requests billed recently.
-    pub recent: BTreeMap<RequestId, BillMark>,
+    pub recent: BTreeMap<RequestId, RecentBill>,
     /// Keyed requests billed so far; numbers the marks.
     pub keyed: u64,
     /// Whether the archive holds any keyed request.
@@ -116,7 +116,7 @@
 
 /// Where a keyed request was billed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct BillMark {
+pub struct RecentBill {
     /// The tenure that billed it.
     pub epoch: Epoch,
     /// The place among the account's keyed requests.
@@ -143,12 +143,12 @@
     /// Held by tries whose usage cannot be known.
     pub unproved: Tokens,
     /// The tries.
-    pub runs: Vec<RunNote>,
+    pub runs: Vec<BilledRun>,
 }
 
 /// One try in a bill.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RunNote {
+pub struct BilledRun {
     /// The try.
     pub run: RunId,
     /// Where it ran.
@@ -238,7 +238,7 @@
     }
 
     /// Decides how a row is settled: a keyed request already billed is written off.
-    fn decide(&self, row: &mut BillRow, archived: &BTreeSet<RequestId>) {
+    fn write_off_duplicate(&self, row: &mut BillRow, archived: &BTreeSet<RequestId>) {
         let billed = self.recent.contains_key(&row.request) || archived.contains(&row.request);
         if row.keyed && billed && row.billed > 0 {
             row.write_off();
@@ -253,13 +253,13 @@
         }
         if row.keyed && row.billed > 0 {
             self.keyed += 1;
-            let mark = BillMark { epoch: row.epoch, order: self.keyed };
+            let mark = RecentBill { epoch: row.epoch, order: self.keyed };
             self.recent.insert(Arc::clone(&row.request), mark);
         }
     }
 
     /// Returns the older half of the recent keyed requests, once there are too many.
-    pub fn old_keys(&self, limit: usize) -> BTreeSet<RequestId> {
+    pub fn keys_to_archive(&self, limit: usize) -> BTreeSet<RequestId> {
         if self.recent.len() <= limit {
             return BTreeSet::new();
         }
@@ -324,11 +324,11 @@
     }
 
     /// Decides each row's settlement against what the shard and the archive know as billed.
-    pub fn decide_rows(&self, rows: &mut [BillRow], archived: &BTreeSet<RequestId>) {
+    pub fn write_off_duplicates(&self, rows: &mut [BillRow], archived: &BTreeSet<RequestId>) {
         let mut seen = BTreeSet::new();
         for row in rows {
             if let Some(account) = self.accounts.get(&row.customer) {
-                account.decide(row, archived);
+                account.write_off_duplicate(row, archived);
             }
             // Two tries of one key may end in the same batch.
             if row.keyed && row.billed > 0 && !seen.insert(Arc::clone(&row.request)) {
@@ -391,14 +391,14 @@
 
     /// Counts the holders by the configured names of their processes: a process that died and was
     /// started again under its name is one.
-    pub fn count_names(&self) -> u64 {
+    pub fn count_holder_names(&self) -> u64 {
         let name = |id: &EntryId| id.rsplit_once('.').map_or(id.len(), |(name, _)| name.len());
         let names: BTreeSet<&str> = self.holders.keys().map(|id| &id[..name(id)]).collect();
         names.len() as u64
     }
 
     /// Tells whether every account keeps within its prepaid total.
-    pub fn is_sound(&self) -> bool {
+    pub fn is_within_prepaid(&self) -> bool {
         self.accounts.values().all(|account| account.committed() <= account.prepaid)
     }
 }
--- a/toucanrail/src/grants.rs
+++ b/toucanrail/src/grants.rs
@@ -10,7 +10,7 @@
 use serde::Serialize;
 
 use crate::accounts::GrantAccount;
-use crate::budgets::{BillRow, BudgetAccount, BudgetShard, RECENT_LIMIT};
+use crate::budgets::{BillRow, BudgetAccount, BudgetShard, RECENT_KEY_LIMIT};
 use crate::ids::{AgentId, CustomerId, EntryId, Epoch, RunId, ShardName, Tokens, Version};
 use crate::policies::{GrantChange, GrantPolicy, GrantView};
 use crate::syncs::{SyncOutcome, SyncPlan};
@@ -85,20 +85,20 @@
     }
 
     /// Notes the total that the configuration states for a customer; it only ever rises.
-    pub fn note_prepaid(&mut self, customer: &CustomerId, total: Tokens) {
+    pub fn raise_prepaid(&mut self, customer: &CustomerId, total: Tokens) {
         if let Some(account) = self.accounts.get_mut(customer) {
             account.prepaid = account.prepaid.max(total);
         }
     }
 
     /// Returns a shard as last seen; for logs.
-    pub fn known_shard(&self, shard: &ShardName) -> Option<&BudgetShard> {
+    pub fn cached_shard(&self, shard: &ShardName) -> Option<&BudgetShard> {
         self.shards.get(shard)?.cached.as_ref().map(|(_, shard)| shard)
     }
 
     /// Returns what an account has prepaid, unspent and unallocated, as last seen; for logs.
-    pub fn known_balance(&self, customer: &CustomerId) -> Option<(Tokens, Tokens, Tokens)> {
-        let known = self.known_shard(self.homes.get(customer)?)?.accounts.get(customer)?;
+    pub fn cached_balance(&self, customer: &CustomerId) -> Option<(Tokens, Tokens, Tokens)> {
+        let known = self.cached_shard(self.homes.get(customer)?)?.accounts.get(customer)?;
         Some((known.prepaid, known.unspent(), known.unallocated()))
     }
 
@@ -107,7 +107,7 @@
     /// again.
     pub fn is_uncovered(&self, customer: &CustomerId, amount: Tokens) -> bool {
         let home = self.homes.get(customer);
-        let Some(shard) = home.and_then(|home| self.known_shard(home)) else {
+        let Some(shard) = home.and_then(|home| self.cached_shard(home)) else {
             return false;
         };
         let known = shard.accounts.get(customer);
@@ -122,7 +122,7 @@
     }
 
     /// Names the agents that this entry wants to use.
-    pub fn want_agents(&mut self, agents: BTreeSet<AgentId>) {
+    pub fn set_wanted_agents(&mut self, agents: BTreeSet<AgentId>) {
         self.wanted_agents = agents;
     }
 
@@ -193,21 +193,21 @@
     }
 
     /// Notes that a request waits for so much more.
-    pub fn add_shortage(&mut self, customer: &CustomerId, amount: Tokens) {
+    pub fn begin_wait(&mut self, customer: &CustomerId, amount: Tokens) {
         if let Some(account) = self.accounts.get_mut(customer) {
             account.begin_wait(amount);
         }
     }
 
     /// Asks for another sync for requests that wait already.
-    pub fn want_look(&mut self, customer: &CustomerId) {
+    pub fn request_sync(&mut self, customer: &CustomerId) {
         if let Some(account) = self.accounts.get_mut(customer) {
             account.unseen = true;
         }
     }
 
     /// Notes that a request no longer waits.
-    pub fn drop_shortage(&mut self, customer: &CustomerId, amount: Tokens) {
+    pub fn end_wait(&mut self, customer: &CustomerId, amount: Tokens) {
         if let Some(account) = self.accounts.get_mut(customer) {
             account.end_wait(amount);
         }
@@ -221,13 +221,13 @@
     }
 
     /// Forgets one waiting request; false if none waits.
-    pub fn drop_waiting(&mut self, customer: &CustomerId) -> bool {
+    pub fn discard_wait(&mut self, customer: &CustomerId) -> bool {
         let account = self.accounts.get_mut(customer);
         account.is_some_and(|account| account.waiting.pop().is_some())
     }
 
     /// Ends a hold: its bill waits for the next sync, the rest is free at once.
-    pub fn finish(&mut self, hold: &GrantHold, bill: Option<BillRow>) {
+    pub fn end_hold(&mut self, hold: &GrantHold, bill: Option<BillRow>) {
         let Some(tenure) = self.shards.get_mut(&hold.shard) else {
             return;
         };
@@ -242,9 +242,9 @@
     }
 
     /// Updates the burn rates; once a tick.
-    pub fn smooth_burn(&mut self, elapsed: Duration) {
+    pub fn update_burn_rates(&mut self, elapsed: Duration) {
         for account in self.accounts.values_mut() {
-            account.smooth_burn(elapsed);
+            account.update_burn_rate(elapsed);
         }
     }
 
@@ -375,7 +375,7 @@
             shortage: account.shortage(),
             unallocated: self.unallocated(customer).unwrap_or(0),
             prepaid: known.map_or(0, |account| account.prepaid),
-            holders: cached.map_or(1, BudgetShard::count_names),
+            holders: cached.map_or(1, BudgetShard::count_holder_names),
             others: known.map_or(0, |account| account.granted_to_others(&self.entry)),
             unspent: known.map_or(0, BudgetAccount::unspent),
         })
@@ -477,7 +477,7 @@
     }
 
     /// Returns the runs that agents may drop, by agent.
-    pub fn due_acks(&self) -> BTreeMap<AgentId, Vec<RunId>> {
+    pub fn pending_acks(&self) -> BTreeMap<AgentId, Vec<RunId>> {
         let mut due: BTreeMap<AgentId, Vec<RunId>> = BTreeMap::new();
         for batches in self.shards.values().flat_map(|tenure| tenure.unacked.values()) {
             for (agent, runs) in batches {
@@ -488,9 +488,9 @@
     }
 
     /// Notes that an agent dropped runs, or that its incarnation is gone with all it knew.
-    pub fn note_acked(&mut self, agent: &AgentId, dropped: &BTreeSet<RunId>, gone: bool) {
+    pub fn record_acked(&mut self, agent: &AgentId, dropped: &BTreeSet<RunId>, gone: bool) {
         for tenure in self.shards.values_mut() {
-            tenure.note_acked(agent, dropped, gone);
+            tenure.record_acked(agent, dropped, gone);
         }
     }
 
@@ -509,7 +509,7 @@
     }
 
     /// Tells whether a request began to wait in a shard that no plan has seen.
-    pub fn has_unseen(&self, shard: &ShardName) -> bool {
+    pub fn has_unplanned_waits(&self, shard: &ShardName) -> bool {
         let customers = self.customers_of(shard);
         let accounts = customers.iter().filter_map(|customer| self.accounts.get(customer));
         accounts.into_iter().any(|account| account.unseen)
@@ -517,31 +517,31 @@
 
     /// Tells whether a shard's next sync should not wait for the settlement: a request waits, a grant
     /// runs low, or the outcome of the last one is unknown.
-    pub fn is_wanted(&self, shard: &ShardName) -> bool {
+    pub fn needs_early_sync(&self, shard: &ShardName) -> bool {
         let unknown = self.shards.get(shard).is_some_and(|tenure| tenure.plan.is_some());
         let low = |customer: &CustomerId| {
             let view = self.view(customer);
             view.is_some_and(|view| matches!(self.policy.adjust(&view), GrantChange::Ask(1..)))
         };
-        unknown || self.has_unseen(shard) || self.customers_of(shard).iter().any(low)
+        unknown || self.has_unplanned_waits(shard) || self.customers_of(shard).iter().any(low)
     }
 
     /// Returns how often a sync has seen the newest version of a shard.
-    pub fn looks(&self, shard: &ShardName) -> u64 {
+    pub fn confirmed_syncs(&self, shard: &ShardName) -> u64 {
         self.shards.get(shard).map_or(0, |tenure| tenure.looks)
     }
 
     /// Tells whether an account of a shard remembers too many keyed requests.
-    pub fn is_crowded(&self, shard: &ShardName) -> bool {
+    pub fn needs_archiving(&self, shard: &ShardName) -> bool {
         let cached = self.shards.get(shard).and_then(|tenure| tenure.cached.as_ref());
         cached.is_some_and(|(_, content)| {
             let mut accounts = content.accounts.values();
-            accounts.any(|account| account.recent.len() > RECENT_LIMIT)
+            accounts.any(|account| account.recent.len() > RECENT_KEY_LIMIT)
         })
     }
 
     /// Tells whether there is a tenure in a shard.
-    pub fn is_open(&self, shard: &ShardName) -> bool {
+    pub fn has_tenure(&self, shard: &ShardName) -> bool {
         self.shards.get(shard).is_some_and(|tenure| tenure.epoch != 0)
     }
 }
--- a/toucanrail/src/lib.rs
+++ b/toucanrail/src/lib.rs
@@ -21,11 +21,11 @@
 //! let policy = GrantPolicy::default();
 //! let mut table = GrantTable::new(Arc::from("entry-1"), policy);
 //! table.add_account(&customer, &customer);
-//! table.add_shortage(&customer, 100);
+//! table.begin_wait(&customer, 100);
 //! let plan = table.plan_sync(&customer, false).expect("a request waits");
 //! let mut machine = SyncMachine::new(plan, policy, None);
 //! while let Some(call) = machine.next_call() {
-//!     machine.take_reply(match call {
+//!     machine.handle_reply(match call {
 //!         StoreCall::Get { .. } => {
 //!             StoreReply::Found { version: 1, value: storecalls::encode_value(&shard) }
 //!         }
--- a/toucanrail/src/loans.rs
+++ b/toucanrail/src/loans.rs
@@ -80,7 +80,7 @@
     ///
     /// Guards against an order that is delivered after its end: the entry gave it up without an
     /// answer, and nobody would ever return it.
-    pub fn is_new(&self, loan: &LoanId) -> bool {
+    pub fn can_open(&self, loan: &LoanId) -> bool {
         !self.holds.contains_key(loan) && !self.ended.contains(loan)
     }
 
@@ -100,11 +100,11 @@
     /// ```
     /// let mut table = toucanrail::loans::LoanTable::new();
     /// assert!(table.end(&"e.1".into()).is_none());
-    /// assert!(!table.is_new(&"e.1".into()));
+    /// assert!(!table.can_open(&"e.1".into()));
     /// ```
     pub fn end(&mut self, loan: &LoanId) -> Option<GrantHold> {
         let hold = self.holds.remove(loan);
-        if self.is_new(loan) {
+        if self.can_open(loan) {
             self.ended.push_back(Arc::clone(loan));
         }
         if self.ended.len() > ENDED_LIMIT {
--- a/toucanrail/src/policies.rs
+++ b/toucanrail/src/policies.rs
@@ -62,7 +62,7 @@
     },
     /// What the entry burns in a horizon, up to a part of the prepaid total: for a store that goes
     /// away for seconds, and holders whose grants are lost with their process.
-    RideThrough {
+    OutageTolerant {
         /// How long the grant should last.
         horizon: Duration,
         /// The least amount ahead of an account in use.
@@ -70,7 +70,7 @@
         /// Part of the prepaid total that may be granted ahead to all holders together, dead ones
         /// counted: what died with a holder is taken off what the living keep ahead, so that the
         /// losses of a whole day stay near this part.
-        part: f64,
+        max_fraction: f64,
     },
 }
 
@@ -123,20 +123,25 @@
             Self::EqualSplit => needed.max(view.prepaid / view.holders.max(1)),
             Self::FixedAmount { ahead } => needed + ahead,
             Self::BurnRate { horizon, floor, .. } => needed + Self::ahead(view, horizon, floor),
-            Self::RideThrough { horizon, floor, part } => {
-                needed + Self::ahead_of_loss(view, horizon, floor, part)
+            Self::OutageTolerant { horizon, floor, max_fraction } => {
+                needed + Self::ahead_of_loss(view, horizon, floor, max_fraction)
             }
         };
         wanted.min(reach)
     }
 
     /// A holder that dies takes what is ahead with it, and an account that nobody uses needs none.
-    fn ahead_of_loss(view: &GrantView, horizon: Duration, floor: Tokens, part: f64) -> Tokens {
+    fn ahead_of_loss(
+        view: &GrantView,
+        horizon: Duration,
+        floor: Tokens,
+        max_fraction: f64,
+    ) -> Tokens {
         if view.shortage == 0 && view.burn < IDLE_BURN {
             return 0;
         }
         let burn_for = |time: Duration| (view.burn * time.as_secs_f64()) as Tokens;
-        let bearable = ((view.prepaid as f64 * part) as Tokens).saturating_sub(view.others);
+        let bearable = ((view.prepaid as f64 * max_fraction) as Tokens).saturating_sub(view.others);
         let share = (view.unspent as f64 * UNSPENT_PART) as Tokens;
         let ahead = burn_for(horizon).min(bearable).min(share);
         ahead.max(burn_for(LEAST_HORIZON.min(horizon))).max(floor)
@@ -158,7 +163,7 @@
     ///
     /// The band between half and twice the target keeps a steady load from writing every tick.
     pub fn adjust(&self, view: &GrantView) -> GrantChange {
-        let rides = matches!(self, Self::RideThrough { .. });
+        let rides = matches!(self, Self::OutageTolerant { .. });
         if view.granted == 0 && view.shortage == 0 {
             return GrantChange::Keep;
         }
@@ -180,9 +185,9 @@
 impl GrantPolicy {
     /// Returns the change that goes along with a write that is made anyway: a grant that rides
     /// through outages is then always filled up, at no further call.
-    pub fn adjust_written(&self, view: &GrantView) -> GrantChange {
+    pub fn adjust_on_write(&self, view: &GrantView) -> GrantChange {
         let change = self.adjust(view);
-        let rides = matches!(self, Self::RideThrough { .. });
+        let rides = matches!(self, Self::OutageTolerant { .. });
         let missing = self.target(view).saturating_sub(view.granted);
         if rides && change == GrantChange::Keep && view.granted > 0 && missing > 0 {
             return GrantChange::Ask(missing);
@@ -203,10 +208,10 @@
 /// # Examples
 /// ```
 /// use toucanrail::policies;
-/// assert!(policies::spends_in_outage(10_000, 9_000, 0));
-/// assert!(!policies::spends_in_outage(10_000, 9_000, 1));
+/// assert!(policies::may_spend_in_outage(10_000, 9_000, 0));
+/// assert!(!policies::may_spend_in_outage(10_000, 9_000, 1));
 /// ```
-pub fn spends_in_outage(available: Tokens, amount: Tokens, rank: u8) -> bool {
+pub fn may_spend_in_outage(available: Tokens, amount: Tokens, rank: u8) -> bool {
     amount.saturating_mul(1 + RANK_WEIGHT * Tokens::from(rank)) <= available
 }
 
--- a/toucanrail/src/reclaims.rs
+++ b/toucanrail/src/reclaims.rs
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-use crate::budgets::RunNote;
+use crate::budgets::BilledRun;
 use crate::budgets::{BillBatch, BillRow, BudgetShard, ClosedTenure, HolderRow, HolderState};
 use crate::ids::{AgentId, EntryId, Epoch, RequestId, RunId, Sequence, ShardName, Tokens, Version};
 use crate::messages::{FenceReply, UsageRow};
@@ -369,7 +369,7 @@
         let Some(row) = self.row.clone() else {
             return self.end(ReclaimOutcome::Nothing);
         };
-        self.shard.decide_rows(&mut self.bills, &self.archived);
+        self.shard.write_off_duplicates(&mut self.bills, &self.archived);
         let mut shard = self.shard.clone();
         shard.settle_rows(&self.dead, row.epoch, &self.bills);
         shard.close_tenure(&self.dead, !self.gone);
@@ -434,7 +434,7 @@
     let largest = rows.iter().map(|(_, row)| row.used).max();
     let resumed = rows.iter().any(|(_, row)| row.resumed);
     let billed = if resumed { total } else { whole.or(largest).unwrap_or_default() };
-    let notes = rows.iter().map(|(agent, row)| RunNote {
+    let notes = rows.iter().map(|(agent, row)| BilledRun {
         run: Arc::clone(&row.run),
         agent: Arc::clone(agent),
         used: row.used,
--- a/toucanrail/src/syncs.rs
+++ b/toucanrail/src/syncs.rs
@@ -178,7 +178,7 @@
     }
 
     /// Takes the reply to the last call.
-    pub fn take_reply(&mut self, reply: StoreReply) {
+    pub fn handle_reply(&mut self, reply: StoreReply) {
         if reply == StoreReply::Unavailable {
             return self.end(SyncOutcome::Unavailable);
         }
@@ -338,7 +338,7 @@
     }
 
     fn start_write(&mut self) {
-        self.decide_rows();
+        self.select_rows();
         self.build_shard();
         if self.is_idle() {
             return self.end_unchanged();
@@ -377,7 +377,7 @@
         self.end(SyncOutcome::Unchanged { shard, version });
     }
 
-    fn decide_rows(&mut self) {
+    fn select_rows(&mut self) {
         let (epoch, shard) = (self.epoch, &self.shard);
         self.rows = self
             .plan
@@ -387,7 +387,7 @@
             .filter(|row| row.epoch == epoch || has_frozen(shard, row))
             .cloned()
             .collect();
-        self.shard.decide_rows(&mut self.rows, &self.archived);
+        self.shard.write_off_duplicates(&mut self.rows, &self.archived);
     }
 
     fn build_shard(&mut self) {
@@ -420,7 +420,7 @@
     /// filled up by it.
     fn decide_changes(&self, shard: &BudgetShard) -> Vec<GrantChange> {
         let entry = &self.plan.entry;
-        let holders = shard.count_names();
+        let holders = shard.count_holder_names();
         let views = self.plan.demands.iter().map(|(customer, demand)| {
             let view = view_account(shard, entry, customer, demand);
             GrantView { holders, ..view.unwrap_or_default() }
@@ -430,7 +430,7 @@
         let returning = self.plan.demands.values().any(|demand| demand.returning > 0);
         let writes = returning || !self.rows.is_empty() || views.iter().any(asks);
         let decide = |view: &GrantView| {
-            if writes { self.policy.adjust_written(view) } else { self.policy.adjust(view) }
+            if writes { self.policy.adjust_on_write(view) } else { self.policy.adjust(view) }
         };
         views.iter().map(decide).collect()
     }
--- a/toucanrail/src/tenures.rs
+++ b/toucanrail/src/tenures.rs
@@ -92,7 +92,7 @@
     }
 
     /// Notes that an agent dropped runs, or that its incarnation is gone with all it knew.
-    pub fn note_acked(&mut self, agent: &AgentId, dropped: &BTreeSet<RunId>, gone: bool) {
+    pub fn record_acked(&mut self, agent: &AgentId, dropped: &BTreeSet<RunId>, gone: bool) {
         for batch in self.unacked.values_mut() {
             if let Some(runs) = batch.get_mut(agent) {
                 runs.retain(|run| !gone && !dropped.contains(run));
--- a/toucanrail/tests/budget_schedules.rs
+++ b/toucanrail/tests/budget_schedules.rs
@@ -12,7 +12,7 @@
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use toucanrail::ids::{RequestId, RunId, Tokens};
 use toucanrail::policies::GrantPolicy;
-use world::{OPENING, StoreMood, World};
+use world::{FleetSim, OPENING_BUDGET, StoreFault};
 
 const CASES: u32 = 1_000;
 const STEPS: usize = 100;
@@ -21,7 +21,7 @@
 #[derive(Debug, Clone, Copy)]
 struct Calls {
     count: usize,
-    last: StoreMood,
+    last: StoreFault,
 }
 
 #[derive(Debug, Clone)]
@@ -39,22 +39,22 @@
     CutAgent(usize, bool),
     Reclaim(usize, usize, Calls),
     Archive(usize, Calls),
-    LandLate,
+    ApplyDelayed,
     TopUp(usize, Tokens),
     Lower(usize, Tokens),
 }
 
-fn any_mood() -> impl Strategy<Value = StoreMood> {
+fn any_fault() -> impl Strategy<Value = StoreFault> {
     prop_oneof![
-        6 => Just(StoreMood::Well),
-        1 => Just(StoreMood::Down),
-        2 => Just(StoreMood::Lost),
-        1 => Just(StoreMood::Late),
+        6 => Just(StoreFault::None),
+        1 => Just(StoreFault::Unavailable),
+        2 => Just(StoreFault::ReplyLost),
+        1 => Just(StoreFault::Delayed),
     ]
 }
 
 fn any_calls() -> impl Strategy<Value = Calls> {
-    (1..12usize, any_mood()).prop_map(|(count, last)| Calls { count, last })
+    (1..12usize, any_fault()).prop_map(|(count, last)| Calls { count, last })
 }
 
 fn any_step(agents_die: bool) -> impl Strategy<Value = Step> {
@@ -71,11 +71,11 @@
         4 => at().prop_map(Step::Acks),
         2 => at().prop_map(Step::KillEntry),
         2 => Just(Step::AddEntry),
-        1 => at().prop_map(move |a| if agents_die { Step::KillAgent(a) } else { Step::LandLate }),
+        1 => at().prop_map(move |a| if agents_die { Step::KillAgent(a) } else { Step::ApplyDelayed }),
         2 => (at(), any::<bool>()).prop_map(|(a, b)| Step::CutAgent(a, b)),
         8 => (at(), at(), any_calls()).prop_map(|(a, b, c)| Step::Reclaim(a, b, c)),
         6 => (at(), any_calls()).prop_map(|(a, b)| Step::Archive(a, b)),
-        1 => Just(Step::LandLate),
+        1 => Just(Step::ApplyDelayed),
         1 => (customer(), 1..400u64).prop_map(|(a, b)| Step::TopUp(a, b)),
         1 => (customer(), 1..900u64).prop_map(|(a, b)| Step::Lower(a, b)),
     ]
@@ -86,67 +86,67 @@
     (key < 85).then(|| Arc::from(format!("{}0-key-{customer}", key % 5)))
 }
 
-fn take_calls(calls: Calls, mut call: impl FnMut(StoreMood)) {
+fn take_calls(calls: Calls, mut call: impl FnMut(StoreFault)) {
     for _ in 1..calls.count {
-        call(StoreMood::Well);
+        call(StoreFault::None);
     }
     call(calls.last);
 }
 
-fn take_step(world: &mut World, step: &Step) {
-    let (entries, agents) = (world.entries.len(), world.agents.len());
+fn take_step(sim: &mut FleetSim, step: &Step) {
+    let (entries, agents) = (sim.entries.len(), sim.agents.len());
     match *step {
         Step::Admit(at, customer, amount, key) => {
-            world.admit(at % entries, customer, amount, request_of(customer, key));
+            sim.admit(at % entries, customer, amount, request_of(customer, key));
         }
-        Step::Deliver(at, which) => world.deliver(at % entries, which),
-        Step::FinishRun(at, which, share) => world.finish_run(at % agents, which, share),
-        Step::TakeResults(at) => world.take_results(at % entries),
+        Step::Deliver(at, which) => sim.deliver(at % entries, which),
+        Step::FinishRun(at, which, share) => sim.finish_run(at % agents, which, share),
+        Step::TakeResults(at) => sim.take_results(at % entries),
         Step::Serve(at, customer, amount, key) => {
             let at = at % entries;
-            world.admit(at, customer, amount, request_of(customer, key));
-            world.deliver(at, world.entries[at].flights.len().saturating_sub(1));
-            (0..agents).for_each(|agent| world.finish_run(agent, usize::MAX, amount));
-            world.take_results(at);
+            sim.admit(at, customer, amount, request_of(customer, key));
+            sim.deliver(at, sim.entries[at].flights.len().saturating_sub(1));
+            (0..agents).for_each(|agent| sim.finish_run(agent, usize::MAX, amount));
+            sim.take_results(at);
         }
         Step::Sync(at, calls) => {
-            take_calls(calls, |mood| world.step_sync(at % entries, mood, false));
+            take_calls(calls, |fault| sim.step_sync(at % entries, fault, false));
         }
-        Step::Acks(at) => world.send_acks(at % entries),
-        Step::KillEntry(at) => world.kill_entry(at % entries),
-        Step::AddEntry if entries < 4 => world.add_entry(),
+        Step::Acks(at) => sim.send_acks(at % entries),
+        Step::KillEntry(at) => sim.kill_entry(at % entries),
+        Step::AddEntry if entries < 4 => sim.add_entry(),
         Step::AddEntry => {}
-        Step::KillAgent(at) => world.kill_agent(at % agents),
-        Step::CutAgent(at, reachable) => world.agents[at % agents].reachable = reachable,
-        Step::Reclaim(by, dead, calls) => take_calls(calls, |mood| {
-            world.step_reclaim(by % entries, dead % entries, mood);
+        Step::KillAgent(at) => sim.kill_agent(at % agents),
+        Step::CutAgent(at, reachable) => sim.agents[at % agents].reachable = reachable,
+        Step::Reclaim(by, dead, calls) => take_calls(calls, |fault| {
+            sim.step_reclaim(by % entries, dead % entries, fault);
         }),
         Step::Archive(at, calls) => {
-            take_calls(calls, |mood| world.step_archive(at % entries, mood));
+            take_calls(calls, |fault| sim.step_archive(at % entries, fault));
         }
-        Step::LandLate => world.store.land_late(),
-        Step::TopUp(customer, amount) => world.edit_account(customer, |account| {
+        Step::ApplyDelayed => sim.store.apply_delayed(),
+        Step::TopUp(customer, amount) => sim.edit_account(customer, |account| {
             account.top_up(amount).unwrap();
         }),
-        Step::Lower(customer, amount) => world.edit_account(customer, |account| {
+        Step::Lower(customer, amount) => sim.edit_account(customer, |account| {
             account.lower(amount).ok();
         }),
     }
 }
 
-fn check_always(world: &World) -> Result<(), TestCaseError> {
-    let shard = world.read_shard();
-    prop_assert!(shard.is_sound(), "a version of the shard promises too much");
-    for customer in &world.customers {
-        let (spent, prepaid) = (world.most_spent(customer), shard.accounts[customer].prepaid);
+fn check_always(sim: &FleetSim) -> Result<(), TestCaseError> {
+    let shard = sim.read_shard();
+    prop_assert!(shard.is_within_prepaid(), "a version of the shard promises too much");
+    for customer in &sim.customers {
+        let (spent, prepaid) = (sim.most_spent(customer), shard.accounts[customer].prepaid);
         prop_assert!(spent <= prepaid, "{customer} spent {spent} of {prepaid}");
     }
     Ok(())
 }
 
-fn check_settled(world: &World) -> Result<(), TestCaseError> {
-    let shard = world.read_shard();
-    let bills = world.counted_bills();
+fn check_settled(sim: &FleetSim) -> Result<(), TestCaseError> {
+    let shard = sim.read_shard();
+    let bills = sim.counted_bills();
     let mut billed: BTreeMap<&RequestId, u32> = BTreeMap::new();
     let mut noted: BTreeSet<&RunId> = BTreeSet::new();
     for row in &bills {
@@ -160,22 +160,22 @@
     for (request, count) in &billed {
         prop_assert_eq!(*count, 1, "{} has {} bills", request, count);
     }
-    for (run, truth) in &world.truth {
-        let lost = world.lost_agents.contains(&truth.agent);
+    for (run, truth) in &sim.truth {
+        let lost = sim.lost_agents.contains(&truth.agent);
         prop_assert!(lost || noted.contains(run), "{run} ran and was never settled");
         let whole = billed.contains_key(&truth.request);
         prop_assert!(lost || whole, "{} ran and has no bill", truth.request);
     }
-    for customer in &world.customers {
+    for customer in &sim.customers {
         let account = &shard.accounts[customer];
         let rows = bills.iter().filter(|row| row.customer == *customer);
         let sums = rows.fold((0, 0), |sum, row| (sum.0 + row.billed, sum.1 + row.written_off));
         prop_assert_eq!(sums, (account.billed, account.written_off), "bills and totals differ");
         let known: Tokens = account.billed + account.written_off;
         let frozen: Tokens = account.frozen.values().sum();
-        let spent = world.spent(customer);
+        let spent = sim.spent(customer);
         prop_assert!(spent <= known + frozen, "{spent} spent, {known} known, {frozen} frozen");
-        if world.lost_agents.is_empty() {
+        if sim.lost_agents.is_empty() {
             prop_assert_eq!((spent, frozen), (known, 0), "all was provable");
         }
     }
@@ -193,15 +193,15 @@
     let mut runner = TestRunner::new_with_rng(config, rng);
     let steps = prop::collection::vec(any_step(agents_die), 1..STEPS);
     let run = runner.run(&steps, |steps| {
-        let mut world = World::new(2, 2, policy);
-        world.open_tenures();
+        let mut sim = FleetSim::new(2, 2, policy);
+        sim.open_tenures();
         for step in &steps {
-            take_step(&mut world, step);
-            check_always(&world)?;
+            take_step(&mut sim, step);
+            check_always(&sim)?;
         }
-        world.settle_all();
-        check_always(&world)?;
-        check_settled(&world)
+        sim.settle_all();
+        check_always(&sim)?;
+        check_settled(&sim)
     });
     if let Err(error) = run {
         panic!("{error}");
@@ -226,31 +226,31 @@
 /// Without faults, the same requests must be billed exactly as one table would bill them.
 #[test]
 fn naive_difference() {
-    let mut world = World::new(3, 3, GrantPolicy::FixedAmount { ahead: 300 });
+    let mut sim = FleetSim::new(3, 3, GrantPolicy::FixedAmount { ahead: 300 });
     let mut naive: BTreeMap<usize, Tokens> = BTreeMap::new();
     for turn in 0..120u64 {
         let (entry, customer) = ((turn % 3) as usize, (turn % 2) as usize);
-        let before = world.entries[entry].flights.len();
+        let before = sim.entries[entry].flights.len();
         for _ in 0..2 {
-            if world.entries[entry].flights.len() == before {
-                world.admit(entry, customer, 40, None);
-                world.run_sync(entry, false);
+            if sim.entries[entry].flights.len() == before {
+                sim.admit(entry, customer, 40, None);
+                sim.run_sync(entry, false);
             }
         }
-        if world.entries[entry].flights.len() > before {
+        if sim.entries[entry].flights.len() > before {
             *naive.entry(customer).or_default() += (40 * (turn % 101) / 100).max(1);
             let spent = naive[&customer];
-            assert!(spent <= OPENING);
-            world.deliver(entry, before);
+            assert!(spent <= OPENING_BUDGET);
+            sim.deliver(entry, before);
             for agent in 0..3 {
-                world.finish_run(agent, 0, turn);
+                sim.finish_run(agent, 0, turn);
             }
-            world.take_results(entry);
+            sim.take_results(entry);
         }
     }
-    world.settle_all();
-    let shard = world.read_shard();
-    for (customer, name) in world.customers.iter().enumerate() {
+    sim.settle_all();
+    let shard = sim.read_shard();
+    for (customer, name) in sim.customers.iter().enumerate() {
         assert_eq!(shard.accounts[name].billed, naive[&customer], "{name}");
     }
 }
--- a/toucanrail/tests/lent_budgets.rs
+++ b/toucanrail/tests/lent_budgets.rs
@@ -19,7 +19,7 @@
     let mut table = LoanTable::new();
     let loan: LoanId = Arc::from("e1.1");
     assert!(table.end(&loan).is_none());
-    assert!(!table.is_new(&loan));
+    assert!(!table.can_open(&loan));
 }
 
 /// The answer to an end is lost, and the entry sends it again. The second one must not end another
--- a/toucanrail/tests/outage_grants.rs
+++ b/toucanrail/tests/outage_grants.rs
@@ -11,8 +11,11 @@
 use toucanrail::storecalls::{self, StoreCall, StoreReply, WriteExpectation};
 use toucanrail::syncs::SyncMachine;
 
-const POLICY: GrantPolicy =
-    GrantPolicy::RideThrough { horizon: Duration::from_secs(5), floor: 15_000, part: 0.15 };
+const POLICY: GrantPolicy = GrantPolicy::OutageTolerant {
+    horizon: Duration::from_secs(5),
+    floor: 15_000,
+    max_fraction: 0.15,
+};
 const PREPAID: Tokens = 1_000_000;
 const REQUEST: Tokens = 1_000;
 const TICK: Duration = Duration::from_millis(200);
@@ -68,7 +71,7 @@
         let (customer, shard) = (Arc::from("acme"), Arc::from("accounts"));
         let mut table = GrantTable::new(Arc::from(name), policy);
         table.add_account(&customer, &shard);
-        table.note_prepaid(&customer, PREPAID);
+        table.raise_prepaid(&customer, PREPAID);
         Self { table, customer, shard, policy }
     }
 
@@ -87,7 +90,7 @@
         let cached = self.table.take_cached(&self.shard);
         let mut machine = SyncMachine::new(plan, self.policy, cached);
         while let Some(call) = machine.next_call() {
-            machine.take_reply(store.call(&call));
+            machine.handle_reply(store.call(&call));
         }
         self.table.apply_sync(&self.shard, machine.into_outcome());
     }
@@ -97,9 +100,9 @@
         if self.run_request() {
             return true;
         }
-        self.table.add_shortage(&self.customer, REQUEST);
+        self.table.begin_wait(&self.customer, REQUEST);
         self.sync(store);
-        self.table.drop_shortage(&self.customer, REQUEST);
+        self.table.end_wait(&self.customer, REQUEST);
         self.run_request()
     }
 
@@ -119,7 +122,7 @@
             unproved: 0,
             runs: Vec::new(),
         };
-        self.table.finish(&hold, Some(bill));
+        self.table.end_hold(&hold, Some(bill));
         true
     }
 }
@@ -132,11 +135,11 @@
     let mut store = ShardStore::default();
     let mut holder = Holder::new("e1.1");
     for _ in 0..50 {
-        holder.table.smooth_burn(TICK);
+        holder.table.update_burn_rates(TICK);
     }
     for tick in 0..25 {
         assert!(holder.serve_request(&mut store));
-        holder.table.smooth_burn(TICK);
+        holder.table.update_burn_rates(TICK);
         if tick % 5 == 0 {
             holder.sync(&mut store);
         }
@@ -156,7 +159,7 @@
         for holder in &mut holders {
             holder.serve_request(&mut store);
             holder.sync(&mut store);
-            holder.table.smooth_burn(TICK);
+            holder.table.update_burn_rates(TICK);
         }
     }
     let mut last = Holder::new("e1.2");
@@ -180,7 +183,7 @@
         holder = Holder::new(&format!("e1.{start}"));
         for _ in 0..20 {
             assert!(holder.serve_request(&mut store));
-            holder.table.smooth_burn(TICK);
+            holder.table.update_burn_rates(TICK);
             holder.sync(&mut store);
         }
     }
@@ -195,8 +198,11 @@
 /// must bear it: with 5 % of what is unspent one request in five was refused.
 #[test]
 fn early_outage() {
-    let policy =
-        GrantPolicy::RideThrough { horizon: Duration::from_secs(5), floor: 2_000, part: 0.07 };
+    let policy = GrantPolicy::OutageTolerant {
+        horizon: Duration::from_secs(5),
+        floor: 2_000,
+        max_fraction: 0.07,
+    };
     let mut store = ShardStore::default();
     let mut holder = Holder::with_policy("e1.1", policy);
     // 20,000 tokens a second, of 1,000,000.
@@ -204,7 +210,7 @@
         for _ in 0..4 {
             assert!(holder.serve_request(&mut store));
         }
-        holder.table.smooth_burn(TICK);
+        holder.table.update_burn_rates(TICK);
         holder.sync(&mut store);
     }
     let served = (0..60).take_while(|_| holder.run_request()).count();
@@ -219,7 +225,7 @@
     let mut holder = Holder::new("e1.1");
     assert!(holder.serve_request(&mut store));
     while holder.run_request() {}
-    holder.table.smooth_burn(TICK);
+    holder.table.update_burn_rates(TICK);
     let billed = store.shard().accounts[&holder.customer].billed;
     let plan = holder.table.plan_top_up(&holder.shard).expect("the grant is used up");
     assert!(plan.rows.is_empty());
@@ -227,7 +233,7 @@
     let mut writes = 0;
     while let Some(call) = machine.next_call() {
         writes += u32::from(matches!(call, StoreCall::Put { .. }));
-        machine.take_reply(store.call(&call));
+        machine.handle_reply(store.call(&call));
     }
     holder.table.apply_sync(&holder.shard, machine.into_outcome());
     assert_eq!(writes, 1);
@@ -243,20 +249,20 @@
     let mut store = ShardStore::default();
     let mut holder = Holder::new("e1.1");
     holder.sync(&mut store);
-    holder.table.add_shortage(&holder.customer, REQUEST);
+    holder.table.begin_wait(&holder.customer, REQUEST);
     holder.sync(&mut store);
-    holder.table.drop_shortage(&holder.customer, REQUEST);
+    holder.table.end_wait(&holder.customer, REQUEST);
     let hold = holder.table.hold(&holder.customer, REQUEST).unwrap();
     for _ in 0..5 {
         holder.leave(&mut store);
     }
     let unallocated = store.shard().accounts[&holder.customer].unallocated();
     assert_eq!(unallocated, PREPAID - REQUEST, "all but the open hold came back");
-    holder.table.finish(&hold, None);
+    holder.table.end_hold(&hold, None);
     for _ in 0..5 {
         holder.leave(&mut store);
     }
-    assert!(!holder.table.is_open(&holder.shard));
+    assert!(!holder.table.has_tenure(&holder.shard));
     assert_eq!(store.shard().accounts[&holder.customer].unallocated(), PREPAID);
 }
 
@@ -267,11 +273,11 @@
     let mut store = ShardStore::default();
     let mut holder = Holder::new("e1.1");
     holder.sync(&mut store);
-    holder.table.note_prepaid(&holder.customer, 3 * PREPAID);
+    holder.table.raise_prepaid(&holder.customer, 3 * PREPAID);
     let refused = holder.table.hold(&holder.customer, 2 * PREPAID).unwrap_err();
     assert!(matches!(refused, HoldRefusal::Short(_)), "{refused:?}");
     assert!(!holder.table.is_uncovered(&holder.customer, 2 * PREPAID));
-    holder.table.add_shortage(&holder.customer, 2 * PREPAID);
+    holder.table.begin_wait(&holder.customer, 2 * PREPAID);
     holder.sync(&mut store);
     assert!(holder.table.hold(&holder.customer, 2 * PREPAID).is_ok());
 }
@@ -311,7 +317,7 @@
                 _ => holders[who] = Holder::new(&format!("e{who}.{at}")),
             }
             if store.version > 0 {
-                prop_assert!(store.shard().is_sound());
+                prop_assert!(store.shard().is_within_prepaid());
             }
         }
         prop_assert!(spent <= PREPAID);
--- a/toucanrail/tests/run_records.rs
+++ b/toucanrail/tests/run_records.rs
@@ -19,7 +19,7 @@
     self, RecordCall, RecordMachine, RecordOutcome, RecordReply, RecordState,
 };
 use toucanrail::storecalls::{self, StoreCall, WriteExpectation};
-use world::{FakeStore, StoreMood};
+use world::{FakeStore, StoreFault};
 
 const CASES: u32 = 1_500;
 const CALLERS: usize = 4;
@@ -86,7 +86,7 @@
         })));
     }
 
-    fn step(&mut self, at: usize, mood: StoreMood) {
+    fn step(&mut self, at: usize, mood: StoreFault) {
         self.tries[at] = match std::mem::replace(&mut self.tries[at], Try::Idle) {
             Try::Opening(machine) => self.step_opening(*machine, mood),
             Try::Ended(record, version, state) => self.close(record, version, state, mood),
@@ -94,13 +94,13 @@
         };
     }
 
-    fn step_opening(&mut self, mut machine: RecordMachine, mood: StoreMood) -> Try {
+    fn step_opening(&mut self, mut machine: RecordMachine, mood: StoreFault) -> Try {
         let Some(call) = machine.next_call() else {
             return self.take_outcome(machine.into_outcome());
         };
         let reply = match call {
             RecordCall::Store(call) => RecordReply::Store(self.store.call(&call, mood)),
-            RecordCall::Ask { .. } if mood == StoreMood::Down => RecordReply::Unreachable,
+            RecordCall::Ask { .. } if mood == StoreFault::Unavailable => RecordReply::Unreachable,
             RecordCall::Ask { agent, run, mode } => match self.agent(&agent) {
                 Some(at) => RecordReply::Fate(self.agents[at].ask(&run, mode)),
                 None => RecordReply::Gone,
@@ -170,7 +170,7 @@
         record: RunRecord,
         version: Version,
         state: RecordState,
-        mood: StoreMood,
+        mood: StoreFault,
     ) -> Try {
         let closed = RunRecord { state: state.clone(), ..record.clone() };
         let put = StoreCall::Put {
@@ -215,7 +215,7 @@
 #[derive(Debug, Clone)]
 enum Step {
     Open(usize, usize),
-    Calls(usize, usize, StoreMood),
+    Calls(usize, usize, StoreFault),
     Deliver(usize),
     Finish,
     KillEntry(usize),
@@ -225,10 +225,10 @@
 
 fn any_step() -> impl Strategy<Value = Step> {
     let mood = prop_oneof![
-        6 => Just(StoreMood::Well),
-        1 => Just(StoreMood::Down),
-        2 => Just(StoreMood::Lost),
-        1 => Just(StoreMood::Late),
+        6 => Just(StoreFault::None),
+        1 => Just(StoreFault::Unavailable),
+        2 => Just(StoreFault::ReplyLost),
+        1 => Just(StoreFault::Delayed),
     ];
     prop_oneof![
         6 => (0..CALLERS, 0..2usize).prop_map(|(a, b)| Step::Open(a, b)),
@@ -245,7 +245,7 @@
     match *step {
         Step::Open(at, agent) => desk.open(at, agent),
         Step::Calls(at, count, mood) => {
-            (1..count).for_each(|_| desk.step(at, StoreMood::Well));
+            (1..count).for_each(|_| desk.step(at, StoreFault::None));
             desk.step(at, mood);
         }
         Step::Deliver(at) => desk.deliver(at),
@@ -257,7 +257,7 @@
             }
         }
         Step::KillAgent(at) => desk.kill_agent(at),
-        Step::LandLate => desk.store.land_late(),
+        Step::LandLate => desk.store.apply_delayed(),
     }
 }
 
@@ -292,10 +292,10 @@
     let mut desk = Desk::new();
     for caller in 0..CALLERS {
         desk.open(caller, caller % 2);
-        (0..8).for_each(|_| desk.step(caller, StoreMood::Well));
+        (0..8).for_each(|_| desk.step(caller, StoreFault::None));
         desk.deliver(caller);
         desk.finish();
-        (0..8).for_each(|_| desk.step(caller, StoreMood::Well));
+        (0..8).for_each(|_| desk.step(caller, StoreFault::None));
     }
     assert_eq!(desk.runs, 1);
     assert_eq!(desk.answers, vec![b"filed 1".to_vec(); CALLERS]);
--- a/toucanrail/tests/top_up_calls.rs
+++ b/toucanrail/tests/top_up_calls.rs
@@ -11,8 +11,11 @@
 use toucanrail::storecalls::{self, StoreCall, StoreReply, WriteExpectation};
 use toucanrail::syncs::SyncMachine;
 
-const POLICY: GrantPolicy =
-    GrantPolicy::RideThrough { horizon: Duration::from_secs(5), floor: 2_000, part: 0.07 };
+const POLICY: GrantPolicy = GrantPolicy::OutageTolerant {
+    horizon: Duration::from_secs(5),
+    floor: 2_000,
+    max_fraction: 0.07,
+};
 const PREPAID: Tokens = 1_000_000;
 const CUSTOMERS: usize = 10;
 /// One request a customer in a step; half of the time a long prompt.
@@ -43,7 +46,7 @@
         let customers: Vec<CustomerId> = names.collect();
         for customer in &customers {
             table.add_account(customer, &shard);
-            table.note_prepaid(customer, PREPAID);
+            table.raise_prepaid(customer, PREPAID);
         }
         let value = storecalls::encode_value(before);
         let flights = VecDeque::new();
@@ -80,7 +83,7 @@
         let mut machine = SyncMachine::new(plan, POLICY, self.table.take_cached(&shard));
         while let Some(call) = machine.next_call() {
             let reply = self.call(&call);
-            machine.take_reply(reply);
+            machine.handle_reply(reply);
         }
         self.table.apply_sync(&shard, machine.into_outcome());
     }
@@ -90,9 +93,9 @@
         if let Ok(hold) = self.table.hold(&customer, amount) {
             return Some(hold);
         }
-        self.table.add_shortage(&customer, amount);
+        self.table.begin_wait(&customer, amount);
         self.sync(false);
-        self.table.drop_shortage(&customer, amount);
+        self.table.end_wait(&customer, amount);
         self.table.hold(&customer, amount).ok()
     }
 
@@ -109,7 +112,7 @@
                 unproved: 0,
                 runs: Vec::new(),
             };
-            self.table.finish(&hold, Some(bill));
+            self.table.end_hold(&hold, Some(bill));
         }
     }
 
@@ -127,10 +130,10 @@
             if self.flights.len() > FLIGHT {
                 self.end_oldest();
             }
-            self.table.smooth_burn(STEP);
+            self.table.update_burn_rates(STEP);
             if step % SETTLE_STEPS == 0 {
                 self.sync(true);
-            } else if self.table.is_wanted(&self.shard) {
+            } else if self.table.needs_early_sync(&self.shard) {
                 self.sync(false);
             }
         }
@@ -166,7 +169,7 @@
     let rate = run.serve(8);
     assert!(rate <= 2.0, "{rate} writes a second");
     assert_eq!(run.refused, 0);
-    assert!(run.shard_now().is_sound());
+    assert!(run.shard_now().is_within_prepaid());
 }
 
 /// The same load while most of the budgets is left: one write serves all customers of the shard.
@@ -185,7 +188,7 @@
     let mut run = LenderRun::new(&make_shard(800_000, 0));
     run.serve(20);
     let shard = run.shard_now();
-    assert!(run.refused > 0 && shard.is_sound());
+    assert!(run.refused > 0 && shard.is_within_prepaid());
     for account in shard.accounts.values() {
         assert!(account.unspent() < SIZES[0], "{} left", account.unspent());
     }
--- a/toucanrail/tests/world/mod.rs
+++ b/toucanrail/tests/world/mod.rs
@@ -1,4 +1,4 @@
-//! A small world of entries, agents and an object API in virtual time: every message is an
+//! A small sim of entries, agents and an object API in virtual time: every message is an
 //! explicit step, so that a schedule can delay, lose or cut it.
 
 // Each test file uses its own part of this.
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 
 use toucanrail::archives::ArchiveMachine;
-use toucanrail::budgets::{BillBatch, BillRow, BudgetAccount, BudgetShard, HolderState, RunNote};
+use toucanrail::budgets::{BillBatch, BillRow, BilledRun, BudgetAccount, BudgetShard, HolderState};
 use toucanrail::grants::{GrantHold, GrantTable};
 use toucanrail::ids::{AgentId, CustomerId, EntryId, RequestId, RunId, ShardName, Tokens, Version};
 use toucanrail::ledgers::UsageLedger;
@@ -21,15 +21,15 @@
 
 /// How the object API treats one call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum StoreMood {
+pub enum StoreFault {
     /// It answers.
-    Well,
+    None,
     /// It does nothing and does not answer.
-    Down,
+    Unavailable,
     /// It takes effect and does not answer.
-    Lost,
+    ReplyLost,
     /// It does not answer, and a write lands later if its condition still holds.
-    Late,
+    Delayed,
 }
 
 /// The object API as a map.
@@ -42,22 +42,22 @@
 }
 
 impl FakeStore {
-    pub fn call(&mut self, call: &StoreCall, mood: StoreMood) -> StoreReply {
-        match mood {
-            StoreMood::Well => self.apply(call),
-            StoreMood::Down => StoreReply::Unavailable,
-            StoreMood::Lost => {
+    pub fn call(&mut self, call: &StoreCall, fault: StoreFault) -> StoreReply {
+        match fault {
+            StoreFault::None => self.apply(call),
+            StoreFault::Unavailable => StoreReply::Unavailable,
+            StoreFault::ReplyLost => {
                 self.apply(call);
                 StoreReply::Unavailable
             }
-            StoreMood::Late => {
+            StoreFault::Delayed => {
                 self.late.push(call.clone());
                 StoreReply::Unavailable
             }
         }
     }
 
-    pub fn land_late(&mut self) {
+    pub fn apply_delayed(&mut self) {
         for call in std::mem::take(&mut self.late) {
             self.apply(&call);
         }
@@ -128,7 +128,7 @@
 }
 
 #[derive(Debug)]
-pub struct World {
+pub struct FleetSim {
     pub store: FakeStore,
     pub entries: Vec<EntrySim>,
     pub agents: Vec<AgentSim>,
@@ -140,20 +140,20 @@
     next: u64,
 }
 
-pub const OPENING: Tokens = 2_000;
+pub const OPENING_BUDGET: Tokens = 2_000;
 /// So few that keys move to the archive in almost every schedule.
 const RECENT_KEYS: usize = 2;
 
-impl World {
+impl FleetSim {
     pub fn new(entries: usize, agents: usize, policy: GrantPolicy) -> Self {
         let shard: ShardName = Arc::from("shard-0");
         let customers: Vec<CustomerId> = vec![Arc::from("bottler"), Arc::from("brewer")];
         let mut content = BudgetShard::default();
         for customer in &customers {
             let account = content.accounts.entry(Arc::clone(customer)).or_default();
-            account.top_up(OPENING).unwrap();
+            account.top_up(OPENING_BUDGET).unwrap();
         }
-        let mut world = Self {
+        let mut sim = Self {
             store: FakeStore::default(),
             entries: Vec::new(),
             agents: Vec::new(),
@@ -164,14 +164,14 @@
             policy,
             next: 0,
         };
-        world.put_shard(&content);
+        sim.put_shard(&content);
         for _ in 0..agents {
-            world.add_agent();
+            sim.add_agent();
         }
         for _ in 0..entries {
-            world.add_entry();
+            sim.add_entry();
         }
-        world
+        sim
     }
 
     pub fn read_shard(&self) -> BudgetShard {
@@ -230,7 +230,7 @@
         let agents: BTreeSet<AgentId> =
             self.agents.iter().map(|agent| Arc::clone(agent.ledger.agent())).collect();
         for entry in &mut self.entries {
-            entry.table.want_agents(agents.clone());
+            entry.table.set_wanted_agents(agents.clone());
         }
     }
 
@@ -255,7 +255,7 @@
         let agents: Vec<AgentId> = usable.unwrap_or_default().into_iter().collect();
         let hold = entry.table.hold(&customer, amount);
         let (Ok(hold), false) = (hold, agents.is_empty()) else {
-            entry.table.add_shortage(&customer, amount);
+            entry.table.begin_wait(&customer, amount);
             return;
         };
         let agent = Arc::clone(&agents[self.next as usize % agents.len()]);
@@ -328,12 +328,12 @@
             let bill = flight.used.map(|used| bill_row(&flight.order, used));
             let (shard, agent) = (&flight.hold.shard, &flight.order.agent);
             entry.table.mark_agent(shard, agent, false);
-            entry.table.finish(&flight.hold, bill);
+            entry.table.end_hold(&flight.hold, bill);
         }
     }
 
     /// One step of an entry's sync.
-    pub fn step_sync(&mut self, at: usize, mood: StoreMood, leave: bool) {
+    pub fn step_sync(&mut self, at: usize, fault: StoreFault, leave: bool) {
         let shard = Arc::clone(&self.shard);
         let entry = &mut self.entries[at];
         if !entry.alive {
@@ -347,20 +347,20 @@
             return;
         };
         if let Some(call) = machine.next_call() {
-            machine.take_reply(self.store.call(&call, mood));
+            machine.handle_reply(self.store.call(&call, fault));
             entry.sync = Some(machine);
             return;
         }
         entry.table.apply_sync(&shard, machine.into_outcome());
         let customers = self.customers.clone();
         for customer in customers {
-            while entry.table.drop_waiting(&customer) {}
+            while entry.table.discard_wait(&customer) {}
         }
     }
 
     pub fn run_sync(&mut self, at: usize, leave: bool) {
         for _ in 0..40 {
-            self.step_sync(at, StoreMood::Well, leave);
+            self.step_sync(at, StoreFault::None, leave);
             if self.entries[at].sync.is_none() {
                 return;
             }
@@ -371,14 +371,14 @@
     pub fn open_tenures(&mut self) {
         for at in 0..self.entries.len() {
             for customer in self.customers.clone() {
-                self.entries[at].table.add_shortage(&customer, 100);
+                self.entries[at].table.begin_wait(&customer, 100);
             }
             self.run_sync(at, false);
         }
     }
 
     /// One step of moving old keys to the archive.
-    pub fn step_archive(&mut self, at: usize, mood: StoreMood) {
+    pub fn step_archive(&mut self, at: usize, fault: StoreFault) {
         let shard = Arc::clone(&self.shard);
         let entry = &mut self.entries[at];
         if !entry.alive {
@@ -387,7 +387,7 @@
         let machine = entry.archive.take();
         let mut machine = machine.unwrap_or_else(|| ArchiveMachine::new(shard, RECENT_KEYS));
         if let Some(call) = machine.next_call() {
-            machine.take_reply(self.store.call(&call, mood));
+            machine.take_reply(self.store.call(&call, fault));
             entry.archive = Some(machine);
         }
     }
@@ -398,16 +398,16 @@
         if !entry.alive {
             return;
         }
-        for (agent, runs) in entry.table.due_acks() {
+        for (agent, runs) in entry.table.pending_acks() {
             let found = self.agents.iter_mut().find(|sim| *sim.ledger.agent() == agent);
             match found {
                 Some(sim) if sim.reachable => {
                     sim.ledger.acknowledge(&runs);
                     let dropped = runs.into_iter().collect();
-                    entry.table.note_acked(&agent, &dropped, false);
+                    entry.table.record_acked(&agent, &dropped, false);
                 }
                 Some(_) => {}
-                None => entry.table.note_acked(&agent, &BTreeSet::new(), true),
+                None => entry.table.record_acked(&agent, &BTreeSet::new(), true),
             }
         }
     }
@@ -446,7 +446,7 @@
                 row.unproved = if flight.delivered { flight.hold.amount } else { 0 };
                 entry.table.mark_agent(&flight.hold.shard, &id, false);
                 let bill = Some(row).filter(|_| flight.delivered);
-                entry.table.finish(&flight.hold, bill);
+                entry.table.end_hold(&flight.hold, bill);
             }
         }
         self.lost_agents.insert(id);
@@ -458,7 +458,7 @@
         &mut self,
         by: usize,
         dead: usize,
-        mood: StoreMood,
+        fault: StoreFault,
     ) -> Option<ReclaimOutcome> {
         let dead = Arc::clone(&self.entries[dead].id);
         let shard = Arc::clone(&self.shard);
@@ -475,7 +475,7 @@
             return Some(machine.into_outcome());
         };
         let reply = match call {
-            ReclaimCall::Store(call) => ReclaimReply::Store(self.store.call(&call, mood)),
+            ReclaimCall::Store(call) => ReclaimReply::Store(self.store.call(&call, fault)),
             ReclaimCall::Fence { agent, shard, epoch } => self.fence(&agent, &shard, epoch),
         };
         machine.take_reply(reply);
@@ -501,7 +501,7 @@
     pub fn run_reclaim(&mut self, by: usize, dead: usize) -> ReclaimOutcome {
         self.entries[by].reclaim = None;
         loop {
-            if let Some(outcome) = self.step_reclaim(by, dead, StoreMood::Well) {
+            if let Some(outcome) = self.step_reclaim(by, dead, StoreFault::None) {
                 return outcome;
             }
         }
@@ -539,7 +539,7 @@
 
     /// Lets everything come to rest: messages arrive, the dead are reclaimed, the rest settles.
     pub fn settle_all(&mut self) {
-        self.store.land_late();
+        self.store.apply_delayed();
         for agent in &mut self.agents {
             agent.reachable = true;
         }
@@ -611,6 +611,10 @@
         billed: used,
         written_off: 0,
         unproved: 0,
-        runs: vec![RunNote { run: Arc::clone(&order.run), agent: Arc::clone(&order.agent), used }],
+        runs: vec![BilledRun {
+            run: Arc::clone(&order.run),
+            agent: Arc::clone(&order.agent),
+            used,
+        }],
     }
 }
