--- a/toucanrail-gateway/src/borrowing.rs
+++ b/toucanrail-gateway/src/borrowing.rs
@@ -11,7 +11,7 @@
 use smol::future::FutureExt;
 use toucanrail::grants::GrantHold;
 use toucanrail::ids::{CustomerId, RequestId, ServiceName, Tokens};
-use toucanrail::loans::{self, LoanEnd, LoanId, LoanOrder, LoanReply};
+use toucanrail::loans::{self, LoanEnd, LoanId, LoanReply, LoanRequest};
 
 use crate::budgeting::HoldFailure;
 use crate::lending::{DRAW_PATH, END_PATH};
@@ -133,7 +133,7 @@
         let number = gateway.desk.next.get();
         gateway.desk.next.set(number + 1);
         let loan: LoanId = Arc::from(format!("{}.{number}", gateway.id));
-        let order = LoanOrder {
+        let order = LoanRequest {
             loan: Arc::clone(&loan),
             customer: Arc::clone(need.customer),
             stated: need.stated,
@@ -172,7 +172,7 @@
     gateway: &Rc<Gateway>,
     lender: &Arc<str>,
     address: SocketAddr,
-    order: &LoanOrder,
+    order: &LoanRequest,
 ) -> io::Result<LoanReply> {
     let drawing = peering::call_peer(gateway, lender, address, DRAW_PATH, order, DRAW_BOUND);
     let watching = async {
--- a/toucanrail-gateway/src/lending.rs
+++ b/toucanrail-gateway/src/lending.rs
@@ -8,7 +8,7 @@
 
 use smol::{Async, LocalExecutor};
 use toucanrail::coldstarts::{PermitOrder, PermitReply, PermitTable};
-use toucanrail::loans::{LoanEnd, LoanOrder, LoanReply, LoanTable};
+use toucanrail::loans::{LoanEnd, LoanReply, LoanRequest, LoanTable};
 use toucanrail_wire::calling;
 use toucanrail_wire::channels::BufferedChannel;
 use toucanrail_wire::clocks;
@@ -18,7 +18,7 @@
 use crate::listening;
 use crate::mirroring::{NEWS_PATH, NewsOffice};
 
-/// Call with a [`LoanOrder`], answered with a [`LoanReply`].
+/// Call with a [`LoanRequest`], answered with a [`LoanReply`].
 pub const DRAW_PATH: &str = "/loans/draw";
 /// Call with some [`LoanEnd`]s, answered with `true`.
 pub const END_PATH: &str = "/loans/end";
@@ -102,14 +102,14 @@
     Ok(())
 }
 
-async fn draw(office: &LoanOffice, order: &LoanOrder) -> LoanReply {
+async fn draw(office: &LoanOffice, order: &LoanRequest) -> LoanReply {
     if office.loans.borrow().is_open(&order.loan) {
         return LoanReply::Held;
     }
     if office.leaving.get() {
         return LoanReply::Leaving;
     }
-    let LoanOrder { customer, amount, rank, .. } = order;
+    let LoanRequest { customer, amount, rank, .. } = order;
     office.keeper.note_total(customer, order.stated);
     match office.keeper.take_hold(customer, *amount, *rank, ORDER_TIME).await {
         Ok(hold) if office.leaving.get() => {
--- a/toucanrail/src/loans.rs
+++ b/toucanrail/src/loans.rs
@@ -24,7 +24,7 @@
 
 /// An entry asks for the budget of one request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LoanOrder {
+pub struct LoanRequest {
     /// The loan.
     pub loan: LoanId,
     /// Who pays.
--- a/toucanrail/tests/budget_schedules.rs
+++ b/toucanrail/tests/budget_schedules.rs
@@ -46,7 +46,7 @@
 
 fn any_fault() -> impl Strategy<Value = StoreFault> {
     prop_oneof![
-        6 => Just(StoreFault::None),
+        6 => Just(StoreFault::NoFault),
         1 => Just(StoreFault::Unavailable),
         2 => Just(StoreFault::ReplyLost),
         1 => Just(StoreFault::Delayed),
@@ -88,7 +88,7 @@
 
 fn take_calls(calls: Calls, mut call: impl FnMut(StoreFault)) {
     for _ in 1..calls.count {
-        call(StoreFault::None);
+        call(StoreFault::NoFault);
     }
     call(calls.last);
 }
--- a/toucanrail/tests/run_records.rs
+++ b/toucanrail/tests/run_records.rs
@@ -225,7 +225,7 @@
 
 fn any_step() -> impl Strategy<Value = Step> {
     let mood = prop_oneof![
-        6 => Just(StoreFault::None),
+        6 => Just(StoreFault::NoFault),
         1 => Just(StoreFault::Unavailable),
         2 => Just(StoreFault::ReplyLost),
         1 => Just(StoreFault::Delayed),
@@ -245,7 +245,7 @@
     match *step {
         Step::Open(at, agent) => desk.open(at, agent),
         Step::Calls(at, count, mood) => {
-            (1..count).for_each(|_| desk.step(at, StoreFault::None));
+            (1..count).for_each(|_| desk.step(at, StoreFault::NoFault));
             desk.step(at, mood);
         }
         Step::Deliver(at) => desk.deliver(at),
@@ -292,10 +292,10 @@
     let mut desk = Desk::new();
     for caller in 0..CALLERS {
         desk.open(caller, caller % 2);
-        (0..8).for_each(|_| desk.step(caller, StoreFault::None));
+        (0..8).for_each(|_| desk.step(caller, StoreFault::NoFault));
         desk.deliver(caller);
         desk.finish();
-        (0..8).for_each(|_| desk.step(caller, StoreFault::None));
+        (0..8).for_each(|_| desk.step(caller, StoreFault::NoFault));
     }
     assert_eq!(desk.runs, 1);
     assert_eq!(desk.answers, vec![b"filed 1".to_vec(); CALLERS]);
--- a/toucanrail/tests/world/mod.rs
+++ b/toucanrail/tests/world/mod.rs
@@ -23,7 +23,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StoreFault {
     /// It answers.
-    None,
+    NoFault,
     /// It does nothing and does not answer.
     Unavailable,
     /// It takes effect and does not answer.
@@ -44,7 +44,7 @@
 impl FakeStore {
     pub fn call(&mut self, call: &StoreCall, fault: StoreFault) -> StoreReply {
         match fault {
-            StoreFault::None => self.apply(call),
+            StoreFault::NoFault => self.apply(call),
             StoreFault::Unavailable => StoreReply::Unavailable,
             StoreFault::ReplyLost => {
                 self.apply(call);
@@ -360,7 +360,7 @@
 
     pub fn run_sync(&mut self, at: usize, leave: bool) {
         for _ in 0..40 {
-            self.step_sync(at, StoreFault::None, leave);
+            self.step_sync(at, StoreFault::NoFault, leave);
             if self.entries[at].sync.is_none() {
                 return;
             }
@@ -501,7 +501,7 @@
     pub fn run_reclaim(&mut self, by: usize, dead: usize) -> ReclaimOutcome {
         self.entries[by].reclaim = None;
         loop {
-            if let Some(outcome) = self.step_reclaim(by, dead, StoreFault::None) {
+            if let Some(outcome) = self.step_reclaim(by, dead, StoreFault::NoFault) {
                 return outcome;
             }
         }
