--- a/toucanrail/src/accounts.rs
+++ b/toucanrail/src/accounts.rs
@@ -1,4 +1,5 @@
-//! One customer's account at one entry: what is granted, held, used and wanted.
+//! State of one customer's account at one entry: the grant, the holds on it, unsettled bills and
+//! waiting requests.
 
 use std::time::Duration;
 
@@ -8,39 +9,40 @@
 use crate::ids::Tokens;
 use crate::syncs::GrantDemand;
 
-/// Time constant of the smoothed burn rate.
-const BURN_WINDOW: Duration = Duration::from_secs(10);
+/// Time constant of the exponentially smoothed burn rate.
+const BURN_TIME_CONSTANT: Duration = Duration::from_secs(10);
 
-/// One account at this entry.
+/// A customer's account at this entry.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct GrantAccount {
-    /// Granted, as the shard confirmed it.
+    /// Tokens granted to this entry, as last confirmed by the shard.
     pub granted: Tokens,
-    /// Held by requests in flight.
+    /// Tokens held by requests in flight.
     pub held: Tokens,
-    /// Bills that no sync carries yet.
+    /// Bills that no sync has picked up yet.
     pub unsettled: Vec<BillRow>,
-    /// The sum of the bills that a running sync carries.
+    /// Total of the bills in the sync that is under way.
     pub settling: Tokens,
-    /// Reserved to be given back.
+    /// Tokens set aside to be returned to the shard.
     pub returning: Tokens,
-    /// What each waiting request wants.
+    /// Missing tokens of each waiting request.
     pub waiting: Vec<Tokens>,
-    /// Usage a second, smoothed.
+    /// Burn rate: smoothed usage in tokens per second.
     pub burn: f64,
-    /// Total that the configuration states; 0 where only operators state it, in the shard.
+    /// Prepaid total from the configuration; 0 if only operators set it, in the shard.
     pub prepaid: Tokens,
-    /// Held since the last tick, less what came back.
+    /// Tokens held since the last update of the burn rate, less the unused part of ended holds.
     used: f64,
-    /// Weight of the ticks in `burn`; corrects it for the time before the first.
+    /// Sum of the weights in `burn_sum`; dividing by it corrects the bias of the initial value 0.
     burn_weight: f64,
+    /// Exponential moving average of the usage per second, before the correction.
     burn_sum: f64,
-    /// Whether a request began to wait that no plan has seen.
+    /// Whether a request has started to wait since the last sync plan was built.
     pub unseen: bool,
 }
 
 impl GrantAccount {
-    /// Makes an account without grants, of a total that the configuration states.
+    /// Creates an account without a grant, with the prepaid total from the configuration.
     ///
     /// # Examples
     /// ```
@@ -51,55 +53,55 @@
         Self { prepaid, ..Self::default() }
     }
 
-    /// Returns the sum of the bills that no sync carries yet.
+    /// Returns the total of the bills that no sync has picked up yet.
     pub fn unsettled_total(&self) -> Tokens {
         self.unsettled.iter().map(BillRow::total).sum()
     }
 
-    /// Returns what requests wait for.
+    /// Returns the total that waiting requests are missing.
     pub fn shortage(&self) -> Tokens {
         self.waiting.iter().sum()
     }
 
-    /// Returns what a new request may hold.
+    /// Returns the part of the grant that new requests may hold.
     pub fn available(&self) -> Tokens {
         let taken = self.held + self.unsettled_total() + self.settling + self.returning;
         self.granted.saturating_sub(taken)
     }
 
-    /// Begins a hold, which is available.
+    /// Starts a hold. The amount must be available.
     pub fn begin_hold(&mut self, amount: Tokens) {
         self.held += amount;
         self.used += amount as f64;
     }
 
-    /// Ends a hold: its bill waits for the next sync, the rest is free at once.
+    /// Ends a hold: its bill is queued for the next sync, the rest is available at once.
     pub fn end_hold(&mut self, amount: Tokens, bill: Option<BillRow>) {
         self.held = self.held.saturating_sub(amount);
         self.used -= (amount - bill.as_ref().map_or(0, BillRow::total)) as f64;
         self.unsettled.extend(bill);
     }
 
-    /// Notes that a request waits for so much more.
+    /// Records that a request waits until `amount` more is granted.
     pub fn begin_wait(&mut self, amount: Tokens) {
         self.waiting.push(amount);
         self.unseen = true;
     }
 
-    /// Notes that a request no longer waits.
+    /// Records that a request no longer waits for `amount`.
     pub fn end_wait(&mut self, amount: Tokens) {
-        let found = self.waiting.iter().position(|wanted| *wanted == amount);
-        found.map(|at| self.waiting.swap_remove(at));
+        let position = self.waiting.iter().position(|wanted| *wanted == amount);
+        position.map(|index| self.waiting.swap_remove(index));
     }
 
-    /// Updates the burn rate; once a tick.
+    /// Updates the burn rate with the usage of the last `elapsed` time; called once per tick.
     pub fn update_burn_rate(&mut self, elapsed: Duration) {
-        // The time before an account's first use says nothing about its burn.
+        // Idle time before the account's first use must not lower its burn rate.
         if self.used == 0.0 && self.burn_sum == 0.0 {
             return;
         }
         let seconds = elapsed.as_secs_f64().max(0.001);
-        let weight = 1.0 - (-seconds / BURN_WINDOW.as_secs_f64()).exp();
+        let weight = 1.0 - (-seconds / BURN_TIME_CONSTANT.as_secs_f64()).exp();
         let rate = self.used / seconds;
         self.burn_sum += (rate - self.burn_sum) * weight;
         self.burn_weight += (1.0 - self.burn_weight) * weight;
@@ -107,35 +109,35 @@
         self.used = 0.0;
     }
 
-    /// Takes up to `limit` bills into a sync.
+    /// Moves up to `limit` bills into a sync.
     pub fn take_bills(&mut self, limit: usize) -> Vec<BillRow> {
-        let room = limit.min(self.unsettled.len());
-        let taken: Vec<BillRow> = self.unsettled.drain(..room).collect();
+        let count = limit.min(self.unsettled.len());
+        let taken: Vec<BillRow> = self.unsettled.drain(..count).collect();
         self.settling = taken.iter().map(BillRow::total).sum();
         taken
     }
 
-    /// Returns what a sync asks for; all that waits now is seen by it.
+    /// Returns what this account needs from a sync, and marks all waiting requests as seen.
     pub fn demand(&mut self) -> GrantDemand {
         self.unseen = false;
         GrantDemand {
-            burn: self.burn,
-            busy: self.held + self.unsettled_total(),
+            burn_rate: self.burn,
+            in_use: self.held + self.unsettled_total(),
             shortage: self.shortage(),
-            least: self.waiting.iter().min().copied().unwrap_or(0),
+            smallest_wait: self.waiting.iter().min().copied().unwrap_or(0),
             returning: self.returning,
             prepaid: self.prepaid,
         }
     }
 
-    /// Takes what a sync has confirmed.
+    /// Applies the grant confirmed by a sync, of which `returned` was given back.
     pub fn confirm(&mut self, granted: Tokens, returned: Tokens) {
         self.granted = granted;
         self.settling = 0;
         self.returning -= returned.min(self.returning);
     }
 
-    /// Tells whether no bill waits or is on its way.
+    /// Returns whether no bill is queued or in a sync.
     pub fn is_settled(&self) -> bool {
         self.unsettled.is_empty() && self.settling == 0
     }
--- a/toucanrail/src/budgets.rs
+++ b/toucanrail/src/budgets.rs
@@ -1,8 +1,14 @@
-//! The budget shard: the one object that says what is prepaid, billed, granted and frozen.
+//! The budget shard: the object that records what is prepaid, billed, granted and frozen for a set
+//! of customers.
 //!
 //! Every change is a conditional update of the whole object, so that
-//! `billed + written_off + frozen + granted <= prepaid` holds in every version of it, whoever is
-//! cut off from whom. `docs/BUDGETS.md` weighs this design against the others.
+//! `billed + written_off + frozen + granted <= prepaid` holds in every version of it, whatever the
+//! network partition. `docs/BUDGETS.md` compares this design with the alternatives.
+//!
+//! An entry takes part in a shard as a holder. Its tenure, numbered by an epoch, lasts until the
+//! entry leaves or another entry reclaims it. During the tenure the entry is granted parts of the
+//! accounts, and settles what it used as bills. What a reclaim can neither prove spent nor unspent
+//! is frozen.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -18,108 +24,109 @@
 use crate::paths;
 use crate::storecalls;
 
-/// Keyed requests an account remembers before the older half moves to its archive.
+/// Number of keyed requests above which an account moves the older half to its archive.
 pub const RECENT_KEY_LIMIT: usize = 512;
 
 quick_error! {
-    /// Why a budget was not changed.
+    /// Error of a change to a budget.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum BudgetError {
-        /// The budget would go below what is already promised.
+        /// The budget would fall below what is already committed.
         Committed(committed: Tokens) {
             display("5004: {committed} tokens are billed, written off, granted or frozen")
         }
-        /// There is no such account.
+        /// The shard has no account of this customer.
         NoAccount {
             display("5001: the shard holds no account of this customer")
         }
-        /// The amount does not fit the counters.
+        /// The sum overflows the counter.
         TooLarge {
             display("5001: the amount is too large")
         }
-        /// Nothing is frozen under this tenure.
+        /// Nothing is frozen for this tenure.
         NotFrozen {
             display("5001: nothing is frozen under this epoch")
         }
     }
 }
 
-/// Some customers' accounts and the holders that spend from them.
+/// Accounts of some customers, and the holders that spend from them.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BudgetShard {
-    /// The last epoch given to a holder; the next one is higher.
+    /// The last epoch assigned to a holder; the next one is higher.
     pub epochs: Epoch,
     /// The holders, by entry.
     pub holders: BTreeMap<EntryId, HolderRow>,
     /// The accounts, by customer.
     pub accounts: BTreeMap<CustomerId, BudgetAccount>,
-    /// Reclaimed tenures, by epoch; they tell which bill objects count.
+    /// Reclaimed tenures, by epoch; they determine which bill objects count.
     pub closed: BTreeMap<Epoch, ClosedTenure>,
 }
 
-/// One entry's tenure in a shard.
+/// An entry's tenure in a shard: the period in which it may hold grants there.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HolderRow {
     /// Number of the tenure, unique in the shard.
     pub epoch: Epoch,
-    /// Who may change this tenure.
+    /// Which entry may change this tenure.
     pub state: HolderState,
-    /// The last settlement batch applied.
+    /// Sequence number of the last settlement batch applied.
     pub settled: Sequence,
-    /// The last batch whose rows every agent has dropped.
+    /// Sequence number of the last batch whose runs all agents have dropped.
     pub acked: Sequence,
-    /// Agents that may have run something for this tenure, written before the first order.
+    /// Agents that may have run something for this tenure; each is recorded before it gets its
+    /// first order.
     pub agents: BTreeSet<AgentId>,
 }
 
-/// Who may change a tenure.
+/// Which entry may change a tenure.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum HolderState {
-    /// The holder itself.
+    /// The holder.
     Live,
-    /// The entry that reclaims it.
+    /// Only the entry that reclaims it.
     Revoked {
         /// The reclaiming entry.
         by: EntryId,
     },
 }
 
-/// How a tenure was reclaimed.
+/// A tenure that was reclaimed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClosedTenure {
-    /// The last batch that its holder had applied.
+    /// Sequence number of the last batch applied by its holder.
     pub settled: Sequence,
-    /// The entry whose reclaim batch counts.
+    /// The entry whose reclaim batch is the valid one.
     pub by: EntryId,
 }
 
-/// One customer's money.
+/// One customer's account.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BudgetAccount {
-    /// All that was ever prepaid, less what an operator took back.
+    /// Total prepaid to date, less what an operator took back.
     pub prepaid: Tokens,
-    /// The sum of all bills.
+    /// Total billed.
     pub billed: Tokens,
-    /// Used by tries that no bill covers: spent, but not charged.
+    /// Usage that was spent but is not charged: failed attempts and duplicates.
     pub written_off: Tokens,
-    /// Not provably spent or unspent, by the epoch of the tenure.
+    /// Tokens that are neither provably spent nor provably unspent, by the epoch of the tenure.
     pub frozen: BTreeMap<Epoch, Tokens>,
-    /// What each holder may still spend or has not settled yet.
+    /// Tokens that each holder may still spend or has not settled yet.
     pub grants: BTreeMap<EntryId, Tokens>,
-    /// Keyed requests billed recently.
+    /// Recently billed requests that have an idempotency key.
     pub recent: BTreeMap<RequestId, RecentBill>,
-    /// Keyed requests billed so far; numbers the marks.
+    /// Number of keyed requests billed so far; source of [`RecentBill::order`].
     pub keyed: u64,
-    /// Whether the archive holds any keyed request.
+    /// Whether keyed requests of this account were moved to the archive.
     pub archived: bool,
 }
 
-/// Where a keyed request was billed.
+/// When a keyed request was billed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RecentBill {
-    /// The tenure that billed it.
+    /// Epoch of the tenure that billed it.
     pub epoch: Epoch,
-    /// The place among the account's keyed requests.
+    /// Its number among the account's keyed requests.
     pub order: u64,
 }
 
@@ -128,55 +135,55 @@
 pub struct BillRow {
     /// The request.
     pub request: RequestId,
-    /// Who pays.
+    /// The customer who pays.
     pub customer: CustomerId,
-    /// The service used.
+    /// The service that was used.
     pub service: ServiceName,
-    /// The tenure that held the money.
+    /// Epoch of the tenure that held the tokens.
     pub epoch: Epoch,
-    /// Whether the caller gave a key, so that another bill of it may exist.
+    /// Whether the caller sent an idempotency key, so that the request may be billed elsewhere too.
     pub keyed: bool,
     /// The usage that is charged.
     pub billed: Tokens,
-    /// Usage of failed tries and of duplicates: spent, not charged.
+    /// Usage of failed attempts and duplicates: spent but not charged.
     pub written_off: Tokens,
-    /// Held by tries whose usage cannot be known.
+    /// Tokens held by attempts whose usage cannot be determined.
     pub unproved: Tokens,
-    /// The tries.
+    /// The attempts of the request.
     pub runs: Vec<BilledRun>,
 }
 
-/// One try in a bill.
+/// The usage of one attempt in a bill.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BilledRun {
-    /// The try.
+    /// Id of the attempt.
     pub run: RunId,
-    /// Where it ran.
+    /// The agent that ran it.
     pub agent: AgentId,
-    /// What it used.
+    /// Tokens used.
     pub used: Tokens,
 }
 
-/// The bills that one conditional update settles together.
+/// The bills that one conditional update of the shard settles.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BillBatch {
     /// The shard.
     pub shard: ShardName,
-    /// The tenure.
+    /// Epoch of the tenure.
     pub epoch: Epoch,
-    /// The batch's number in the tenure.
+    /// Sequence number of the batch within the tenure.
     pub sequence: Sequence,
     /// The bills.
     pub rows: Vec<BillRow>,
 }
 
 impl BillRow {
-    /// Returns all that the row takes from a grant.
+    /// Returns the amount that the row takes from a grant.
     pub fn total(&self) -> Tokens {
         self.billed + self.written_off + self.unproved
     }
 
-    /// Turns the bill of an already billed request into a written-off one.
+    /// Moves the billed usage to `written_off`, for a request that is already billed.
     fn write_off(&mut self) {
         self.written_off += self.billed;
         self.billed = 0;
@@ -184,14 +191,14 @@
 }
 
 impl BudgetAccount {
-    /// Returns all that is promised or gone.
+    /// Returns the tokens that are billed, written off, frozen or granted.
     pub fn committed(&self) -> Tokens {
         let frozen: Tokens = self.frozen.values().sum();
         let granted: Tokens = self.grants.values().sum();
         self.billed + self.written_off + frozen + granted
     }
 
-    /// Returns what can still be granted.
+    /// Returns the tokens that can still be granted.
     ///
     /// # Examples
     /// ```
@@ -204,13 +211,13 @@
         self.prepaid.saturating_sub(self.committed())
     }
 
-    /// Returns what is neither billed nor lost; part of it may be granted.
+    /// Returns the tokens that are not billed, written off or frozen; part of them may be granted.
     pub fn unspent(&self) -> Tokens {
         let frozen: Tokens = self.frozen.values().sum();
         self.prepaid.saturating_sub(self.billed + self.written_off + frozen)
     }
 
-    /// Returns what holders other than this one may still spend or have not settled yet.
+    /// Returns the total granted to holders other than `entry`.
     pub fn granted_to_others(&self, entry: &EntryId) -> Tokens {
         let others = self.grants.iter().filter(|(holder, _)| *holder != entry);
         others.map(|(_, granted)| granted).sum()
@@ -218,12 +225,12 @@
 
     /// Adds prepaid tokens.
     pub fn top_up(&mut self, amount: Tokens) -> Result<(), BudgetError> {
-        let raised = self.prepaid.checked_add(amount).ok_or(BudgetError::TooLarge)?;
-        self.prepaid = raised;
+        let prepaid = self.prepaid.checked_add(amount).ok_or(BudgetError::TooLarge)?;
+        self.prepaid = prepaid;
         Ok(())
     }
 
-    /// Takes prepaid tokens back, never below what is promised.
+    /// Takes prepaid tokens back. Fails if the total would fall below what is committed.
     pub fn lower(&mut self, amount: Tokens) -> Result<(), BudgetError> {
         if amount > self.unallocated() {
             return Err(BudgetError::Committed(self.committed()));
@@ -232,12 +239,13 @@
         Ok(())
     }
 
-    /// Releases what a tenure left frozen: the operator vouches that it was not spent.
+    /// Releases the tokens frozen for a tenure and returns their number. The operator asserts that
+    /// they were not spent.
     pub fn release_frozen(&mut self, epoch: Epoch) -> Result<Tokens, BudgetError> {
         self.frozen.remove(&epoch).ok_or(BudgetError::NotFrozen)
     }
 
-    /// Decides how a row is settled: a keyed request already billed is written off.
+    /// Writes a row off if its keyed request is already billed.
     fn write_off_duplicate(&self, row: &mut BillRow, archived: &BTreeSet<RequestId>) {
         let billed = self.recent.contains_key(&row.request) || archived.contains(&row.request);
         if row.keyed && billed && row.billed > 0 {
@@ -245,7 +253,7 @@
         }
     }
 
-    fn record(&mut self, row: &BillRow) {
+    fn apply_bill(&mut self, row: &BillRow) {
         self.billed += row.billed;
         self.written_off += row.written_off;
         if row.unproved > 0 {
@@ -253,26 +261,26 @@
         }
         if row.keyed && row.billed > 0 {
             self.keyed += 1;
-            let mark = RecentBill { epoch: row.epoch, order: self.keyed };
-            self.recent.insert(Arc::clone(&row.request), mark);
+            let bill = RecentBill { epoch: row.epoch, order: self.keyed };
+            self.recent.insert(Arc::clone(&row.request), bill);
         }
     }
 
-    /// Returns the older half of the recent keyed requests, once there are too many.
+    /// Returns the older half of the recent keyed requests if there are more than `limit`.
     pub fn keys_to_archive(&self, limit: usize) -> BTreeSet<RequestId> {
         if self.recent.len() <= limit {
             return BTreeSet::new();
         }
-        let mut marks: Vec<_> = self.recent.iter().collect();
-        marks.sort_by_key(|(_, mark)| mark.order);
-        let half = marks.len() / 2;
-        marks.into_iter().take(half).map(|(request, _)| Arc::clone(request)).collect()
+        let mut bills: Vec<_> = self.recent.iter().collect();
+        bills.sort_by_key(|(_, bill)| bill.order);
+        let half = bills.len() / 2;
+        bills.into_iter().take(half).map(|(request, _)| Arc::clone(request)).collect()
     }
 }
 
 impl BudgetShard {
-    /// Returns what stands granted to runs of VMs that have another run among the holders since. Nobody
-    /// can settle it, so that no wait brings it back.
+    /// Returns the total granted to holders that a newer process of the same VM has replaced.
+    /// Nobody will settle these grants, so waiting does not bring them back.
     ///
     /// # Examples
     /// ```
@@ -290,7 +298,7 @@
         replaced.map(|(_, granted)| granted).sum()
     }
 
-    /// Tells whether a holder's VM runs another process now.
+    /// Returns whether a later holder is a newer process of the same VM.
     fn is_replaced(&self, holder: &EntryId) -> bool {
         let epoch = self.holders.get(holder).map_or(0, |row| row.epoch);
         let later = |(other, row): (&EntryId, &HolderRow)| {
@@ -299,7 +307,7 @@
         self.holders.iter().any(later)
     }
 
-    /// Opens a tenure for an entry that has none and returns its epoch.
+    /// Returns the epoch of an entry's tenure, opening one if there is none.
     pub fn open_tenure(&mut self, entry: &EntryId) -> Epoch {
         if let Some(row) = self.holders.get(entry) {
             return row.epoch;
@@ -316,31 +324,33 @@
         self.epochs
     }
 
-    /// Returns an entry's tenure if it is live and of this epoch.
+    /// Returns an entry's tenure if it is live and has this epoch.
     pub fn live_tenure(&mut self, entry: &EntryId, epoch: Epoch) -> Option<&mut HolderRow> {
         self.holders
             .get_mut(entry)
             .filter(|row| row.epoch == epoch && row.state == HolderState::Live)
     }
 
-    /// Decides each row's settlement against what the shard and the archive know as billed.
+    /// Writes off the rows whose keyed request is already billed: in the shard, in the archive or
+    /// by an earlier row.
     pub fn write_off_duplicates(&self, rows: &mut [BillRow], archived: &BTreeSet<RequestId>) {
         let mut seen = BTreeSet::new();
         for row in rows {
             if let Some(account) = self.accounts.get(&row.customer) {
                 account.write_off_duplicate(row, archived);
             }
-            // Two tries of one key may end in the same batch.
+            // Two requests with the same key may be in one batch.
             if row.keyed && row.billed > 0 && !seen.insert(Arc::clone(&row.request)) {
                 row.write_off();
             }
         }
     }
 
-    /// Moves decided rows from an entry's grants to the accounts' totals.
+    /// Settles rows: moves their amounts from the entry's grants to the accounts' totals.
     ///
-    /// Rows of an earlier tenure of the entry move from what that tenure left frozen; where
-    /// nothing is left there, the reclaim has already billed them.
+    /// Rows of an earlier tenure of the entry are taken from what that tenure left frozen. A row is
+    /// skipped if its source holds less than its amount; for an earlier tenure, the reclaim has
+    /// then already billed it.
     pub fn settle_rows(&mut self, entry: &EntryId, epoch: Epoch, rows: &[BillRow]) {
         for row in rows {
             let Some(account) = self.accounts.get_mut(&row.customer) else {
@@ -356,14 +366,15 @@
                 continue;
             };
             *source -= total;
-            account.record(row);
+            account.apply_bill(row);
         }
         for account in self.accounts.values_mut() {
             account.frozen.retain(|_, left| *left > 0);
         }
     }
 
-    /// Ends an entry's tenure: its grants go back, or are frozen where nothing proves them unspent.
+    /// Ends an entry's tenure. With `proved`, its grants are known to be unspent and return to the
+    /// accounts; otherwise they are frozen.
     pub fn close_tenure(&mut self, entry: &EntryId, proved: bool) {
         let Some(row) = self.holders.remove(entry) else {
             return;
@@ -376,9 +387,9 @@
         }
     }
 
-    /// Tells whether a batch counts: its holder applied it, or the reclaim's own batch is it.
+    /// Returns whether a batch counts: its holder applied it, or it is the batch of the reclaim.
     ///
-    /// `name` is the batch's name among the bill objects.
+    /// `name` is the name of the bill object that contains the batch.
     pub fn counts_batch(&self, batch: &BillBatch, name: &str) -> bool {
         if let Some(closed) = self.closed.get(&batch.epoch) {
             let reclaim = paths::reclaim_path(&batch.shard, batch.epoch, &closed.by);
@@ -389,21 +400,21 @@
         holder.is_none_or(|row| batch.sequence <= row.settled)
     }
 
-    /// Counts the holders by the configured names of their processes: a process that died and was
-    /// started again under its name is one.
+    /// Counts the holders by their configured process names, so that a process that was restarted
+    /// under its name counts once.
     pub fn count_holder_names(&self) -> u64 {
-        let name = |id: &EntryId| id.rsplit_once('.').map_or(id.len(), |(name, _)| name.len());
-        let names: BTreeSet<&str> = self.holders.keys().map(|id| &id[..name(id)]).collect();
+        let name_len = |id: &EntryId| id.rsplit_once('.').map_or(id.len(), |(name, _)| name.len());
+        let names: BTreeSet<&str> = self.holders.keys().map(|id| &id[..name_len(id)]).collect();
         names.len() as u64
     }
 
-    /// Tells whether every account keeps within its prepaid total.
+    /// Returns whether no account has more committed than prepaid.
     pub fn is_within_prepaid(&self) -> bool {
         self.accounts.values().all(|account| account.committed() <= account.prepaid)
     }
 }
 
-/// Reads the shards out of a listing of their kind, by name.
+/// Decodes the shards in a listing of the shard objects, by name.
 pub fn read_shards(objects: &[MirrorObject]) -> BTreeMap<ShardName, BudgetShard> {
     let rows = objects.iter().filter_map(|object| {
         storecalls::decode_value(&object.value).map(|shard| (Arc::clone(&object.name), shard))
@@ -411,7 +422,7 @@
     rows.collect()
 }
 
-/// Reads the bills that count out of a listing of the bill objects.
+/// Decodes the bills in a listing of the bill objects, without batches that do not count.
 pub fn read_bills(
     objects: &[MirrorObject],
     shards: &BTreeMap<ShardName, BudgetShard>,
--- a/toucanrail/src/grants.rs
+++ b/toucanrail/src/grants.rs
@@ -1,7 +1,7 @@
-//! What an entry may spend: its confirmed grants, the holds against them and the bills to settle.
+//! The grants of one entry: confirmed amounts, the holds on them and the bills to settle.
 //!
-//! An entry spends only against its own confirmed grant, so nothing here depends on the platform's
-//! service being up or on a clock.
+//! An entry spends only from its own confirmed grants, so serving a request depends neither on the
+//! platform's object API being available nor on a clock.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -16,43 +16,44 @@
 use crate::syncs::{SyncOutcome, SyncPlan};
 use crate::tenures::ShardTenure;
 
-/// Most bills in one batch; keeps its object well under a megabyte.
+/// Maximum number of bills in a batch; keeps its object well under the limit of one megabyte.
 const BATCH_LIMIT: usize = 1_500;
 
-/// What a sync is for.
+/// What a sync includes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum SyncScope {
-    /// Grants alone.
+    /// Changes of grants only.
     TopUp,
-    /// Bills as well.
+    /// Bills and changes of grants.
     Settle,
-    /// The end of the tenure.
+    /// Bills, the return of all grants and the end of the tenure.
     Leave,
 }
 
-/// A reservation of the worst case of one request.
+/// Tokens reserved for the maximum usage of one request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct GrantHold {
-    /// Who pays.
+    /// The customer who pays.
     pub customer: CustomerId,
-    /// The shard of the account.
+    /// The shard that contains the account.
     pub shard: ShardName,
-    /// The tenure that holds the money.
+    /// Epoch of the tenure that holds the tokens.
     pub epoch: Epoch,
-    /// The worst case.
+    /// The maximum usage.
     pub amount: Tokens,
 }
 
-/// Why a hold was not taken.
+/// Why a hold was refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HoldRefusal {
-    /// The grant is short by this much; a sync may help.
+    /// The grant is short by this amount; a sync may provide it.
     Short(Tokens),
-    /// Known from the shard: not even all that is unallocated would cover it.
+    /// The grant is short by this amount, and the cached shard has fewer unallocated tokens; or the
+    /// customer is not known.
     Exhausted(Tokens),
 }
 
-/// All grants of one entry.
+/// All grants of one entry, by customer.
 #[derive(Debug, Serialize)]
 pub struct GrantTable {
     entry: EntryId,
@@ -65,7 +66,7 @@
 }
 
 impl GrantTable {
-    /// Makes an empty table.
+    /// Creates an empty table.
     pub fn new(entry: EntryId, policy: GrantPolicy) -> Self {
         Self {
             entry,
@@ -77,34 +78,35 @@
         }
     }
 
-    /// Names the shard of a customer's account.
+    /// Adds a customer's account, which is stored in `shard`.
     pub fn add_account(&mut self, customer: &CustomerId, shard: &ShardName) {
         self.homes.insert(Arc::clone(customer), Arc::clone(shard));
         self.accounts.entry(Arc::clone(customer)).or_default();
         self.shards.entry(Arc::clone(shard)).or_default();
     }
 
-    /// Notes the total that the configuration states for a customer; it only ever rises.
+    /// Raises a customer's prepaid total to the one in the configuration. It is never lowered.
     pub fn raise_prepaid(&mut self, customer: &CustomerId, total: Tokens) {
         if let Some(account) = self.accounts.get_mut(customer) {
             account.prepaid = account.prepaid.max(total);
         }
     }
 
-    /// Returns a shard as last seen; for logs.
+    /// Returns the cached copy of a shard.
     pub fn cached_shard(&self, shard: &ShardName) -> Option<&BudgetShard> {
         self.shards.get(shard)?.cached.as_ref().map(|(_, shard)| shard)
     }
 
-    /// Returns what an account has prepaid, unspent and unallocated, as last seen; for logs.
+    /// Returns the prepaid, unspent and unallocated tokens of an account in the cached shard; for
+    /// logs.
     pub fn cached_balance(&self, customer: &CustomerId) -> Option<(Tokens, Tokens, Tokens)> {
         let known = self.cached_shard(self.homes.get(customer)?)?.accounts.get(customer)?;
         Some((known.prepaid, known.unspent(), known.unallocated()))
     }
 
-    /// Tells whether a customer's balance, as last seen, provably does not cover an amount: what
-    /// others hold unspent is counted as left, unless they are earlier runs of a VM that has started
-    /// again.
+    /// Returns whether a customer's balance, according to the cached shard, cannot cover an amount.
+    /// Tokens granted to other holders count as unspent, except for holders that a newer process of
+    /// the same VM has replaced.
     pub fn is_uncovered(&self, customer: &CustomerId, amount: Tokens) -> bool {
         let home = self.homes.get(customer);
         let Some(shard) = home.and_then(|home| self.cached_shard(home)) else {
@@ -115,37 +117,37 @@
             return false;
         };
         let stranded = shard.stranded(known);
-        let gone =
+        let unavailable =
             known.billed + known.written_off + known.frozen.values().sum::<Tokens>() + stranded;
         let own = account.held + account.unsettled_total() + account.settling;
-        known.prepaid.max(account.prepaid) < gone + own + amount
+        known.prepaid.max(account.prepaid) < unavailable + own + amount
     }
 
-    /// Names the agents that this entry wants to use.
+    /// Sets the agents that this entry wants to use.
     pub fn set_wanted_agents(&mut self, agents: BTreeSet<AgentId>) {
         self.wanted_agents = agents;
     }
 
-    /// Returns the shards in use.
+    /// Returns the shards of all known accounts.
     pub fn shards(&self) -> Vec<ShardName> {
         self.shards.keys().map(Arc::clone).collect()
     }
 
-    /// Returns one account.
+    /// Returns a customer's account at this entry.
     pub fn account(&self, customer: &CustomerId) -> Option<&GrantAccount> {
         self.accounts.get(customer)
     }
 
     /// Returns the agents that a customer's requests may be sent to.
     ///
-    /// Guards against an agent that no reclaim would ask: only agents named in the shard before
-    /// the first order are used, so the fence of a dead holder reaches all that may have served it.
+    /// Only agents that are recorded in the shard are used, so that the reclaim of a dead entry can
+    /// fence every agent that may have served it.
     pub fn usable_agents(&self, customer: &CustomerId) -> Option<&BTreeSet<AgentId>> {
         let shard = self.homes.get(customer)?;
         self.shards.get(shard).map(|tenure| &tenure.agents)
     }
 
-    /// Reserves the worst case of a request.
+    /// Reserves tokens for the maximum usage of a request.
     ///
     /// # Examples
     /// ```
@@ -164,9 +166,9 @@
             return Err(HoldRefusal::Exhausted(amount));
         };
         let tenure = self.shards.get(&shard);
-        // A sync that ends the tenure takes the holds that were there when it was planned.
-        let leaves = |tenure: &ShardTenure| tenure.plan.as_ref().is_some_and(|plan| plan.leave);
-        let tenure = tenure.filter(|tenure| !leaves(tenure));
+        // A sync that ends the tenure was planned when no hold was open, so none may start now.
+        let is_leaving = |tenure: &ShardTenure| tenure.plan.as_ref().is_some_and(|plan| plan.leave);
+        let tenure = tenure.filter(|tenure| !is_leaving(tenure));
         let epoch = tenure.map_or(0, |tenure| tenure.epoch);
         let unallocated = self.unallocated(customer);
         let Some(account) = self.accounts.get_mut(customer) else {
@@ -187,51 +189,51 @@
     fn unallocated(&self, customer: &CustomerId) -> Option<Tokens> {
         let (_, shard) = self.shards.get(self.homes.get(customer)?)?.cached.as_ref()?;
         let known = shard.accounts.get(customer)?;
-        // A top-up that the shard does not have yet is brought there by the next sync.
+        // The next sync adds a top-up that is configured but not yet in the shard.
         let stated = self.accounts.get(customer).map_or(0, |account| account.prepaid);
         Some(known.unallocated() + stated.saturating_sub(known.prepaid))
     }
 
-    /// Notes that a request waits for so much more.
+    /// Records that a request waits until `amount` more is granted.
     pub fn begin_wait(&mut self, customer: &CustomerId, amount: Tokens) {
         if let Some(account) = self.accounts.get_mut(customer) {
             account.begin_wait(amount);
         }
     }
 
-    /// Asks for another sync for requests that wait already.
+    /// Requests another sync for requests that are already waiting.
     pub fn request_sync(&mut self, customer: &CustomerId) {
         if let Some(account) = self.accounts.get_mut(customer) {
             account.unseen = true;
         }
     }
 
-    /// Notes that a request no longer waits.
+    /// Records that a request no longer waits for `amount`.
     pub fn end_wait(&mut self, customer: &CustomerId, amount: Tokens) {
         if let Some(account) = self.accounts.get_mut(customer) {
             account.end_wait(amount);
         }
     }
 
-    /// Notes that a hold's order goes to an agent, or has ended there.
+    /// Records that an order for a hold is sent to an agent (`busy`), or has ended there.
     pub fn mark_agent(&mut self, shard: &ShardName, agent: &AgentId, busy: bool) {
         if let Some(tenure) = self.shards.get_mut(shard) {
             tenure.mark_agent(agent, busy);
         }
     }
 
-    /// Forgets one waiting request; false if none waits.
+    /// Removes one waiting request. Returns whether there was one.
     pub fn discard_wait(&mut self, customer: &CustomerId) -> bool {
         let account = self.accounts.get_mut(customer);
         account.is_some_and(|account| account.waiting.pop().is_some())
     }
 
-    /// Ends a hold: its bill waits for the next sync, the rest is free at once.
+    /// Ends a hold: its bill is queued for the next sync, the rest is available at once.
     pub fn end_hold(&mut self, hold: &GrantHold, bill: Option<BillRow>) {
         let Some(tenure) = self.shards.get_mut(&hold.shard) else {
             return;
         };
-        // The tenure was revoked meanwhile: its money is no longer in this entry's account.
+        // The tenure was revoked in the meantime, so its tokens are no longer in this account.
         if tenure.epoch != hold.epoch {
             tenure.late.extend(bill);
             return;
@@ -241,37 +243,39 @@
         }
     }
 
-    /// Updates the burn rates; once a tick.
+    /// Updates the burn rates of all accounts; called once per tick.
     pub fn update_burn_rates(&mut self, elapsed: Duration) {
         for account in self.accounts.values_mut() {
             account.update_burn_rate(elapsed);
         }
     }
 
-    /// Reserves unused grant to give back to a peer that would otherwise refuse.
+    /// Sets aside unused tokens, at most `wanted`, to be returned to the shard for a peer that
+    /// would otherwise refuse a request. Returns their number.
     ///
-    /// What requests wait for here is kept, unless the peer's id is the lower one: of two entries
-    /// that could each serve with what the other has, one must give way, and only one.
+    /// Tokens that local requests wait for are kept unless the peer's id is the lower one: of two
+    /// entries that each need the other's tokens, exactly one must yield.
     pub fn recall(&mut self, customer: &CustomerId, wanted: Tokens, asker: &EntryId) -> Tokens {
-        let yields = *asker < self.entry;
+        let must_yield = *asker < self.entry;
         let Some(account) = self.accounts.get_mut(customer) else {
             return 0;
         };
-        let kept = if yields { 0 } else { account.shortage() };
+        let kept = if must_yield { 0 } else { account.shortage() };
         let given = account.available().saturating_sub(kept).min(wanted);
         account.returning += given;
         given
     }
 
-    /// Returns the plan of the next sync of a shard, or none if nothing calls for one.
+    /// Returns the plan of the next sync of a shard, or `None` if no sync is needed.
     ///
-    /// A plan whose outcome is unknown is returned again, unchanged, until it is known.
+    /// A plan whose outcome is unknown is returned again unchanged. With `leave`, unused grants are
+    /// returned, and the tenure ends once no hold is open.
     pub fn plan_sync(&mut self, shard: &ShardName, leave: bool) -> Option<SyncPlan> {
         self.plan(shard, if leave { SyncScope::Leave } else { SyncScope::Settle })
     }
 
-    /// Returns the plan of a sync that only changes grants: one write instead of two, and the bills
-    /// wait for the next settlement.
+    /// Returns the plan of a sync that changes grants only, or `None` if no sync is needed. It
+    /// takes one write instead of two; bills stay queued until the next settlement.
     pub fn plan_top_up(&mut self, shard: &ShardName) -> Option<SyncPlan> {
         self.plan(shard, SyncScope::TopUp)
     }
@@ -282,7 +286,7 @@
             return Some(plan.clone());
         }
         let agents = tenure.agents_in_use(&self.wanted_agents);
-        let named = agents == tenure.agents;
+        let agents_recorded = agents == tenure.agents;
         let customers = self.customers_of(shard);
         let holds = self.has_holds(&customers);
         let leave = scope == SyncScope::Leave;
@@ -291,12 +295,12 @@
         } else {
             self.plan_returns(&customers)
         };
-        // What runs may still use its hold: a tenure with open holds is not ended.
+        // Running requests may still use their holds, so a tenure with open holds is not ended.
         let leave = leave && !holds;
-        let open = self.shards.get(shard)?.epoch != 0;
-        let rows = scope != SyncScope::TopUp && self.has_rows(shard, &customers);
-        let calls = changed || rows || (open && (leave || !named));
-        if !calls {
+        let has_tenure = self.shards.get(shard)?.epoch != 0;
+        let has_bills = scope != SyncScope::TopUp && self.has_bills(shard, &customers);
+        let is_needed = changed || has_bills || (has_tenure && (leave || !agents_recorded));
+        if !is_needed {
             return None;
         }
         let scope = if leave || scope != SyncScope::Leave { scope } else { SyncScope::Settle };
@@ -305,7 +309,8 @@
         Some(plan)
     }
 
-    /// Returns a cached copy of a shard; none after an unknown outcome, so that it is read anew.
+    /// Takes the cached copy of a shard. There is none after a sync with an unknown outcome, so
+    /// that the shard is read again.
     pub fn take_cached(&mut self, shard: &ShardName) -> Option<(Version, BudgetShard)> {
         self.shards.get_mut(shard)?.cached.take()
     }
@@ -315,7 +320,7 @@
         homes.map(|(customer, _)| Arc::clone(customer)).collect()
     }
 
-    fn has_rows(&self, shard: &ShardName, customers: &[CustomerId]) -> bool {
+    fn has_bills(&self, shard: &ShardName, customers: &[CustomerId]) -> bool {
         let late = self.shards.get(shard).is_some_and(|tenure| !tenure.late.is_empty());
         let accounts = customers.iter().filter_map(|customer| self.accounts.get(customer));
         late || accounts.into_iter().any(|account| !account.unsettled.is_empty())
@@ -326,12 +331,12 @@
         accounts.any(|account| account.held > 0)
     }
 
-    /// Tells whether requests hold any of a shard's grants.
+    /// Returns whether any hold is open on a shard's grants.
     pub fn has_open_holds(&self, shard: &ShardName) -> bool {
         self.has_holds(&self.customers_of(shard))
     }
 
-    /// Reserves all that no request holds to be given back; false if there is nothing.
+    /// Sets aside all tokens that no request holds, to be returned. Returns whether there are any.
     fn return_unused(&mut self, customers: &[CustomerId]) -> bool {
         let mut changed = false;
         for customer in customers {
@@ -343,7 +348,7 @@
         changed
     }
 
-    /// Tells whether any account asks or gives back, and reserves what is given back.
+    /// Returns whether any account needs a change of its grant, and sets aside what is returned.
     fn plan_returns(&mut self, customers: &[CustomerId]) -> bool {
         let mut changed = false;
         for customer in customers {
@@ -369,14 +374,14 @@
         let cached = tenure.cached.as_ref().map(|(_, shard)| shard);
         let known = cached.and_then(|shard| shard.accounts.get(customer));
         Some(GrantView {
-            burn: account.burn,
-            busy: account.held + account.unsettled_total(),
+            burn_rate: account.burn,
+            in_use: account.held + account.unsettled_total(),
             granted: account.granted.saturating_sub(account.returning),
             shortage: account.shortage(),
             unallocated: self.unallocated(customer).unwrap_or(0),
             prepaid: known.map_or(0, |account| account.prepaid),
             holders: cached.map_or(1, BudgetShard::count_holder_names),
-            others: known.map_or(0, |account| account.granted_to_others(&self.entry)),
+            granted_to_others: known.map_or(0, |account| account.granted_to_others(&self.entry)),
             unspent: known.map_or(0, BudgetAccount::unspent),
         })
     }
@@ -413,13 +418,13 @@
         })
     }
 
-    /// Takes the outcome of the shard's sync.
+    /// Applies the outcome of a shard's sync.
     pub fn apply_sync(&mut self, shard: &ShardName, outcome: SyncOutcome) {
         let Some(tenure) = self.shards.get_mut(shard) else {
             return;
         };
         match outcome {
-            // The plan stays: whether it took effect is read from the shard next time.
+            // The plan is kept; the next sync reads from the shard whether it took effect.
             SyncOutcome::Unavailable => tenure.cached = None,
             SyncOutcome::Unchanged { shard: content, version } => {
                 tenure.looks += 1;
@@ -434,7 +439,7 @@
                     if plan.leave {
                         return self.drop_tenure(shard, true);
                     }
-                    tenure.note_applied(&plan);
+                    tenure.record_applied(&plan);
                     self.confirm(&plan, &content);
                 }
                 if let Some(tenure) = self.shards.get_mut(shard) {
@@ -456,7 +461,8 @@
         }
     }
 
-    /// The tenure is another's to settle now: nothing of it may be spent or settled here.
+    /// Discards the tenure's state. If it was revoked, another entry settles it: nothing of it may
+    /// be spent here any more, and unsettled bills become late ones.
     fn drop_tenure(&mut self, shard: &ShardName, applied: bool) {
         for customer in self.customers_of(shard) {
             let account = self.accounts.entry(customer).or_default();
@@ -472,35 +478,36 @@
             let rows = plan.map(|plan| plan.rows).unwrap_or_default();
             let mut late = std::mem::take(&mut tenure.late);
             late.extend(rows);
-            *tenure = ShardTenure::with_late(late);
+            *tenure = ShardTenure::with_late_bills(late);
         }
     }
 
-    /// Returns the runs that agents may drop, by agent.
+    /// Returns the settled runs that agents may drop, by agent.
     pub fn pending_acks(&self) -> BTreeMap<AgentId, Vec<RunId>> {
-        let mut due: BTreeMap<AgentId, Vec<RunId>> = BTreeMap::new();
+        let mut pending: BTreeMap<AgentId, Vec<RunId>> = BTreeMap::new();
         for batches in self.shards.values().flat_map(|tenure| tenure.unacked.values()) {
             for (agent, runs) in batches {
-                due.entry(Arc::clone(agent)).or_default().extend(runs.iter().map(Arc::clone));
+                pending.entry(Arc::clone(agent)).or_default().extend(runs.iter().map(Arc::clone));
             }
         }
-        due
+        pending
     }
 
-    /// Notes that an agent dropped runs, or that its incarnation is gone with all it knew.
+    /// Records that an agent dropped runs, or, if `gone`, that its process ended with all its
+    /// state.
     pub fn record_acked(&mut self, agent: &AgentId, dropped: &BTreeSet<RunId>, gone: bool) {
         for tenure in self.shards.values_mut() {
             tenure.record_acked(agent, dropped, gone);
         }
     }
 
-    /// Tells whether nothing waits to be settled.
+    /// Returns whether no bill is queued and no sync is under way.
     pub fn is_settled(&self) -> bool {
         self.accounts.values().all(GrantAccount::is_settled)
             && self.shards.values().all(|tenure| tenure.plan.is_none())
     }
 
-    /// Returns the holders of a shard, as last seen.
+    /// Returns the holders in the cached copy of a shard.
     pub fn holders(&self, shard: &ShardName) -> Vec<EntryId> {
         let tenure = self.shards.get(shard);
         let cached = tenure.and_then(|tenure| tenure.cached.as_ref());
@@ -508,15 +515,15 @@
         holders.map(Iterator::collect).unwrap_or_default()
     }
 
-    /// Tells whether a request began to wait in a shard that no plan has seen.
+    /// Returns whether a request has started to wait in a shard since its last sync was planned.
     pub fn has_unplanned_waits(&self, shard: &ShardName) -> bool {
         let customers = self.customers_of(shard);
         let accounts = customers.iter().filter_map(|customer| self.accounts.get(customer));
         accounts.into_iter().any(|account| account.unseen)
     }
 
-    /// Tells whether a shard's next sync should not wait for the settlement: a request waits, a grant
-    /// runs low, or the outcome of the last one is unknown.
+    /// Returns whether a shard's next sync should start before the next settlement is due: a
+    /// request waits, a grant is low, or the outcome of the last sync is unknown.
     pub fn needs_early_sync(&self, shard: &ShardName) -> bool {
         let unknown = self.shards.get(shard).is_some_and(|tenure| tenure.plan.is_some());
         let low = |customer: &CustomerId| {
@@ -526,12 +533,12 @@
         unknown || self.has_unplanned_waits(shard) || self.customers_of(shard).iter().any(low)
     }
 
-    /// Returns how often a sync has seen the newest version of a shard.
+    /// Returns the number of syncs that have seen the newest version of a shard.
     pub fn confirmed_syncs(&self, shard: &ShardName) -> u64 {
         self.shards.get(shard).map_or(0, |tenure| tenure.looks)
     }
 
-    /// Tells whether an account of a shard remembers too many keyed requests.
+    /// Returns whether an account of a shard has more recent keyed requests than the limit.
     pub fn needs_archiving(&self, shard: &ShardName) -> bool {
         let cached = self.shards.get(shard).and_then(|tenure| tenure.cached.as_ref());
         cached.is_some_and(|(_, content)| {
@@ -540,7 +547,7 @@
         })
     }
 
-    /// Tells whether there is a tenure in a shard.
+    /// Returns whether this entry has a tenure in a shard.
     pub fn has_tenure(&self, shard: &ShardName) -> bool {
         self.shards.get(shard).is_some_and(|tenure| tenure.epoch != 0)
     }
--- a/toucanrail/src/loans.rs
+++ b/toucanrail/src/loans.rs
@@ -1,9 +1,9 @@
-//! Budget that a lender holds for the entries of its region, request by request.
+//! Loans: budget that a lender holds for single requests of the entries in its region.
 //!
-//! The load it answers: many entries that each see little of a customer. Grants for each of them
-//! would be small, asked for often, and stranded in many places; one lender a region and shard asks
-//! the store as often as one entry, and an entry that dies takes only the loans of its requests in
-//! flight with it.
+//! Lenders are for a load of many entries that each see few requests of a customer. If every entry
+//! held its own grants, they would be small, renewed often and stranded in many places. One lender
+//! per region and shard calls the store as often as a single entry would, and an entry that dies
+//! loses only the loans of its requests in flight.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -15,51 +15,51 @@
 use crate::grants::GrantHold;
 use crate::ids::{CustomerId, RequestId, ServiceName, Tokens};
 
-/// Loans ended lately that are remembered, so that a request for one that arrives behind its end is
-/// not granted; a few seconds of a data centre's load.
-const ENDED_LIMIT: usize = 4_096;
+/// Number of recently ended loans that are remembered, so that a loan request that arrives after
+/// the end of its loan is not granted. Covers a few seconds of a data centre's load.
+const ENDED_LOAN_LIMIT: usize = 4_096;
 
-/// One run of an entry and its number for a loan; unique in the fleet.
+/// Id of a loan: the id of the entry's process and the number of the loan; unique in the fleet.
 pub type LoanId = Arc<str>;
 
-/// An entry asks for the budget of one request.
+/// An entry's request to a lender for the budget of one caller's request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoanRequest {
-    /// The loan.
+    /// Id of the loan.
     pub loan: LoanId,
-    /// Who pays.
+    /// The customer who pays.
     pub customer: CustomerId,
-    /// The customer's total as the entry's configuration states it.
+    /// The customer's prepaid total in the entry's configuration.
     pub stated: Tokens,
-    /// The worst case of the request.
+    /// The maximum usage of the caller's request.
     pub amount: Tokens,
-    /// The request's rank; 0 goes first.
+    /// Rank of the caller's request; 0 is served first.
     pub rank: u8,
 }
 
-/// The lender's answer.
+/// The lender's reply to a [`LoanRequest`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LoanReply {
-    /// The amount is held.
+    /// The loan is open: the amount is held.
     Held,
-    /// It could not be had now; it may be there later.
+    /// The amount is not available now, but may be later.
     Short,
-    /// The customer's balance provably does not cover it.
+    /// The customer's balance provably does not cover the amount.
     Uncovered,
-    /// The lender is stopping; another lends.
+    /// The lender is stopping; another one should be asked.
     Leaving,
 }
 
-/// What one loan's request used.
+/// The end of a loan, with the usage to bill.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoanEnd {
-    /// The loan.
+    /// Id of the loan.
     pub loan: LoanId,
-    /// The request.
+    /// The caller's request.
     pub request: RequestId,
-    /// The service.
+    /// The service that was used.
     pub service: ServiceName,
-    /// Used tokens.
+    /// Tokens used.
     pub used: Tokens,
 }
 
@@ -71,20 +71,20 @@
 }
 
 impl LoanTable {
-    /// Makes an empty table.
+    /// Creates an empty table.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Tells whether a loan may still be granted: it is neither open nor ended.
+    /// Returns whether a loan may be opened: it is neither open nor ended.
     ///
-    /// Guards against an order that is delivered after its end: the entry gave it up without an
-    /// answer, and nobody would ever return it.
+    /// An entry that gives up on a request without a reply sends the end of its loan, which may
+    /// arrive before the request. If the loan were opened then, nobody would ever end it.
     pub fn can_open(&self, loan: &LoanId) -> bool {
         !self.holds.contains_key(loan) && !self.ended.contains(loan)
     }
 
-    /// Tells whether a loan is open; a repeated order for it is granted already.
+    /// Returns whether a loan is open; a repeated request for it is already granted.
     pub fn is_open(&self, loan: &LoanId) -> bool {
         self.holds.contains_key(loan)
     }
@@ -94,7 +94,8 @@
         self.holds.insert(Arc::clone(loan), hold);
     }
 
-    /// Ends a loan and returns its hold; none if it is not open, as with a repeated end.
+    /// Ends a loan and returns its hold, or `None` if it is not open, for example on a repeated
+    /// end.
     ///
     /// # Examples
     /// ```
@@ -107,7 +108,7 @@
         if self.can_open(loan) {
             self.ended.push_back(Arc::clone(loan));
         }
-        if self.ended.len() > ENDED_LIMIT {
+        if self.ended.len() > ENDED_LOAN_LIMIT {
             self.ended.pop_front();
         }
         hold
@@ -118,14 +119,15 @@
         self.holds.len()
     }
 
-    /// Tells whether no loan is open.
+    /// Returns whether no loan is open.
     pub fn is_empty(&self) -> bool {
         self.holds.is_empty()
     }
 }
 
-/// Ranks lenders for a shard by rendezvous hashing: all entries of a region prefer the same one, so that
-/// it alone changes the shard, and a lender that is lost moves only its own shards.
+/// Orders lenders by preference for a shard, using rendezvous hashing. All entries of a region
+/// prefer the same lender, so that it alone updates the shard, and the loss of a lender moves only
+/// the shards it served.
 ///
 /// # Examples
 /// ```
--- a/toucanrail/src/policies.rs
+++ b/toucanrail/src/policies.rs
@@ -1,75 +1,83 @@
-//! Policies for the size of a grant: pure functions of what an entry knows of one account.
+//! Policies for the size of grants: pure functions of what an entry knows about one account.
+//!
+//! Headroom is what an entry has granted beyond its current need.
 
 use std::time::Duration;
 
 use crate::ids::Tokens;
 
-/// Usage a second under which an account counts as idle and keeps nothing ahead.
-const IDLE_BURN: f64 = 0.01;
+/// Burn rate, in tokens per second, below which an account counts as idle and keeps no headroom.
+const IDLE_BURN_RATE: f64 = 0.01;
 
-/// Part of the wanted amount ahead under which a grant that rides through outages is topped up. A request
-/// that finds it short waits for one call, and every write fills all grants of its shard.
-const TOP_UP_PART: f64 = 0.1;
-/// Burn that a grant in use covers at least, whatever is left or stands granted to the dead: where it covers
-/// less than a request, each request costs a call.
-const LEAST_HORIZON: Duration = Duration::from_secs(1);
+/// Fraction of the target headroom below which [`GrantPolicy::OutageTolerant`] tops a grant up. It
+/// can be low: a request that finds the grant short waits for one call, and every write fills up
+/// all grants of its shard.
+const TOP_UP_FRACTION: f64 = 0.1;
 
-/// Part of what is unspent that a grant that rides through outages may be ahead. Early in a budget it
-/// bears an outage of some seconds; near its end a dead holder must not take what callers still need.
-const UNSPENT_PART: f64 = 0.1;
+/// Time for which the headroom of an account in use lasts at least, however little is unspent and
+/// however much is granted to dead holders. If the grant covers less than one request, every
+/// request costs a call.
+const MIN_HORIZON: Duration = Duration::from_secs(1);
 
-/// What a policy sees of one account at one entry.
+/// Maximum headroom of [`GrantPolicy::OutageTolerant`] as a fraction of the unspent tokens. Early
+/// in a budget it covers an outage of some seconds; near its end, a holder that dies must not take
+/// the tokens that callers still need.
+const MAX_UNSPENT_FRACTION: f64 = 0.1;
+
+/// The state of one account at one entry that a policy decides on.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct GrantView {
-    /// Usage a second, smoothed.
-    pub burn: f64,
-    /// Held by requests in flight, or waiting to be settled.
-    pub busy: Tokens,
-    /// Granted and not spent.
+    /// Smoothed usage in tokens per second.
+    pub burn_rate: f64,
+    /// Tokens held by requests in flight or waiting to be settled.
+    pub in_use: Tokens,
+    /// Tokens granted to this entry and not settled yet.
     pub granted: Tokens,
-    /// Wanted by a request that waits right now.
+    /// Tokens that waiting requests are missing.
     pub shortage: Tokens,
-    /// Not granted to anyone.
+    /// Tokens not granted to any holder.
     pub unallocated: Tokens,
-    /// All that was prepaid.
+    /// Total prepaid tokens.
     pub prepaid: Tokens,
-    /// Entries that hold a grant of this account, this one included.
+    /// Number of holders in the shard, this entry included.
     pub holders: u64,
-    /// Granted to other holders, dead ones among them.
-    pub others: Tokens,
-    /// Not billed to anyone yet.
+    /// Tokens granted to other holders, including dead ones.
+    pub granted_to_others: Tokens,
+    /// Tokens not billed, written off or frozen.
     pub unspent: Tokens,
 }
 
-/// How much an entry keeps granted ahead of its need.
+/// How much headroom an entry keeps.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum GrantPolicy {
-    /// An equal split of the prepaid total, taken at first use: the naive way.
+    /// An equal share of the prepaid total for each holder, granted at first use; a baseline to
+    /// compare with.
     EqualSplit,
-    /// A fixed amount ahead.
+    /// A fixed headroom.
     FixedAmount {
-        /// The amount.
-        ahead: Tokens,
+        /// The headroom.
+        headroom: Tokens,
     },
-    /// What the entry burns in a horizon, shrinking near exhaustion.
+    /// The expected usage of a time horizon, shrinking as the budget nears exhaustion.
     BurnRate {
         /// How long the grant should last.
         horizon: Duration,
-        /// The least amount ahead.
+        /// Minimum headroom of an account in use.
         floor: Tokens,
-        /// Whether unused grants are recalled from other entries before a refusal.
+        /// Whether unused grants are recalled from other entries before a request is refused.
         recall: bool,
     },
-    /// What the entry burns in a horizon, up to a part of the prepaid total: for a store that goes
-    /// away for seconds, and holders whose grants are lost with their process.
+    /// The expected usage of a time horizon, up to a fraction of the prepaid total. For a store
+    /// that is unavailable for seconds at a time, and holders whose grants are lost with their
+    /// process.
     OutageTolerant {
         /// How long the grant should last.
         horizon: Duration,
-        /// The least amount ahead of an account in use.
+        /// Minimum headroom of an account in use.
         floor: Tokens,
-        /// Part of the prepaid total that may be granted ahead to all holders together, dead ones
-        /// counted: what died with a holder is taken off what the living keep ahead, so that the
-        /// losses of a whole day stay near this part.
+        /// Maximum headroom of all holders together, including dead ones, as a fraction of the
+        /// prepaid total. Tokens lost with dead holders reduce the headroom of the live ones, so
+        /// that the losses of a whole day stay near this fraction.
         max_fraction: f64,
     },
 }
@@ -81,101 +89,110 @@
 }
 
 impl GrantPolicy {
-    /// Reads a policy as settings write it: `split`, `fixed:TOKENS`, `burn:SECONDS` or
+    /// Parses a policy from its form in the settings: `split`, `fixed:TOKENS`, `burn:SECONDS` or
     /// `recall:SECONDS`.
     ///
     /// # Examples
     /// ```
     /// use toucanrail::policies::GrantPolicy;
-    /// assert_eq!(GrantPolicy::parse("fixed:500"), Some(GrantPolicy::FixedAmount { ahead: 500 }));
+    /// assert_eq!(GrantPolicy::parse("fixed:500"), Some(GrantPolicy::FixedAmount { headroom: 500 }));
     /// assert_eq!(GrantPolicy::parse("guess"), None);
     /// ```
     pub fn parse(text: &str) -> Option<Self> {
-        let (name, figure) = text.split_once(':').unwrap_or((text, "0"));
-        let figure = figure.parse().ok()?;
-        let horizon = Duration::from_secs(figure);
+        let (name, number) = text.split_once(':').unwrap_or((text, "0"));
+        let number = number.parse().ok()?;
+        let horizon = Duration::from_secs(number);
         match name {
             "split" => Some(Self::EqualSplit),
-            "fixed" => Some(Self::FixedAmount { ahead: figure }),
+            "fixed" => Some(Self::FixedAmount { headroom: number }),
             "burn" => Some(Self::BurnRate { horizon, floor: 2_000, recall: false }),
             "recall" => Some(Self::BurnRate { horizon, floor: 2_000, recall: true }),
             _ => None,
         }
     }
 
-    /// Tells whether other entries are asked for unused grants before a refusal.
+    /// Returns whether unused grants are recalled from other entries before a request is refused.
     pub fn recalls(&self) -> bool {
         matches!(self, Self::BurnRate { recall: true, .. })
     }
 
-    /// Returns the total that the entry should have granted.
+    /// Returns the grant that the entry should have.
     ///
     /// # Examples
     /// ```
     /// use toucanrail::policies::{GrantPolicy, GrantView};
-    /// let view = GrantView { busy: 10, unallocated: 1_000, ..GrantView::default() };
-    /// assert_eq!(GrantPolicy::FixedAmount { ahead: 100 }.target(&view), 110);
+    /// let view = GrantView { in_use: 10, unallocated: 1_000, ..GrantView::default() };
+    /// assert_eq!(GrantPolicy::FixedAmount { headroom: 100 }.target(&view), 110);
     /// ```
     pub fn target(&self, view: &GrantView) -> Tokens {
-        let needed = view.busy + view.shortage;
-        let reach = view.granted + view.unallocated;
+        let needed = view.in_use + view.shortage;
+        let limit = view.granted + view.unallocated;
         let wanted = match *self {
             Self::EqualSplit => needed.max(view.prepaid / view.holders.max(1)),
-            Self::FixedAmount { ahead } => needed + ahead,
-            Self::BurnRate { horizon, floor, .. } => needed + Self::ahead(view, horizon, floor),
+            Self::FixedAmount { headroom } => needed + headroom,
+            Self::BurnRate { horizon, floor, .. } => {
+                needed + Self::shared_headroom(view, horizon, floor)
+            }
             Self::OutageTolerant { horizon, floor, max_fraction } => {
-                needed + Self::ahead_of_loss(view, horizon, floor, max_fraction)
+                needed + Self::outage_headroom(view, horizon, floor, max_fraction)
             }
         };
-        wanted.min(reach)
+        wanted.min(limit)
     }
 
-    /// A holder that dies takes what is ahead with it, and an account that nobody uses needs none.
-    fn ahead_of_loss(
+    /// Returns the headroom of [`Self::OutageTolerant`]. It is lost if the holder dies, so idle
+    /// accounts keep none.
+    fn outage_headroom(
         view: &GrantView,
         horizon: Duration,
         floor: Tokens,
         max_fraction: f64,
     ) -> Tokens {
-        if view.shortage == 0 && view.burn < IDLE_BURN {
+        if view.shortage == 0 && view.burn_rate < IDLE_BURN_RATE {
             return 0;
         }
-        let burn_for = |time: Duration| (view.burn * time.as_secs_f64()) as Tokens;
-        let bearable = ((view.prepaid as f64 * max_fraction) as Tokens).saturating_sub(view.others);
-        let share = (view.unspent as f64 * UNSPENT_PART) as Tokens;
-        let ahead = burn_for(horizon).min(bearable).min(share);
-        ahead.max(burn_for(LEAST_HORIZON.min(horizon))).max(floor)
+        let burn_for = |time: Duration| (view.burn_rate * time.as_secs_f64()) as Tokens;
+        let max_headroom =
+            ((view.prepaid as f64 * max_fraction) as Tokens).saturating_sub(view.granted_to_others);
+        let share = (view.unspent as f64 * MAX_UNSPENT_FRACTION) as Tokens;
+        let headroom = burn_for(horizon).min(max_headroom).min(share);
+        headroom.max(burn_for(MIN_HORIZON.min(horizon))).max(floor)
     }
 
-    /// Near exhaustion a long horizon would strand the last tokens at one entry while another
-    /// refuses, so that no entry keeps ahead more than its share of what is left.
-    fn ahead(view: &GrantView, horizon: Duration, floor: Tokens) -> Tokens {
-        if view.shortage == 0 && view.burn < IDLE_BURN {
+    /// Returns the headroom of [`Self::BurnRate`]. It is limited to half of the entry's share of
+    /// what is left, because near exhaustion a long horizon would strand the last tokens at one
+    /// entry while another refuses requests.
+    fn shared_headroom(view: &GrantView, horizon: Duration, floor: Tokens) -> Tokens {
+        if view.shortage == 0 && view.burn_rate < IDLE_BURN_RATE {
             return 0;
         }
-        let steady = (view.burn * horizon.as_secs_f64()) as Tokens;
-        let idle = view.granted.saturating_sub(view.busy);
-        let share = (view.unallocated + idle) / (2 * view.holders.max(1));
-        steady.max(floor).min(share)
+        let expected = (view.burn_rate * horizon.as_secs_f64()) as Tokens;
+        let unused = view.granted.saturating_sub(view.in_use);
+        let share = (view.unallocated + unused) / (2 * view.holders.max(1));
+        expected.max(floor).min(share)
     }
 
-    /// Returns what to ask for or give back, or none if the grant is near enough to its target.
+    /// Returns how the grant should change; [`GrantChange::Keep`] if it is close enough to its
+    /// target.
     ///
-    /// The band between half and twice the target keeps a steady load from writing every tick.
+    /// The grant is left alone while its headroom is between half (for [`Self::OutageTolerant`], a
+    /// tenth) of the target and twice the target, so that a steady load does not cause a write
+    /// every tick. [`Self::EqualSplit`] and [`Self::FixedAmount`] never return tokens.
     pub fn adjust(&self, view: &GrantView) -> GrantChange {
-        let rides = matches!(self, Self::OutageTolerant { .. });
+        let tolerant = matches!(self, Self::OutageTolerant { .. });
         if view.granted == 0 && view.shortage == 0 {
             return GrantChange::Keep;
         }
         let target = self.target(view);
-        let needed = view.busy + view.shortage;
-        let ahead = target.saturating_sub(needed);
-        let low = if rides { (ahead as f64 * TOP_UP_PART) as Tokens } else { ahead / 2 };
+        let needed = view.in_use + view.shortage;
+        let headroom = target.saturating_sub(needed);
+        let low =
+            if tolerant { (headroom as f64 * TOP_UP_FRACTION) as Tokens } else { headroom / 2 };
         if view.granted < needed + low {
             return GrantChange::Ask(target.saturating_sub(view.granted));
         }
-        let returns = rides || matches!(self, Self::BurnRate { .. });
-        if returns && view.granted > needed + ahead.saturating_mul(2) {
+        let returns = tolerant || matches!(self, Self::BurnRate { .. });
+        if returns && view.granted > needed + headroom.saturating_mul(2) {
             return GrantChange::Return(view.granted - target);
         }
         GrantChange::Keep
@@ -183,27 +200,28 @@
 }
 
 impl GrantPolicy {
-    /// Returns the change that goes along with a write that is made anyway: a grant that rides
-    /// through outages is then always filled up, at no further call.
+    /// Returns how the grant should change if the shard is written anyway: with
+    /// [`Self::OutageTolerant`] it is then filled up to its target, which costs no extra call.
     pub fn adjust_on_write(&self, view: &GrantView) -> GrantChange {
         let change = self.adjust(view);
-        let rides = matches!(self, Self::OutageTolerant { .. });
+        let tolerant = matches!(self, Self::OutageTolerant { .. });
         let missing = self.target(view).saturating_sub(view.granted);
-        if rides && change == GrantChange::Keep && view.granted > 0 && missing > 0 {
+        if tolerant && change == GrantChange::Keep && view.granted > 0 && missing > 0 {
             return GrantChange::Ask(missing);
         }
         change
     }
 }
 
-/// Multiple of its amount that a request must leave available for each rank behind the first, while
-/// the store is silent.
+/// While the store does not answer, a request must leave this multiple of its amount available for
+/// each rank below the first.
 const RANK_WEIGHT: Tokens = 4;
 
-/// Tells whether a request may take its amount out of a grant that the store cannot fill up now.
+/// Returns whether a request may use a grant that the store currently cannot top up.
 ///
-/// The load it answers: an outage of some seconds and grants for one. What is left goes to requests of
-/// the first rank and to small ones, which are many; one long prompt takes as much as ten of them.
+/// In an outage of some seconds, a grant may cover only one of them. The rest of it then goes to
+/// requests of the first rank and to small ones, which are the majority: one long prompt takes as
+/// much as ten of them.
 ///
 /// # Examples
 /// ```
@@ -215,13 +233,13 @@
     amount.saturating_mul(1 + RANK_WEIGHT * Tokens::from(rank)) <= available
 }
 
-/// A change of a grant.
+/// A change of a grant's size.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum GrantChange {
-    /// More of it.
+    /// Request this many more tokens.
     Ask(Tokens),
-    /// Less of it.
+    /// Return this many tokens.
     Return(Tokens),
-    /// None.
+    /// No change.
     Keep,
 }
--- a/toucanrail/src/storecalls.rs
+++ b/toucanrail/src/storecalls.rs
@@ -1,8 +1,8 @@
-//! Calls to the platform's object API, as values.
+//! Calls to the platform's object API, represented as values.
 //!
-//! Systems that need the object API are step machines: they hand out one call, take its reply,
-//! and hand out the next. The consumer drives them, so the same code runs in a daemon over HTTP
-//! and in a test over a map that loses answers.
+//! Code that needs the object API is written as state machines without I/O, which yield one call at
+//! a time and consume its reply. Their caller performs the I/O, so that the same code runs over
+//! HTTP in a daemon and over a map that loses replies in a test.
 
 use std::sync::Arc;
 
@@ -14,35 +14,35 @@
 /// Kind and name of an object, for example `budgets/shard-0`.
 pub type ObjectPath = Arc<str>;
 
-/// What a conditional write expects to find.
+/// The condition of a write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WriteExpectation {
-    /// No object of this path.
+    /// There is no object at the path.
     Absent,
-    /// The object at exactly this version.
+    /// The object exists and has exactly this version.
     At(Version),
 }
 
-/// One call.
+/// A call to the object API.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum StoreCall {
     /// Reads an object.
     Get {
-        /// The object.
+        /// Path of the object.
         path: ObjectPath,
     },
-    /// Writes an object if the expectation holds.
+    /// Writes an object if a condition holds.
     Put {
-        /// The object.
+        /// Path of the object.
         path: ObjectPath,
-        /// The condition.
+        /// The condition of the write.
         expect: WriteExpectation,
-        /// The new value; at most a megabyte.
+        /// The new value; at most one megabyte.
         value: Vec<u8>,
     },
 }
 
-/// The reply to one call.
+/// The reply to a [`StoreCall`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum StoreReply {
     /// The object that a `Get` found.
@@ -56,25 +56,25 @@
     Missing,
     /// A `Put` took effect.
     Written {
-        /// The version it made.
+        /// The object's new version.
         version: Version,
     },
-    /// A `Put` found something other than expected and changed nothing.
+    /// The condition of a `Put` did not hold; nothing was changed.
     Conflict,
-    /// No answer: a `Put` may or may not have taken effect.
+    /// There was no reply; a `Put` may or may not have taken effect.
     Unavailable,
 }
 
-/// Encodes an object's value: JSON, so that operators and auditors can read it.
+/// Encodes an object's value as JSON, so that operators and auditors can read it.
 pub fn encode_value<Value>(value: &Value) -> Vec<u8>
 where
     Value: Serialize,
 {
-    // Only maps with keys other than text can fail here, and no object type has one.
+    // Only maps whose keys are not strings can fail to serialize, and no object type has one.
     serde_json::to_vec(value).unwrap_or_default()
 }
 
-/// Decodes an object's value; `None` if it is not of the type.
+/// Decodes an object's value, or returns `None` if it is not a valid `Value`.
 pub fn decode_value<Value>(value: &[u8]) -> Option<Value>
 where
     Value: DeserializeOwned,
--- a/toucanrail/src/syncs.rs
+++ b/toucanrail/src/syncs.rs
@@ -1,8 +1,8 @@
-//! The step machine that brings one entry's tenure in one shard up to date.
+//! The state machine of a sync, which brings one entry's tenure in one shard up to date.
 //!
-//! A sync settles a batch of bills, asks for or returns grants and names the agents in use, all in
-//! one conditional update. The batch is written as a bill object first, so that the bills of a
-//! holder that dies in between are found under the next sequence number.
+//! A sync settles a batch of bills, requests or returns grants and records the agents in use, all
+//! in one conditional update of the shard. The batch is written as a bill object first: if the
+//! holder dies before the update, its bills are found under the next sequence number.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -14,75 +14,76 @@
 use crate::policies::{GrantChange, GrantPolicy, GrantView};
 use crate::storecalls::{self, ObjectPath, StoreCall, StoreReply, WriteExpectation};
 
-/// Conflicts in one sync before it gives up until the next tick.
+/// Number of write conflicts after which a sync gives up; a later one tries the same plan again.
 const CONFLICT_LIMIT: u32 = 24;
 
-/// What one account needs from a sync.
+/// What an account needs from a sync.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct GrantDemand {
-    /// Usage a second, smoothed.
-    pub burn: f64,
-    /// Held, or used and not in this batch.
-    pub busy: Tokens,
-    /// Wanted by a waiting request.
+    /// Smoothed usage in tokens per second.
+    pub burn_rate: f64,
+    /// Tokens held, or used and not settled by this sync.
+    pub in_use: Tokens,
+    /// Total that waiting requests are missing.
     pub shortage: Tokens,
-    /// Wanted by the most modest of the waiting requests.
-    pub least: Tokens,
-    /// Reserved to be given back.
+    /// Smallest amount that a waiting request is missing; 0 if none waits.
+    pub smallest_wait: Tokens,
+    /// Tokens set aside to be returned.
     pub returning: Tokens,
-    /// Total that the configuration states; the account is raised to it, never lowered. 0 where
-    /// only operators state it, in the shard.
+    /// Prepaid total from the configuration; the account is raised to it, never lowered. 0 if only
+    /// operators set the total, in the shard.
     pub prepaid: Tokens,
 }
 
-/// One sync, fixed until its outcome is known.
+/// The contents of one sync; unchanged until its outcome is known.
 #[derive(Debug, Clone, PartialEq)]
 pub struct SyncPlan {
     /// The shard.
     pub shard: ShardName,
     /// The entry.
     pub entry: EntryId,
-    /// The tenure; 0 to open one.
+    /// Epoch of the tenure; 0 to open one.
     pub epoch: Epoch,
-    /// The number of this sync in the tenure; tells after a lost answer whether it took effect.
+    /// Sequence number of this sync in the tenure. After a lost reply, it tells whether the sync
+    /// took effect.
     pub sequence: Sequence,
     /// The bills to settle.
     pub rows: Vec<BillRow>,
-    /// The accounts that take part.
+    /// What each account of the shard needs.
     pub demands: BTreeMap<CustomerId, GrantDemand>,
-    /// The last sequence whose rows every agent has dropped.
+    /// The last sequence number whose runs all agents have dropped.
     pub acked: Sequence,
-    /// Agents that the entry uses or still has rows with.
+    /// Agents that the entry wants to use or that may still store runs of this tenure.
     pub agents: BTreeSet<AgentId>,
     /// Whether to end the tenure.
     pub leave: bool,
 }
 
-/// How a sync ended.
+/// The outcome of a sync.
 #[derive(Debug, Clone, PartialEq)]
 pub enum SyncOutcome {
-    /// It took effect, once.
+    /// The sync took effect, exactly once.
     Applied {
-        /// The shard as it now is.
+        /// The shard after the sync.
         shard: BudgetShard,
         /// Its version.
         version: Version,
         /// The tenure's epoch.
         epoch: Epoch,
     },
-    /// There was nothing to do; the sequence number is free for the next sync.
+    /// Nothing had to change; the next sync reuses the sequence number.
     Unchanged {
-        /// The shard as it is.
+        /// The current shard.
         shard: BudgetShard,
         /// Its version.
         version: Version,
     },
     /// The tenure was revoked.
     Revoked {
-        /// Whether this sync had taken effect before, its answer lost.
+        /// Whether the sync took effect before the revocation, and its reply was lost.
         applied: bool,
     },
-    /// No answer: the same plan must be tried again.
+    /// The outcome is unknown: the same plan must be tried again.
     Unavailable,
 }
 
@@ -97,30 +98,37 @@
     Done,
 }
 
-/// The step machine of one sync.
+/// The state machine of one sync: it yields calls to the object API and consumes the replies.
 #[derive(Debug)]
 pub struct SyncMachine {
     plan: SyncPlan,
     policy: GrantPolicy,
     stage: SyncStage,
     version: Option<Version>,
-    /// Whether the shard was read by this sync, not only taken from a cache.
-    read: bool,
+    /// Whether this sync has read the shard, rather than only taken it from the cache.
+    shard_was_read: bool,
     shard: BudgetShard,
     epoch: Epoch,
+    /// Paths that the current stage has yet to read.
     reads: Vec<ObjectPath>,
-    billed_late: BTreeSet<RequestId>,
+    /// Requests billed by the reclaims of earlier tenures.
+    reclaimed_requests: BTreeSet<RequestId>,
+    /// Keyed requests found in the archive.
     archived: BTreeSet<RequestId>,
+    /// The rows to settle: those of the plan that still count, with duplicates written off.
     rows: Vec<BillRow>,
-    bill: Option<Vec<u8>>,
+    /// Value of the bill object as last written or read.
+    written_bill: Option<Vec<u8>>,
+    /// Condition of the next write of the bill object.
     bill_expect: WriteExpectation,
-    written: BudgetShard,
+    /// The shard to write.
+    new_shard: BudgetShard,
     conflicts: u32,
     outcome: Option<SyncOutcome>,
 }
 
 impl SyncMachine {
-    /// Starts a sync from a cached copy of the shard, or from a read.
+    /// Starts a sync with a cached copy of the shard, or by reading it if there is none.
     pub fn new(
         plan: SyncPlan,
         policy: GrantPolicy,
@@ -132,38 +140,38 @@
             policy,
             stage: SyncStage::ReadShard,
             version: None,
-            read: false,
+            shard_was_read: false,
             shard: BudgetShard::default(),
             reads: Vec::new(),
-            billed_late: BTreeSet::new(),
+            reclaimed_requests: BTreeSet::new(),
             archived: BTreeSet::new(),
             rows: Vec::new(),
-            bill: None,
+            written_bill: None,
             bill_expect: WriteExpectation::Absent,
-            written: BudgetShard::default(),
+            new_shard: BudgetShard::default(),
             conflicts: 0,
             outcome: None,
         };
         if let Some((version, shard)) = cached {
-            machine.take_shard(Some(version), shard);
+            machine.use_shard(Some(version), shard);
         }
         machine
     }
 
-    /// Returns the outcome once there is one.
+    /// Returns the outcome; [`SyncOutcome::Unavailable`] if the sync has not ended.
     pub fn into_outcome(self) -> SyncOutcome {
         self.outcome.unwrap_or(SyncOutcome::Unavailable)
     }
 
-    /// Returns the next call, or none when the sync has ended.
+    /// Returns the next call, or `None` if the sync has ended.
     pub fn next_call(&self) -> Option<StoreCall> {
         match self.stage {
             SyncStage::Done => None,
-            SyncStage::ReadShard => Some(get(paths::budget_path(&self.plan.shard))),
+            SyncStage::ReadShard => Some(get_object(paths::budget_path(&self.plan.shard))),
             SyncStage::ReadReclaim | SyncStage::ReadArchive => {
-                self.reads.last().map(|path| get(Arc::clone(path)))
+                self.reads.last().map(|path| get_object(Arc::clone(path)))
             }
-            SyncStage::ReadBill => Some(get(self.bill_path())),
+            SyncStage::ReadBill => Some(get_object(self.bill_path())),
             SyncStage::WriteBill => Some(StoreCall::Put {
                 path: self.bill_path(),
                 expect: self.bill_expect,
@@ -172,24 +180,24 @@
             SyncStage::WriteShard => Some(StoreCall::Put {
                 path: paths::budget_path(&self.plan.shard),
                 expect: self.version.map_or(WriteExpectation::Absent, WriteExpectation::At),
-                value: storecalls::encode_value(&self.written),
+                value: storecalls::encode_value(&self.new_shard),
             }),
         }
     }
 
-    /// Takes the reply to the last call.
+    /// Processes the reply to the last call.
     pub fn handle_reply(&mut self, reply: StoreReply) {
         if reply == StoreReply::Unavailable {
             return self.end(SyncOutcome::Unavailable);
         }
         match self.stage {
             SyncStage::Done => {}
-            SyncStage::ReadShard => self.take_shard_reply(reply),
-            SyncStage::ReadReclaim => self.take_reclaim(reply),
-            SyncStage::ReadArchive => self.take_archive(reply),
-            SyncStage::WriteBill => self.take_bill_write(&reply),
-            SyncStage::ReadBill => self.take_bill(reply),
-            SyncStage::WriteShard => self.take_shard_write(&reply),
+            SyncStage::ReadShard => self.handle_shard_read(reply),
+            SyncStage::ReadReclaim => self.handle_reclaim_read(reply),
+            SyncStage::ReadArchive => self.handle_archive_read(reply),
+            SyncStage::WriteBill => self.handle_bill_write(&reply),
+            SyncStage::ReadBill => self.handle_bill_read(reply),
+            SyncStage::WriteShard => self.handle_shard_write(&reply),
         }
     }
 
@@ -211,34 +219,34 @@
         })
     }
 
-    fn take_shard_reply(&mut self, reply: StoreReply) {
-        self.read = true;
+    fn handle_shard_read(&mut self, reply: StoreReply) {
+        self.shard_was_read = true;
         match reply {
             StoreReply::Found { version, value } => match storecalls::decode_value(&value) {
-                Some(shard) => self.take_shard(Some(version), shard),
+                Some(shard) => self.use_shard(Some(version), shard),
                 None => self.end(SyncOutcome::Unavailable),
             },
-            // Where the configuration states the totals, whoever comes first makes the shard.
-            StoreReply::Missing if self.states_totals() => {
-                self.take_shard(None, BudgetShard::default());
+            // If the configuration sets the totals, the first entry creates the shard.
+            StoreReply::Missing if self.has_configured_totals() => {
+                self.use_shard(None, BudgetShard::default());
             }
             _ => self.end(SyncOutcome::Unavailable),
         }
     }
 
-    fn states_totals(&self) -> bool {
+    fn has_configured_totals(&self) -> bool {
         self.plan.demands.values().any(|demand| demand.prepaid > 0)
     }
 
-    fn take_shard(&mut self, version: Option<Version>, shard: BudgetShard) {
+    fn use_shard(&mut self, version: Option<Version>, shard: BudgetShard) {
         self.version = version;
         self.shard = shard;
         let tenure = self.shard.holders.get(&self.plan.entry).map(|row| (row.epoch, row.settled));
         match tenure {
-            // A lost answer: this sync is in the shard already.
+            // The reply to an earlier run of this sync was lost: it has already taken effect.
             Some((epoch, settled)) if settled >= self.plan.sequence => {
-                let owned = self.plan.epoch == 0 || self.plan.epoch == epoch;
-                return if owned && self.shard.live_tenure(&self.plan.entry, epoch).is_some() {
+                let is_own = self.plan.epoch == 0 || self.plan.epoch == epoch;
+                return if is_own && self.shard.live_tenure(&self.plan.entry, epoch).is_some() {
                     self.end_applied(epoch, version.unwrap_or_default());
                 } else {
                     self.end_revoked();
@@ -248,8 +256,8 @@
             None if self.plan.epoch == 0 => self.epoch = self.shard.epochs + 1,
             _ => {}
         }
-        let opening = tenure.is_none() && self.plan.epoch == 0;
-        if !opening && self.shard.live_tenure(&self.plan.entry, self.epoch).is_none() {
+        let is_opening = tenure.is_none() && self.plan.epoch == 0;
+        if !is_opening && self.shard.live_tenure(&self.plan.entry, self.epoch).is_none() {
             return self.end_revoked();
         }
         self.start_reclaim_reads();
@@ -260,8 +268,9 @@
         self.end(SyncOutcome::Applied { shard, version, epoch });
     }
 
-    /// Tells a sync that never took effect from one whose answer was lost before the revocation:
-    /// the bills of the latter are settled, and must not be settled again as late ones.
+    /// Ends a sync whose tenure was revoked, and determines whether it took effect before that. If
+    /// it did and only its reply was lost, its bills are settled and must not be settled again as
+    /// late ones.
     fn end_revoked(&mut self) {
         let epoch = self.plan.epoch;
         let holder = self.shard.holders.get(&self.plan.entry);
@@ -272,7 +281,8 @@
         self.end(SyncOutcome::Revoked { applied });
     }
 
-    /// Late rows are billed only where their tenure's reclaim did not bill them.
+    /// Starts to read the reclaim batches of the tenures of late rows: late rows are billed only if
+    /// the reclaim of their tenure did not bill them.
     fn start_reclaim_reads(&mut self) {
         let epochs: BTreeSet<Epoch> = self.late_rows().map(|row| row.epoch).collect();
         self.reads = epochs
@@ -292,20 +302,21 @@
         self.plan.rows.iter().filter(|row| row.epoch != self.epoch)
     }
 
-    fn take_reclaim(&mut self, reply: StoreReply) {
+    fn handle_reclaim_read(&mut self, reply: StoreReply) {
         self.reads.pop();
         if let StoreReply::Found { value, .. } = reply {
             let batch: Option<BillBatch> = storecalls::decode_value(&value);
             let rows = batch.map(|batch| batch.rows).unwrap_or_default();
-            self.billed_late.extend(rows.into_iter().map(|row| row.request));
+            self.reclaimed_requests.extend(rows.into_iter().map(|row| row.request));
         }
         if self.reads.is_empty() {
             self.start_archive_reads();
         }
     }
 
-    /// The shard is read before its archive and written at the version read: a key on its way
-    /// from one to the other is seen in at least one of them.
+    /// Starts to read the archive buckets of the keyed rows. The shard is read before the archive
+    /// and written at the version read, so that a key that is being moved from one to the other is
+    /// seen in at least one of them.
     fn start_archive_reads(&mut self) {
         let buckets: BTreeSet<ObjectPath> = self
             .plan
@@ -326,7 +337,7 @@
         self.shard.accounts.get(customer).is_some_and(|account| account.archived)
     }
 
-    fn take_archive(&mut self, reply: StoreReply) {
+    fn handle_archive_read(&mut self, reply: StoreReply) {
         self.reads.pop();
         if let StoreReply::Found { value, .. } = reply {
             let keys: Option<BTreeSet<RequestId>> = storecalls::decode_value(&value);
@@ -340,35 +351,35 @@
     fn start_write(&mut self) {
         self.select_rows();
         self.build_shard();
-        if self.is_idle() {
+        if self.is_no_op() {
             return self.end_unchanged();
         }
         let encoded = self.encode_bill();
-        let written = self.bill.as_ref() == Some(&encoded);
-        self.stage = if self.rows.is_empty() || written {
+        let is_written = self.written_bill.as_ref() == Some(&encoded);
+        self.stage = if self.rows.is_empty() || is_written {
             SyncStage::WriteShard
         } else {
             SyncStage::WriteBill
         };
     }
 
-    /// Tells whether a write would change nothing but the sequence.
-    fn is_idle(&self) -> bool {
+    /// Returns whether a write would change only the sequence number.
+    fn is_no_op(&self) -> bool {
         let Some(row) = self.shard.holders.get(&self.plan.entry) else {
             return false;
         };
-        let mut written = self.written.clone();
-        if let Some(tenure) = written.live_tenure(&self.plan.entry, self.epoch) {
+        let mut new_shard = self.new_shard.clone();
+        if let Some(tenure) = new_shard.live_tenure(&self.plan.entry, self.epoch) {
             tenure.settled = row.settled;
         }
         let returning = self.plan.demands.values().any(|demand| demand.returning > 0);
-        self.plan.rows.is_empty() && !self.plan.leave && !returning && written == self.shard
+        self.plan.rows.is_empty() && !self.plan.leave && !returning && new_shard == self.shard
     }
 
-    /// Ends a sync that found nothing to do, once the shard was read for it: a cached copy may be
-    /// older than a top-up.
+    /// Ends a sync that has nothing to change. Reads the shard first if it came from the cache,
+    /// which may be older than a top-up.
     fn end_unchanged(&mut self) {
-        if !self.read {
+        if !self.shard_was_read {
             self.stage = SyncStage::ReadShard;
             return;
         }
@@ -383,7 +394,7 @@
             .plan
             .rows
             .iter()
-            .filter(|row| row.epoch == epoch || !self.billed_late.contains(&row.request))
+            .filter(|row| row.epoch == epoch || !self.reclaimed_requests.contains(&row.request))
             .filter(|row| row.epoch == epoch || has_frozen(shard, row))
             .cloned()
             .collect();
@@ -401,9 +412,9 @@
                 account.prepaid = account.prepaid.max(demand.prepaid);
             }
         }
-        let changes = self.decide_changes(&shard);
+        let changes = self.grant_changes(&shard);
         for ((customer, demand), change) in self.plan.demands.iter().zip(changes) {
-            change_grant(&mut shard, &entry, customer, demand, change);
+            apply_change(&mut shard, &entry, customer, demand, change);
         }
         if let Some(row) = shard.live_tenure(&entry, self.epoch) {
             row.settled = self.plan.sequence;
@@ -413,12 +424,12 @@
         if self.plan.leave {
             shard.close_tenure(&entry, true);
         }
-        self.written = shard;
+        self.new_shard = shard;
     }
 
-    /// Decides the changes of all grants: where any of them calls for a write, or a bill does, all are
-    /// filled up by it.
-    fn decide_changes(&self, shard: &BudgetShard) -> Vec<GrantChange> {
+    /// Returns the changes of all grants. If any grant or bill requires a write, it also fills up
+    /// the other grants.
+    fn grant_changes(&self, shard: &BudgetShard) -> Vec<GrantChange> {
         let entry = &self.plan.entry;
         let holders = shard.count_holder_names();
         let views = self.plan.demands.iter().map(|(customer, demand)| {
@@ -426,30 +437,31 @@
             GrantView { holders, ..view.unwrap_or_default() }
         });
         let views: Vec<GrantView> = views.collect();
-        let asks = |view: &GrantView| matches!(self.policy.adjust(view), GrantChange::Ask(1..));
+        let needs_more =
+            |view: &GrantView| matches!(self.policy.adjust(view), GrantChange::Ask(1..));
         let returning = self.plan.demands.values().any(|demand| demand.returning > 0);
-        let writes = returning || !self.rows.is_empty() || views.iter().any(asks);
-        let decide = |view: &GrantView| {
-            if writes { self.policy.adjust_on_write(view) } else { self.policy.adjust(view) }
+        let must_write = returning || !self.rows.is_empty() || views.iter().any(needs_more);
+        let change = |view: &GrantView| {
+            if must_write { self.policy.adjust_on_write(view) } else { self.policy.adjust(view) }
         };
-        views.iter().map(decide).collect()
+        views.iter().map(change).collect()
     }
 
-    fn take_bill_write(&mut self, reply: &StoreReply) {
+    fn handle_bill_write(&mut self, reply: &StoreReply) {
         match reply {
             StoreReply::Written { version } => {
-                self.bill = Some(self.encode_bill());
+                self.written_bill = Some(self.encode_bill());
                 self.bill_expect = WriteExpectation::At(*version);
                 self.stage = SyncStage::WriteShard;
             }
-            _ => self.note_conflict(SyncStage::ReadBill),
+            _ => self.handle_conflict(SyncStage::ReadBill),
         }
     }
 
-    fn take_bill(&mut self, reply: StoreReply) {
+    fn handle_bill_read(&mut self, reply: StoreReply) {
         match reply {
             StoreReply::Found { version, value } => {
-                self.bill = Some(value);
+                self.written_bill = Some(value);
                 self.bill_expect = WriteExpectation::At(version);
             }
             _ => self.bill_expect = WriteExpectation::Absent,
@@ -457,17 +469,17 @@
         self.start_write();
     }
 
-    fn take_shard_write(&mut self, reply: &StoreReply) {
+    fn handle_shard_write(&mut self, reply: &StoreReply) {
         match reply {
             StoreReply::Written { version } => {
-                self.shard = std::mem::take(&mut self.written);
+                self.shard = std::mem::take(&mut self.new_shard);
                 self.end_applied(self.epoch, *version);
             }
-            _ => self.note_conflict(SyncStage::ReadShard),
+            _ => self.handle_conflict(SyncStage::ReadShard),
         }
     }
 
-    fn note_conflict(&mut self, next: SyncStage) {
+    fn handle_conflict(&mut self, next: SyncStage) {
         self.conflicts += 1;
         self.stage = next;
         if self.conflicts > CONFLICT_LIMIT {
@@ -476,7 +488,7 @@
     }
 }
 
-fn get(path: ObjectPath) -> StoreCall {
+fn get_object(path: ObjectPath) -> StoreCall {
     StoreCall::Get { path }
 }
 
@@ -486,8 +498,8 @@
     frozen.is_some_and(|frozen| *frozen >= row.total())
 }
 
-/// Returns an account as a policy sees it, with what is given back already taken off; the count of
-/// holders is the shard's and left out.
+/// Returns the policy's view of an account after the return of tokens. `holders` is left at 0,
+/// since it is a property of the shard.
 fn view_account(
     shard: &BudgetShard,
     entry: &EntryId,
@@ -497,19 +509,19 @@
     let account = shard.accounts.get(customer)?;
     let granted = account.grants.get(entry).copied().unwrap_or_default();
     Some(GrantView {
-        burn: demand.burn,
-        busy: demand.busy,
+        burn_rate: demand.burn_rate,
+        in_use: demand.in_use,
         granted: granted.saturating_sub(demand.returning),
         shortage: demand.shortage,
         unallocated: account.unallocated() + demand.returning.min(granted),
         prepaid: account.prepaid,
-        others: account.granted_to_others(entry),
+        granted_to_others: account.granted_to_others(entry),
         unspent: account.unspent(),
         ..GrantView::default()
     })
 }
 
-fn change_grant(
+fn apply_change(
     shard: &mut BudgetShard,
     entry: &EntryId,
     customer: &CustomerId,
@@ -523,10 +535,11 @@
     *grant = grant.saturating_sub(demand.returning);
     let granted = *grant;
     let unallocated = account.unallocated();
-    // A part that lets no waiting request go would only be stranded here.
-    let useful = demand.shortage == 0 || granted + unallocated >= demand.busy + demand.least;
-    // What was just given back must not be asked for again in the same step.
-    if useful
+    // An increase that satisfies none of the waiting requests would only be stranded here.
+    let is_useful =
+        demand.shortage == 0 || granted + unallocated >= demand.in_use + demand.smallest_wait;
+    // Tokens returned by this sync must not be requested again by it.
+    if is_useful
         && demand.returning == 0
         && let GrantChange::Ask(amount) = change
         && let Some(grant) = account.grants.get_mut(entry)
--- a/toucanrail/src/tenures.rs
+++ b/toucanrail/src/tenures.rs
@@ -1,4 +1,4 @@
-//! One shard of budgets at one entry: the tenure under which it holds grants there.
+//! One entry's tenure in one budget shard, as the entry tracks it.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -9,60 +9,62 @@
 use crate::ids::{AgentId, Epoch, RunId, Sequence, Version};
 use crate::syncs::SyncPlan;
 
-/// One shard at this entry.
+/// State of this entry's tenure in a shard.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct ShardTenure {
-    /// The tenure; 0 while there is none.
+    /// Epoch of the tenure; 0 if there is none.
     pub epoch: Epoch,
-    /// The last sequence known as applied.
+    /// The last sequence number known to be applied.
     pub applied: Sequence,
-    /// The last sequence whose rows all agents dropped.
+    /// The last sequence number whose runs all agents have dropped.
     pub acked: Sequence,
-    /// Agents written in the shard as in use.
+    /// Agents recorded in the shard as in use.
     pub agents: BTreeSet<AgentId>,
-    /// Runs settled and not yet dropped, by sequence and agent.
+    /// Settled runs that agents have not dropped yet, by sequence number and agent.
     pub unacked: BTreeMap<Sequence, BTreeMap<AgentId, Vec<RunId>>>,
-    /// How often a sync has seen the newest version of the shard.
+    /// Number of syncs that have seen the newest version of the shard.
     pub looks: u64,
-    /// The sync whose outcome is not known yet.
+    /// The sync whose outcome is not yet known.
     #[serde(skip)]
     pub plan: Option<SyncPlan>,
-    /// The shard as last seen.
+    /// Cached copy of the shard, as last read or written.
     #[serde(skip)]
     pub cached: Option<(Version, BudgetShard)>,
-    /// Bills of earlier tenures.
+    /// Unsettled bills of this entry's earlier tenures.
     pub late: Vec<BillRow>,
-    /// Holds in flight by agent, so that an agent in use stays named in the shard.
+    /// Number of orders in flight by agent; an agent in use stays recorded in the shard.
     busy_agents: BTreeMap<AgentId, u64>,
 }
 
 impl ShardTenure {
-    /// Makes what is left where there is no tenure any more: bills of earlier ones.
-    pub fn with_late(late: Vec<BillRow>) -> Self {
+    /// Creates the state without a tenure, with bills of earlier ones.
+    pub fn with_late_bills(late: Vec<BillRow>) -> Self {
         Self { late, ..Self::default() }
     }
 
-    /// Returns the late bills whose tenure is known to be closed. Until it is, its reclaim decides
-    /// what is billed; and a sync that opens a tenure carries none, since after a lost answer it
-    /// could not be told from one that never took effect.
+    /// Takes the late bills whose tenure is known to be closed.
+    ///
+    /// Until it is closed, its reclaim decides what is billed. A sync that opens a tenure carries
+    /// no late bills, because after a lost reply it cannot be distinguished from one that never
+    /// took effect.
     pub fn take_reclaimed_rows(&mut self) -> Vec<BillRow> {
         let closed = self.cached.as_ref().map(|(_, shard)| &shard.closed);
         let Some(closed) = closed.filter(|_| self.epoch != 0) else {
             return Vec::new();
         };
         let late = std::mem::take(&mut self.late);
-        let (ready, waiting) = late.into_iter().partition(|row| closed.contains_key(&row.epoch));
-        self.late = waiting;
+        let (ready, rest) = late.into_iter().partition(|row| closed.contains_key(&row.epoch));
+        self.late = rest;
         ready
     }
 
-    /// Notes that a plan took effect.
-    pub fn note_applied(&mut self, plan: &SyncPlan) {
+    /// Records that a plan took effect.
+    pub fn record_applied(&mut self, plan: &SyncPlan) {
         self.applied = plan.sequence;
         self.agents.clone_from(&plan.agents);
         let mut batch: BTreeMap<AgentId, Vec<RunId>> = BTreeMap::new();
-        for note in plan.rows.iter().flat_map(|row| &row.runs) {
-            batch.entry(Arc::clone(&note.agent)).or_default().push(Arc::clone(&note.run));
+        for billed in plan.rows.iter().flat_map(|row| &row.runs) {
+            batch.entry(Arc::clone(&billed.agent)).or_default().push(Arc::clone(&billed.run));
         }
         if batch.is_empty() {
             if self.unacked.is_empty() {
@@ -73,7 +75,7 @@
         self.unacked.insert(plan.sequence, batch);
     }
 
-    /// Notes that a hold's order goes to an agent, or has ended there.
+    /// Records that an order for a hold is sent to an agent (`busy`), or has ended there.
     pub fn mark_agent(&mut self, agent: &AgentId, busy: bool) {
         let count = self.busy_agents.entry(Arc::clone(agent)).or_default();
         *count = if busy { *count + 1 } else { count.saturating_sub(1) };
@@ -82,7 +84,8 @@
         }
     }
 
-    /// Returns the agents that the shard must name: those with runs here, and those wanted.
+    /// Returns the agents that the shard must record: those with runs of this tenure, and those
+    /// wanted.
     pub fn agents_in_use(&self, wanted: &BTreeSet<AgentId>) -> BTreeSet<AgentId> {
         let unacked = self.unacked.values().flat_map(BTreeMap::keys);
         let mut agents: BTreeSet<AgentId> = unacked.map(Arc::clone).collect();
@@ -91,7 +94,8 @@
         agents
     }
 
-    /// Notes that an agent dropped runs, or that its incarnation is gone with all it knew.
+    /// Records that an agent dropped runs, or, if `gone`, that its process ended with all its
+    /// state.
     pub fn record_acked(&mut self, agent: &AgentId, dropped: &BTreeSet<RunId>, gone: bool) {
         for batch in self.unacked.values_mut() {
             if let Some(runs) = batch.get_mut(agent) {
--- a/toucanrail/tests/budget_schedules.rs
+++ b/toucanrail/tests/budget_schedules.rs
@@ -1,6 +1,6 @@
-//! Budgets under random schedules of faults, in virtual time.
+//! Budgets under random schedules of faults, in simulated time.
 
-// A test stops at the first thing that is not as it should be.
+// Tests fail at the first unexpected result.
 #![allow(clippy::unwrap_used)]
 
 mod world;
@@ -17,9 +17,10 @@
 const CASES: u32 = 1_000;
 const STEPS: usize = 100;
 
-/// Some calls of a step machine, all answered well but the last.
+/// A number of steps of a state machine. All store calls succeed, except that the last one is
+/// treated according to `last`.
 #[derive(Debug, Clone, Copy)]
-struct Calls {
+struct CallSequence {
     count: usize,
     last: StoreFault,
 }
@@ -31,14 +32,14 @@
     FinishRun(usize, usize, u64),
     TakeResults(usize),
     Serve(usize, usize, Tokens, u8),
-    Sync(usize, Calls),
+    Sync(usize, CallSequence),
     Acks(usize),
     KillEntry(usize),
     AddEntry,
     KillAgent(usize),
     CutAgent(usize, bool),
-    Reclaim(usize, usize, Calls),
-    Archive(usize, Calls),
+    Reclaim(usize, usize, CallSequence),
+    Archive(usize, CallSequence),
     ApplyDelayed,
     TopUp(usize, Tokens),
     Lower(usize, Tokens),
@@ -53,8 +54,8 @@
     ]
 }
 
-fn any_calls() -> impl Strategy<Value = Calls> {
-    (1..12usize, any_fault()).prop_map(|(count, last)| Calls { count, last })
+fn any_sequence() -> impl Strategy<Value = CallSequence> {
+    (1..12usize, any_fault()).prop_map(|(count, last)| CallSequence { count, last })
 }
 
 fn any_step(agents_die: bool) -> impl Strategy<Value = Step> {
@@ -67,50 +68,51 @@
         8 => (at(), any::<usize>(), any::<u64>()).prop_map(|(a, b, c)| Step::FinishRun(a, b, c)),
         6 => at().prop_map(Step::TakeResults),
         10 => (at(), customer(), amount(), any::<u8>()).prop_map(|(a, b, c, d)| Step::Serve(a, b, c, d)),
-        16 => (at(), any_calls()).prop_map(|(a, b)| Step::Sync(a, b)),
+        16 => (at(), any_sequence()).prop_map(|(a, b)| Step::Sync(a, b)),
         4 => at().prop_map(Step::Acks),
         2 => at().prop_map(Step::KillEntry),
         2 => Just(Step::AddEntry),
         1 => at().prop_map(move |a| if agents_die { Step::KillAgent(a) } else { Step::ApplyDelayed }),
         2 => (at(), any::<bool>()).prop_map(|(a, b)| Step::CutAgent(a, b)),
-        8 => (at(), at(), any_calls()).prop_map(|(a, b, c)| Step::Reclaim(a, b, c)),
-        6 => (at(), any_calls()).prop_map(|(a, b)| Step::Archive(a, b)),
+        8 => (at(), at(), any_sequence()).prop_map(|(a, b, c)| Step::Reclaim(a, b, c)),
+        6 => (at(), any_sequence()).prop_map(|(a, b)| Step::Archive(a, b)),
         1 => Just(Step::ApplyDelayed),
         1 => (customer(), 1..400u64).prop_map(|(a, b)| Step::TopUp(a, b)),
         1 => (customer(), 1..900u64).prop_map(|(a, b)| Step::Lower(a, b)),
     ]
 }
 
-/// A third of the requests are retries with one of a few keys.
-fn request_of(customer: usize, key: u8) -> Option<RequestId> {
+/// Returns the id of a keyed request for a third of the values of `key`, and `None` for the others.
+/// There are few different keys, so that many requests are retries.
+fn request_id(customer: usize, key: u8) -> Option<RequestId> {
     (key < 85).then(|| Arc::from(format!("{}0-key-{customer}", key % 5)))
 }
 
-fn take_calls(calls: Calls, mut call: impl FnMut(StoreFault)) {
+fn run_calls(calls: CallSequence, mut call: impl FnMut(StoreFault)) {
     for _ in 1..calls.count {
         call(StoreFault::NoFault);
     }
     call(calls.last);
 }
 
-fn take_step(sim: &mut FleetSim, step: &Step) {
+fn run_step(sim: &mut FleetSim, step: &Step) {
     let (entries, agents) = (sim.entries.len(), sim.agents.len());
     match *step {
         Step::Admit(at, customer, amount, key) => {
-            sim.admit(at % entries, customer, amount, request_of(customer, key));
+            sim.admit(at % entries, customer, amount, request_id(customer, key));
         }
         Step::Deliver(at, which) => sim.deliver(at % entries, which),
         Step::FinishRun(at, which, share) => sim.finish_run(at % agents, which, share),
         Step::TakeResults(at) => sim.take_results(at % entries),
         Step::Serve(at, customer, amount, key) => {
             let at = at % entries;
-            sim.admit(at, customer, amount, request_of(customer, key));
+            sim.admit(at, customer, amount, request_id(customer, key));
             sim.deliver(at, sim.entries[at].flights.len().saturating_sub(1));
             (0..agents).for_each(|agent| sim.finish_run(agent, usize::MAX, amount));
             sim.take_results(at);
         }
         Step::Sync(at, calls) => {
-            take_calls(calls, |fault| sim.step_sync(at % entries, fault, false));
+            run_calls(calls, |fault| sim.step_sync(at % entries, fault, false));
         }
         Step::Acks(at) => sim.send_acks(at % entries),
         Step::KillEntry(at) => sim.kill_entry(at % entries),
@@ -118,11 +120,11 @@
         Step::AddEntry => {}
         Step::KillAgent(at) => sim.kill_agent(at % agents),
         Step::CutAgent(at, reachable) => sim.agents[at % agents].reachable = reachable,
-        Step::Reclaim(by, dead, calls) => take_calls(calls, |fault| {
+        Step::Reclaim(by, dead, calls) => run_calls(calls, |fault| {
             sim.step_reclaim(by % entries, dead % entries, fault);
         }),
         Step::Archive(at, calls) => {
-            take_calls(calls, |fault| sim.step_archive(at % entries, fault));
+            run_calls(calls, |fault| sim.step_archive(at % entries, fault));
         }
         Step::ApplyDelayed => sim.store.apply_delayed(),
         Step::TopUp(customer, amount) => sim.edit_account(customer, |account| {
@@ -136,9 +138,9 @@
 
 fn check_always(sim: &FleetSim) -> Result<(), TestCaseError> {
     let shard = sim.read_shard();
-    prop_assert!(shard.is_within_prepaid(), "a version of the shard promises too much");
+    prop_assert!(shard.is_within_prepaid(), "the shard has more committed than prepaid");
     for customer in &sim.customers {
-        let (spent, prepaid) = (sim.most_spent(customer), shard.accounts[customer].prepaid);
+        let (spent, prepaid) = (sim.max_spent(customer), shard.accounts[customer].prepaid);
         prop_assert!(spent <= prepaid, "{customer} spent {spent} of {prepaid}");
     }
     Ok(())
@@ -148,35 +150,38 @@
     let shard = sim.read_shard();
     let bills = sim.counted_bills();
     let mut billed: BTreeMap<&RequestId, u32> = BTreeMap::new();
-    let mut noted: BTreeSet<&RunId> = BTreeSet::new();
+    let mut settled: BTreeSet<&RunId> = BTreeSet::new();
     for row in &bills {
         if row.billed > 0 {
             *billed.entry(&row.request).or_default() += 1;
         }
-        for note in &row.runs {
-            prop_assert!(noted.insert(&note.run), "{} was settled twice", note.run);
+        for billed_run in &row.runs {
+            prop_assert!(settled.insert(&billed_run.run), "{} is settled twice", billed_run.run);
         }
     }
     for (request, count) in &billed {
         prop_assert_eq!(*count, 1, "{} has {} bills", request, count);
     }
-    for (run, truth) in &sim.truth {
-        let lost = sim.lost_agents.contains(&truth.agent);
-        prop_assert!(lost || noted.contains(run), "{run} ran and was never settled");
-        let whole = billed.contains_key(&truth.request);
-        prop_assert!(lost || whole, "{} ran and has no bill", truth.request);
+    for (run, actual) in &sim.actual_runs {
+        let lost = sim.lost_agents.contains(&actual.agent);
+        prop_assert!(lost || settled.contains(run), "{run} ran but is not settled");
+        let has_bill = billed.contains_key(&actual.request);
+        prop_assert!(lost || has_bill, "{} ran but has no bill", actual.request);
     }
     for customer in &sim.customers {
         let account = &shard.accounts[customer];
         let rows = bills.iter().filter(|row| row.customer == *customer);
         let sums = rows.fold((0, 0), |sum, row| (sum.0 + row.billed, sum.1 + row.written_off));
         prop_assert_eq!(sums, (account.billed, account.written_off), "bills and totals differ");
-        let known: Tokens = account.billed + account.written_off;
+        let accounted: Tokens = account.billed + account.written_off;
         let frozen: Tokens = account.frozen.values().sum();
-        let spent = sim.spent(customer);
-        prop_assert!(spent <= known + frozen, "{spent} spent, {known} known, {frozen} frozen");
+        let spent = sim.actual_spent(customer);
+        prop_assert!(
+            spent <= accounted + frozen,
+            "{spent} spent, {accounted} accounted, {frozen} frozen"
+        );
         if sim.lost_agents.is_empty() {
-            prop_assert_eq!((spent, frozen), (known, 0), "all was provable");
+            prop_assert_eq!((spent, frozen), (accounted, 0), "nothing may stay frozen");
         }
     }
     Ok(())
@@ -196,7 +201,7 @@
         let mut sim = FleetSim::new(2, 2, policy);
         sim.open_tenures();
         for step in &steps {
-            take_step(&mut sim, step);
+            run_step(&mut sim, step);
             check_always(&sim)?;
         }
         sim.settle_all();
@@ -208,25 +213,26 @@
     }
 }
 
-/// A customer's budget of 2,000 is spent through three entries while the object API loses and
-/// delays answers, entries die with streams open or are revoked while alive and wake up late,
-/// agents are cut off, and operators raise and lower it. Engines must never have spent more.
+/// Guards against overspending a budget of 2,000 tokens under faults. Several entries spend it
+/// while the object API loses and delays replies, entries die with streams open or are revoked
+/// while alive and continue later, agents become unreachable, and operators raise and lower the
+/// budget.
 #[test]
 fn entry_deaths() {
-    run_schedules(false, GrantPolicy::FixedAmount { ahead: 300 });
+    run_schedules(false, GrantPolicy::FixedAmount { headroom: 300 });
 }
 
-/// As above, and agents die with their ledgers: what they ran is known to nobody. That money must
-/// stay frozen, not come back to be spent again.
+/// Like `entry_deaths`, but agents also die with their ledgers, so that their usage is unknown.
+/// Those tokens must stay frozen and not be spent again.
 #[test]
 fn agent_deaths() {
     run_schedules(true, GrantPolicy::default());
 }
 
-/// Without faults, the same requests must be billed exactly as one table would bill them.
+/// Guards against wrong bills without any faults: they must match those of a single table.
 #[test]
-fn naive_difference() {
-    let mut sim = FleetSim::new(3, 3, GrantPolicy::FixedAmount { ahead: 300 });
+fn matches_naive_billing() {
+    let mut sim = FleetSim::new(3, 3, GrantPolicy::FixedAmount { headroom: 300 });
     let mut naive: BTreeMap<usize, Tokens> = BTreeMap::new();
     for turn in 0..120u64 {
         let (entry, customer) = ((turn % 3) as usize, (turn % 2) as usize);
--- a/toucanrail/tests/outage_grants.rs
+++ b/toucanrail/tests/outage_grants.rs
@@ -1,4 +1,5 @@
-//! Grants that ride through an outage of the store, and what a dead entry takes with it.
+//! Outage-tolerant grants: serving through outages of the store, and the tokens lost with dead
+//! entries.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,7 +21,7 @@
 const REQUEST: Tokens = 1_000;
 const TICK: Duration = Duration::from_millis(200);
 
-/// An object API that holds the one shard.
+/// An object API that stores a single shard.
 #[derive(Default)]
 struct ShardStore {
     version: Version,
@@ -55,14 +56,14 @@
     }
 }
 
-struct Holder {
+struct HolderSim {
     table: GrantTable,
     customer: CustomerId,
     shard: ShardName,
     policy: GrantPolicy,
 }
 
-impl Holder {
+impl HolderSim {
     fn new(name: &str) -> Self {
         Self::with_policy(name, POLICY)
     }
@@ -95,7 +96,7 @@
         self.table.apply_sync(&self.shard, machine.into_outcome());
     }
 
-    /// Runs one request, asking the store where the grant is short; false if that does not help.
+    /// Runs one request, after a sync if the grant is short. Returns whether it could run.
     fn serve_request(&mut self, store: &mut ShardStore) -> bool {
         if self.run_request() {
             return true;
@@ -106,7 +107,7 @@
         self.run_request()
     }
 
-    /// Runs one request that uses what it holds; false if the grant is short.
+    /// Runs one request that uses all of its hold. Returns `false` if the grant is short.
     fn run_request(&mut self) -> bool {
         let Ok(hold) = self.table.hold(&self.customer, REQUEST) else {
             return false;
@@ -127,13 +128,13 @@
     }
 }
 
-/// Callers of a customer with most of its budget left are refused during an outage of the store of
-/// some seconds: the entry's idea of its burn began at the start of the process, seconds before the
-/// first request, and its grant was sized for half the load.
+/// Guards against refusals in an outage of some seconds although most of the budget is left. They
+/// occur if the burn rate includes the idle time between the start of the process and its first
+/// request, so that the grant is sized for half the load.
 #[test]
-fn late_traffic() {
+fn idle_before_first_request() {
     let mut store = ShardStore::default();
-    let mut holder = Holder::new("e1.1");
+    let mut holder = HolderSim::new("e1.1");
     for _ in 0..50 {
         holder.table.update_burn_rates(TICK);
     }
@@ -146,15 +147,16 @@
     }
     holder.sync(&mut store);
     let served = (0..20).take_while(|_| holder.run_request()).count();
-    assert_eq!(served, 20, "4 s of the load");
+    assert_eq!(served, 20, "4 s of load");
 }
 
-/// An entry loses power with its grants, and nothing proves what it spent of them. They must be
-/// small enough that the customer's callers are served to nearly the end of its budget.
+/// Guards against dead entries stranding much of a budget. Nothing proves what an entry that lost
+/// power spent of its grants, so they must be small enough that callers are served until nearly the
+/// end of the budget.
 #[test]
 fn lost_holders() {
     let mut store = ShardStore::default();
-    let mut holders = ["e1.1", "e2.1", "e3.1", "e4.1"].map(Holder::new);
+    let mut holders = ["e1.1", "e2.1", "e3.1", "e4.1"].map(HolderSim::new);
     for _ in 0..50 {
         for holder in &mut holders {
             holder.serve_request(&mut store);
@@ -162,25 +164,25 @@
             holder.table.update_burn_rates(TICK);
         }
     }
-    let mut last = Holder::new("e1.2");
+    let mut last = HolderSim::new("e1.2");
     last.sync(&mut store);
     while last.serve_request(&mut store) {
         last.sync(&mut store);
     }
     let shard = store.shard();
     let left = shard.accounts[&last.customer].unspent();
-    assert!(left < PREPAID * 16 / 100, "{left} tokens are stranded");
+    assert!(left < PREPAID * 16 / 100, "{left} tokens stranded");
 }
 
-/// A lender is killed again and again through the day. Each tenure dies with what was granted ahead;
-/// were that the same each time, the customer's callers would be refused with a good part of the
-/// budget unspent. What the dead hold is taken off what the living keep ahead.
+/// Guards against a lender that is killed repeatedly stranding a large part of the budget. Each
+/// tenure dies with its headroom, so the grants of dead holders must reduce the headroom of live
+/// ones.
 #[test]
-fn killed_again() {
+fn repeated_kills() {
     let mut store = ShardStore::default();
-    let mut holder = Holder::new("e1.0");
+    let mut holder = HolderSim::new("e1.0");
     for start in 0..12 {
-        holder = Holder::new(&format!("e1.{start}"));
+        holder = HolderSim::new(&format!("e1.{start}"));
         for _ in 0..20 {
             assert!(holder.serve_request(&mut store));
             holder.table.update_burn_rates(TICK);
@@ -189,13 +191,14 @@
     }
     let account = &store.shard().accounts[&holder.customer];
     let granted: Tokens = account.grants.values().sum();
-    // The part, and at most the least amount ahead of each later tenure.
+    // The maximum fraction, plus the minimum headroom of each later tenure.
     assert!(granted < PREPAID * 15 / 100 + 12 * 15_000, "{granted} granted");
     assert!(account.granted_to_others(&Arc::from("nobody")) == granted);
 }
 
-/// The store is away for three seconds early in a budget of less than a minute's load. What is ahead
-/// must bear it: with 5 % of what is unspent one request in five was refused.
+/// Guards against refusals when the store is unavailable for three seconds early in a budget that
+/// lasts for less than a minute. With a headroom of 5 % of the unspent tokens, one request in five
+/// was refused.
 #[test]
 fn early_outage() {
     let policy = GrantPolicy::OutageTolerant {
@@ -204,8 +207,8 @@
         max_fraction: 0.07,
     };
     let mut store = ShardStore::default();
-    let mut holder = Holder::with_policy("e1.1", policy);
-    // 20,000 tokens a second, of 1,000,000.
+    let mut holder = HolderSim::with_policy("e1.1", policy);
+    // 20,000 tokens per second, of a budget of 1,000,000.
     for _ in 0..15 {
         for _ in 0..4 {
             assert!(holder.serve_request(&mut store));
@@ -214,15 +217,15 @@
         holder.sync(&mut store);
     }
     let served = (0..60).take_while(|_| holder.run_request()).count();
-    assert_eq!(served, 60, "3 s of the load");
+    assert_eq!(served, 60, "3 s of load");
 }
 
-/// A grant runs low between two settlements. The top-up is one write: the bills wait, and the shard
-/// counts them as granted until they come.
+/// Guards against a second write when a grant runs low between two settlements. The top-up takes
+/// one write: bills stay queued, and the shard counts them as granted until they are settled.
 #[test]
-fn lone_top_up() {
+fn top_up_without_bills() {
     let mut store = ShardStore::default();
-    let mut holder = Holder::new("e1.1");
+    let mut holder = HolderSim::new("e1.1");
     assert!(holder.serve_request(&mut store));
     while holder.run_request() {}
     holder.table.update_burn_rates(TICK);
@@ -241,13 +244,13 @@
     assert_eq!(store.shard().accounts[&holder.customer].billed, billed);
 }
 
-/// A customer gets more than it paid for: an entry is told to stop, its grace period ends while
-/// answers are still under way, and it gives its whole grant back. Others spend it again, although
-/// those answers were delivered and never billed.
+/// Guards against overspending when an entry stops. If it returned its whole grant at the end of
+/// its grace period, while responses are still being delivered, other entries would spend the
+/// tokens of those responses again, and they would never be billed.
 #[test]
 fn stopping_holder() {
     let mut store = ShardStore::default();
-    let mut holder = Holder::new("e1.1");
+    let mut holder = HolderSim::new("e1.1");
     holder.sync(&mut store);
     holder.table.begin_wait(&holder.customer, REQUEST);
     holder.sync(&mut store);
@@ -257,7 +260,7 @@
         holder.leave(&mut store);
     }
     let unallocated = store.shard().accounts[&holder.customer].unallocated();
-    assert_eq!(unallocated, PREPAID - REQUEST, "all but the open hold came back");
+    assert_eq!(unallocated, PREPAID - REQUEST, "all but the open hold is returned");
     holder.table.end_hold(&hold, None);
     for _ in 0..5 {
         holder.leave(&mut store);
@@ -266,12 +269,12 @@
     assert_eq!(store.shard().accounts[&holder.customer].unallocated(), PREPAID);
 }
 
-/// A top-up arrives by the configuration while the shard still has the old total: the entry must not
-/// refuse what the new total covers.
+/// Guards against refusing requests that a new prepaid total covers, while the total is in the
+/// configuration but not yet in the shard.
 #[test]
-fn fresh_top_up() {
+fn configured_top_up() {
     let mut store = ShardStore::default();
-    let mut holder = Holder::new("e1.1");
+    let mut holder = HolderSim::new("e1.1");
     holder.sync(&mut store);
     holder.table.raise_prepaid(&holder.customer, 3 * PREPAID);
     let refused = holder.table.hold(&holder.customer, 2 * PREPAID).unwrap_err();
@@ -282,12 +285,13 @@
     assert!(holder.table.hold(&holder.customer, 2 * PREPAID).is_ok());
 }
 
-/// All VMs lose power, and a customer's last tokens stay granted to a lender that is no more. Its callers
-/// were told to come back, came back, and were refused again for the rest of the day.
+/// Guards against endless retries after a power loss, when a customer's last tokens stay granted to
+/// a lender that no longer exists. Callers were told to retry and refused each time; once the
+/// lender's VM has started again, the balance must count as not covering the request.
 #[test]
 fn restarted_lender() {
     let mut store = ShardStore::default();
-    let mut before = Holder::new("side-1.a");
+    let mut before = HolderSim::new("side-1.a");
     while before.serve_request(&mut store) {
         let account = &store.shard().accounts[&before.customer];
         if account.unallocated() == 0 {
@@ -297,24 +301,25 @@
     let left = store.shard().accounts[&before.customer].grants["side-1.a"];
     assert!(left > REQUEST);
     for (name, uncovered) in [("side-2.b", false), ("side-1.c", true)] {
-        let mut after = Holder::new(name);
+        let mut after = HolderSim::new(name);
         assert!(!after.serve_request(&mut store), "{name}");
         assert_eq!(after.table.is_uncovered(&after.customer, REQUEST), uncovered, "{name}");
     }
 }
 
 proptest! {
-    /// Whatever entries do, die or lose, never more is billed and granted than is prepaid.
+    /// The tokens billed and granted never exceed the prepaid total, whichever entries die or lose
+    /// their state.
     #[test]
-    fn never_over(steps in prop::collection::vec((0_usize..3, 0_u8..4), 1..120)) {
+    fn never_overspent(steps in prop::collection::vec((0_usize..3, 0_u8..4), 1..120)) {
         let mut store = ShardStore::default();
-        let mut holders = ["e1.1", "e2.1", "e3.1"].map(Holder::new);
+        let mut holders = ["e1.1", "e2.1", "e3.1"].map(HolderSim::new);
         let mut spent = 0;
-        for (at, (who, what)) in steps.into_iter().enumerate() {
-            match what {
-                0 | 1 => spent += u64::from(holders[who].run_request()) * REQUEST,
-                2 => holders[who].sync(&mut store),
-                _ => holders[who] = Holder::new(&format!("e{who}.{at}")),
+        for (number, (index, action)) in steps.into_iter().enumerate() {
+            match action {
+                0 | 1 => spent += u64::from(holders[index].run_request()) * REQUEST,
+                2 => holders[index].sync(&mut store),
+                _ => holders[index] = HolderSim::new(&format!("e{index}.{number}")),
             }
             if store.version > 0 {
                 prop_assert!(store.shard().is_within_prepaid());
--- a/toucanrail/tests/top_up_calls.rs
+++ b/toucanrail/tests/top_up_calls.rs
@@ -1,4 +1,4 @@
-//! How often a lender writes its shard, when little may be ahead of what requests need.
+//! Number of shard writes of a lender whose headroom is small.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -18,16 +18,16 @@
 };
 const PREPAID: Tokens = 1_000_000;
 const CUSTOMERS: usize = 10;
-/// One request a customer in a step; half of the time a long prompt.
-const STEP: Duration = Duration::from_millis(200);
-const SIZES: [Tokens; 2] = [9_000, 1_000];
-/// Steps for which a request holds its worst case.
-const FLIGHT: usize = 10;
-const STEPS_A_SECOND: usize = 5;
+/// In each step every customer sends one request; every other one has a long prompt.
+const STEP_TIME: Duration = Duration::from_millis(200);
+const REQUEST_SIZES: [Tokens; 2] = [9_000, 1_000];
+/// Number of steps for which a request holds its maximum usage.
+const FLIGHT_STEPS: usize = 10;
+const STEPS_PER_SECOND: usize = 5;
 const SETTLE_STEPS: usize = 15;
 
-/// The lender of a shard of several customers, and the store that holds it.
-struct LenderRun {
+/// A simulated lender of a shard with several customers, and the store of that shard.
+struct LenderSim {
     table: GrantTable,
     shard: ShardName,
     customers: Vec<CustomerId>,
@@ -38,8 +38,8 @@
     flights: VecDeque<Vec<GrantHold>>,
 }
 
-impl LenderRun {
-    fn new(before: &BudgetShard) -> Self {
+impl LenderSim {
+    fn new(initial: &BudgetShard) -> Self {
         let shard: ShardName = Arc::from("accounts");
         let mut table = GrantTable::new(Arc::from("side-1.b"), POLICY);
         let names = (0..CUSTOMERS).map(|number| Arc::from(format!("customer-{number}")));
@@ -48,7 +48,7 @@
             table.add_account(customer, &shard);
             table.raise_prepaid(customer, PREPAID);
         }
-        let value = storecalls::encode_value(before);
+        let value = storecalls::encode_value(initial);
         let flights = VecDeque::new();
         Self { table, shard, customers, version: 1, value, writes: 0, refused: 0, flights }
     }
@@ -60,7 +60,11 @@
             }
             StoreCall::Get { .. } => StoreReply::Missing,
             StoreCall::Put { path, expect, value } if path.starts_with("budgets/") => {
-                assert_eq!(*expect, WriteExpectation::At(self.version), "only one writes");
+                assert_eq!(
+                    *expect,
+                    WriteExpectation::At(self.version),
+                    "the lender is the only writer"
+                );
                 self.version += 1;
                 self.value.clone_from(value);
                 self.writes += 1;
@@ -88,8 +92,8 @@
         self.table.apply_sync(&shard, machine.into_outcome());
     }
 
-    fn hold(&mut self, at: usize, amount: Tokens) -> Option<GrantHold> {
-        let customer = Arc::clone(&self.customers[at]);
+    fn hold(&mut self, index: usize, amount: Tokens) -> Option<GrantHold> {
+        let customer = Arc::clone(&self.customers[index]);
         if let Ok(hold) = self.table.hold(&customer, amount) {
             return Some(hold);
         }
@@ -116,21 +120,21 @@
         }
     }
 
-    /// Serves all customers for some seconds and returns the writes a second.
+    /// Serves all customers for some seconds. Returns the shard writes per second.
     fn serve(&mut self, seconds: usize) -> f64 {
         let before = self.writes;
-        for step in 0..seconds * STEPS_A_SECOND {
+        for step in 0..seconds * STEPS_PER_SECOND {
             let mut holds = Vec::new();
-            for at in 0..CUSTOMERS {
-                let held = self.hold(at, SIZES[(step + at) % 2]);
+            for index in 0..CUSTOMERS {
+                let held = self.hold(index, REQUEST_SIZES[(step + index) % 2]);
                 self.refused += usize::from(held.is_none());
                 holds.extend(held);
             }
             self.flights.push_back(holds);
-            if self.flights.len() > FLIGHT {
+            if self.flights.len() > FLIGHT_STEPS {
                 self.end_oldest();
             }
-            self.table.update_burn_rates(STEP);
+            self.table.update_burn_rates(STEP_TIME);
             if step % SETTLE_STEPS == 0 {
                 self.sync(true);
             } else if self.table.needs_early_sync(&self.shard) {
@@ -140,12 +144,13 @@
         (self.writes - before) as f64 / seconds as f64
     }
 
-    fn shard_now(&self) -> BudgetShard {
+    fn read_shard(&self) -> BudgetShard {
         storecalls::decode_value(&self.value).expect("a shard")
     }
 }
 
-/// A shard in which a lender that is no more holds a part of each budget, and much is billed.
+/// Returns a shard in which `billed` tokens of each budget are billed, and `stranded` ones are
+/// granted to a lender that no longer exists.
 fn make_shard(billed: Tokens, stranded: Tokens) -> BudgetShard {
     let mut shard = BudgetShard::default();
     shard.open_tenure(&Arc::from("side-1.a"));
@@ -160,36 +165,39 @@
     shard
 }
 
-/// A power loss strands more of each budget than may be ahead. Nothing was ahead from then on, and nearly
-/// each request cost a call: seventy a second in a fleet of 185 VMs.
+/// Guards against a call for nearly every request after a power loss. If it strands more of each
+/// budget than the maximum headroom, no headroom is left: this caused 70 calls per second in a
+/// fleet of 185 VMs.
 #[test]
 fn after_loss() {
-    let mut run = LenderRun::new(&make_shard(100_000, 140_000));
-    run.serve(2);
-    let rate = run.serve(8);
-    assert!(rate <= 2.0, "{rate} writes a second");
-    assert_eq!(run.refused, 0);
-    assert!(run.shard_now().is_within_prepaid());
+    let mut lender = LenderSim::new(&make_shard(100_000, 140_000));
+    lender.serve(2);
+    let rate = lender.serve(8);
+    assert!(rate <= 2.0, "{rate} writes per second");
+    assert_eq!(lender.refused, 0);
+    assert!(lender.read_shard().is_within_prepaid());
 }
 
-/// The same load while most of the budgets is left: one write serves all customers of the shard.
+/// Guards against a write per customer while most of the budgets is left. One write must serve all
+/// customers of the shard.
 #[test]
 fn steady_load() {
-    let mut run = LenderRun::new(&make_shard(0, 0));
-    run.serve(2);
-    let rate = run.serve(8);
-    assert!(rate <= 2.0, "{rate} writes a second");
-    assert_eq!(run.refused, 0);
+    let mut lender = LenderSim::new(&make_shard(0, 0));
+    lender.serve(2);
+    let rate = lender.serve(8);
+    assert!(rate <= 2.0, "{rate} writes per second");
+    assert_eq!(lender.refused, 0);
 }
 
-/// Budgets are used up: all but the last request's worth of each is served, and nothing beyond it.
+/// Guards against stranding or overspending the last tokens of a budget. Requests must be served
+/// until less than the largest request is left, and none beyond the budget.
 #[test]
 fn last_tokens() {
-    let mut run = LenderRun::new(&make_shard(800_000, 0));
-    run.serve(20);
-    let shard = run.shard_now();
-    assert!(run.refused > 0 && shard.is_within_prepaid());
+    let mut lender = LenderSim::new(&make_shard(800_000, 0));
+    lender.serve(20);
+    let shard = lender.read_shard();
+    assert!(lender.refused > 0 && shard.is_within_prepaid());
     for account in shard.accounts.values() {
-        assert!(account.unspent() < SIZES[0], "{} left", account.unspent());
+        assert!(account.unspent() < REQUEST_SIZES[0], "{} left", account.unspent());
     }
 }
--- a/toucanrail/tests/world/mod.rs
+++ b/toucanrail/tests/world/mod.rs
@@ -1,7 +1,7 @@
-//! A small sim of entries, agents and an object API in virtual time: every message is an
-//! explicit step, so that a schedule can delay, lose or cut it.
+//! A simulation of entries, agents and an object API. Every message is an explicit step, so that a
+//! schedule can delay or lose it.
 
-// Each test file uses its own part of this.
+// Each test file uses only some of these items.
 #![allow(dead_code)]
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -19,16 +19,16 @@
 use toucanrail::storecalls::{self, ObjectPath, StoreCall, StoreReply, WriteExpectation};
 use toucanrail::syncs::SyncMachine;
 
-/// How the object API treats one call.
+/// How the object API fails on a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StoreFault {
-    /// It answers.
+    /// It applies the call and replies.
     NoFault,
-    /// It does nothing and does not answer.
+    /// It neither applies the call nor replies.
     Unavailable,
-    /// It takes effect and does not answer.
+    /// It applies the call but does not reply.
     ReplyLost,
-    /// It does not answer, and a write lands later if its condition still holds.
+    /// It does not reply; a write is applied later if its condition still holds.
     Delayed,
 }
 
@@ -38,7 +38,7 @@
     pub objects: BTreeMap<ObjectPath, (Version, Vec<u8>)>,
     pub revision: Version,
     pub writes: u64,
-    late: Vec<StoreCall>,
+    delayed: Vec<StoreCall>,
 }
 
 impl FakeStore {
@@ -51,14 +51,14 @@
                 StoreReply::Unavailable
             }
             StoreFault::Delayed => {
-                self.late.push(call.clone());
+                self.delayed.push(call.clone());
                 StoreReply::Unavailable
             }
         }
     }
 
     pub fn apply_delayed(&mut self) {
-        for call in std::mem::take(&mut self.late) {
+        for call in std::mem::take(&mut self.delayed) {
             self.apply(&call);
         }
     }
@@ -89,14 +89,14 @@
     }
 }
 
-/// A request that an entry holds money for.
+/// A request in flight, for which an entry holds tokens.
 #[derive(Debug, Clone)]
 pub struct Flight {
     pub order: RunOrder,
     pub hold: GrantHold,
     pub delivered: bool,
-    /// Whether it ended, and what it used if it ran.
     pub ended: bool,
+    /// Tokens used, if it ran.
     pub used: Option<Tokens>,
 }
 
@@ -118,9 +118,9 @@
     pub reachable: bool,
 }
 
-/// What truly ran: by run, its request, customer and usage.
+/// A run that an engine really executed, whether or not the fleet knows of it.
 #[derive(Debug, Clone)]
-pub struct TrueRun {
+pub struct ActualRun {
     pub request: RequestId,
     pub customer: CustomerId,
     pub used: Tokens,
@@ -133,15 +133,15 @@
     pub entries: Vec<EntrySim>,
     pub agents: Vec<AgentSim>,
     pub customers: Vec<CustomerId>,
-    pub truth: BTreeMap<RunId, TrueRun>,
+    pub actual_runs: BTreeMap<RunId, ActualRun>,
     pub lost_agents: BTreeSet<AgentId>,
     pub shard: ShardName,
     pub policy: GrantPolicy,
-    next: u64,
+    id_count: u64,
 }
 
 pub const OPENING_BUDGET: Tokens = 2_000;
-/// So few that keys move to the archive in almost every schedule.
+/// Small enough that keys move to the archive in almost every schedule.
 const RECENT_KEYS: usize = 2;
 
 impl FleetSim {
@@ -158,11 +158,11 @@
             entries: Vec::new(),
             agents: Vec::new(),
             customers,
-            truth: BTreeMap::new(),
+            actual_runs: BTreeMap::new(),
             lost_agents: BTreeSet::new(),
             shard,
             policy,
-            next: 0,
+            id_count: 0,
         };
         sim.put_shard(&content);
         for _ in 0..agents {
@@ -186,20 +186,20 @@
         self.store.objects.insert(paths::budget_path(&self.shard), (version, value));
     }
 
-    /// An operator's edit, atomic as its conditional update is.
+    /// Edits an account as an operator does; atomic like the operator's conditional update.
     pub fn edit_account(&mut self, customer: usize, edit: impl FnOnce(&mut BudgetAccount)) {
         let mut content = self.read_shard();
         edit(content.accounts.get_mut(&self.customers[customer]).unwrap());
         self.put_shard(&content);
     }
 
-    fn fresh(&mut self, prefix: &str) -> Arc<str> {
-        self.next += 1;
-        Arc::from(format!("{prefix}-{}", self.next))
+    fn next_id(&mut self, prefix: &str) -> Arc<str> {
+        self.id_count += 1;
+        Arc::from(format!("{prefix}-{}", self.id_count))
     }
 
     pub fn add_entry(&mut self) {
-        let id = self.fresh("entry");
+        let id = self.next_id("entry");
         let mut table = GrantTable::new(Arc::clone(&id), self.policy);
         for customer in &self.customers {
             table.add_account(customer, &self.shard);
@@ -213,20 +213,20 @@
             archive: None,
             reclaim: None,
         });
-        self.name_agents();
+        self.update_wanted_agents();
     }
 
     fn add_agent(&mut self) {
-        let id = self.fresh("agent");
+        let id = self.next_id("agent");
         self.agents.push(AgentSim {
             ledger: UsageLedger::new(id),
             running: Vec::new(),
             reachable: true,
         });
-        self.name_agents();
+        self.update_wanted_agents();
     }
 
-    fn name_agents(&mut self) {
+    fn update_wanted_agents(&mut self) {
         let agents: BTreeSet<AgentId> =
             self.agents.iter().map(|agent| Arc::clone(agent.ledger.agent())).collect();
         for entry in &mut self.entries {
@@ -234,7 +234,7 @@
         }
     }
 
-    /// A caller's request: held if the entry has the money, else it asks for more.
+    /// Admits a caller's request: takes a hold if the grant suffices, or else waits for more.
     pub fn admit(
         &mut self,
         at: usize,
@@ -243,8 +243,8 @@
         request: Option<RequestId>,
     ) {
         let keyed = request.is_some();
-        let request = request.unwrap_or_else(|| self.fresh("request"));
-        let run = self.fresh("run");
+        let request = request.unwrap_or_else(|| self.next_id("request"));
+        let run = self.next_id("run");
         let customer = Arc::clone(&self.customers[customer]);
         let shard = Arc::clone(&self.shard);
         let entry = &mut self.entries[at];
@@ -258,7 +258,7 @@
             entry.table.begin_wait(&customer, amount);
             return;
         };
-        let agent = Arc::clone(&agents[self.next as usize % agents.len()]);
+        let agent = Arc::clone(&agents[self.id_count as usize % agents.len()]);
         entry.table.mark_agent(&shard, &agent, true);
         let order = RunOrder {
             request,
@@ -273,7 +273,7 @@
         entry.flights.push(Flight { order, hold, delivered: false, ended: false, used: None });
     }
 
-    /// The order of a flight reaches its agent, or is refused there.
+    /// Delivers the order of a request in flight to its agent, which may refuse it.
     pub fn deliver(&mut self, at: usize, which: usize) {
         let entry = &mut self.entries[at];
         let count = entry.flights.len();
@@ -292,7 +292,7 @@
         }
     }
 
-    /// A run ends at its agent: now the engine has spent.
+    /// Ends a run at its agent, so that the engine has used its tokens.
     pub fn finish_run(&mut self, at: usize, which: usize, share: u64) {
         let agent = &mut self.agents[at];
         if agent.running.is_empty() {
@@ -301,13 +301,13 @@
         let order = agent.running.remove(which % agent.running.len());
         let used = (order.hold * (share % 101) / 100).max(1).min(order.hold);
         agent.ledger.finish(&order.run, true, used, 0, None);
-        let run = TrueRun {
+        let run = ActualRun {
             request: Arc::clone(&order.request),
             customer: Arc::clone(&order.customer),
             used,
             agent: Arc::clone(&order.agent),
         };
-        self.truth.insert(Arc::clone(&order.run), run);
+        self.actual_runs.insert(Arc::clone(&order.run), run);
         let flights = self.entries.iter_mut().flat_map(|entry| &mut entry.flights);
         for flight in flights.filter(|flight| flight.order.run == order.run) {
             flight.ended = true;
@@ -315,7 +315,7 @@
         }
     }
 
-    /// An entry takes the results that have come to it.
+    /// Lets an entry process the results that it has received.
     pub fn take_results(&mut self, at: usize) {
         let entry = &mut self.entries[at];
         if !entry.alive {
@@ -332,7 +332,7 @@
         }
     }
 
-    /// One step of an entry's sync.
+    /// Performs one step of an entry's sync.
     pub fn step_sync(&mut self, at: usize, fault: StoreFault, leave: bool) {
         let shard = Arc::clone(&self.shard);
         let entry = &mut self.entries[at];
@@ -367,7 +367,7 @@
         }
     }
 
-    /// Opens a tenure with some grant at every entry.
+    /// Opens a tenure with a grant at every entry.
     pub fn open_tenures(&mut self) {
         for at in 0..self.entries.len() {
             for customer in self.customers.clone() {
@@ -377,7 +377,7 @@
         }
     }
 
-    /// One step of moving old keys to the archive.
+    /// Performs one step of moving old keys to the archive.
     pub fn step_archive(&mut self, at: usize, fault: StoreFault) {
         let shard = Arc::clone(&self.shard);
         let entry = &mut self.entries[at];
@@ -392,17 +392,17 @@
         }
     }
 
-    /// Agents drop what an entry has settled.
+    /// Lets agents drop the runs that an entry has settled.
     pub fn send_acks(&mut self, at: usize) {
         let entry = &mut self.entries[at];
         if !entry.alive {
             return;
         }
         for (agent, runs) in entry.table.pending_acks() {
-            let found = self.agents.iter_mut().find(|sim| *sim.ledger.agent() == agent);
+            let found = self.agents.iter_mut().find(|agent_sim| *agent_sim.ledger.agent() == agent);
             match found {
-                Some(sim) if sim.reachable => {
-                    sim.ledger.acknowledge(&runs);
+                Some(agent_sim) if agent_sim.reachable => {
+                    agent_sim.ledger.acknowledge(&runs);
                     let dropped = runs.into_iter().collect();
                     entry.table.record_acked(&agent, &dropped, false);
                 }
@@ -412,7 +412,7 @@
         }
     }
 
-    /// The process dies with all that it knew; its streams end at the agents by themselves.
+    /// Kills an entry with all its state. Its runs end at the agents on their own.
     pub fn kill_entry(&mut self, at: usize) {
         let entry = &mut self.entries[at];
         entry.alive = false;
@@ -422,20 +422,21 @@
         entry.flights.retain(|flight| !flight.delivered);
     }
 
-    /// The agent dies with its ledger; what its engine had begun is spent and known to nobody.
+    /// Kills an agent with its ledger. The tokens of its running requests are used, but nothing
+    /// records them.
     pub fn kill_agent(&mut self, at: usize) {
         let dead = self.agents.remove(at);
         let id = Arc::clone(dead.ledger.agent());
         for order in dead.running {
-            let run = TrueRun {
+            let run = ActualRun {
                 request: order.request,
                 customer: order.customer,
                 used: order.hold / 2,
                 agent: order.agent,
             };
-            self.truth.insert(order.run, run);
+            self.actual_runs.insert(order.run, run);
         }
-        // What the entry had in flight there cannot be known any more.
+        // The usage of requests in flight at this agent can no longer be determined.
         for entry in &mut self.entries {
             let (lost, kept): (Vec<_>, Vec<_>) = std::mem::take(&mut entry.flights)
                 .into_iter()
@@ -453,7 +454,8 @@
         self.add_agent();
     }
 
-    /// One step of a reclaim of `dead`'s tenure by the entry at `by`.
+    /// Performs one step of the reclaim of `dead`'s tenure by the entry `by`. Returns the outcome
+    /// once it has ended.
     pub fn step_reclaim(
         &mut self,
         by: usize,
@@ -490,9 +492,11 @@
     }
 
     fn fence(&mut self, agent: &AgentId, shard: &ShardName, epoch: u64) -> ReclaimReply {
-        let found = self.agents.iter_mut().find(|sim| sim.ledger.agent() == agent);
+        let found = self.agents.iter_mut().find(|agent_sim| agent_sim.ledger.agent() == agent);
         match found {
-            Some(sim) if sim.reachable => ReclaimReply::Fenced(sim.ledger.fence(shard, epoch)),
+            Some(agent_sim) if agent_sim.reachable => {
+                ReclaimReply::Fenced(agent_sim.ledger.fence(shard, epoch))
+            }
             Some(_) => ReclaimReply::Unreachable,
             None => ReclaimReply::Gone,
         }
@@ -507,20 +511,21 @@
         }
     }
 
-    /// Returns what engines truly spent for a customer.
-    pub fn spent(&self, customer: &CustomerId) -> Tokens {
-        let runs = self.truth.values();
+    /// Returns the tokens that engines have really used for a customer.
+    pub fn actual_spent(&self, customer: &CustomerId) -> Tokens {
+        let runs = self.actual_runs.values();
         runs.filter(|run| run.customer == *customer).map(|run| run.used).sum()
     }
 
-    /// Returns what engines have spent and may still spend on what runs.
-    pub fn most_spent(&self, customer: &CustomerId) -> Tokens {
+    /// Returns the tokens that engines have used for a customer, plus those that running requests
+    /// may still use.
+    pub fn max_spent(&self, customer: &CustomerId) -> Tokens {
         let running = self.agents.iter().flat_map(|agent| &agent.running);
         let running = running.filter(|order| order.customer == *customer);
-        self.spent(customer) + running.map(|order| order.hold).sum::<Tokens>()
+        self.actual_spent(customer) + running.map(|order| order.hold).sum::<Tokens>()
     }
 
-    /// Returns the bills that count, as the shard says.
+    /// Returns the bills that count according to the shard.
     pub fn counted_bills(&self) -> Vec<BillRow> {
         let shard = self.read_shard();
         let prefix = format!("{}/", paths::BILLS);
@@ -537,7 +542,8 @@
         rows
     }
 
-    /// Lets everything come to rest: messages arrive, the dead are reclaimed, the rest settles.
+    /// Ends all activity: delivers messages, finishes runs, reclaims the tenures of dead entries
+    /// and settles those of the others.
     pub fn settle_all(&mut self) {
         self.store.apply_delayed();
         for agent in &mut self.agents {
@@ -575,7 +581,7 @@
     }
 }
 
-/// Makes an order with nothing special about it.
+/// Returns an order with default values.
 pub fn plain_order(run: RunId, agent: AgentId) -> RunOrder {
     RunOrder {
         request: Arc::from("request"),
