--- a/toucanrail/src/budgets.rs
+++ b/toucanrail/src/budgets.rs
@@ -74,8 +74,8 @@
     pub settled: Sequence,
     /// Sequence number of the last batch whose runs all agents have dropped.
     pub acked: Sequence,
-    /// Agents that may have run something for this tenure; each is recorded before it gets its
-    /// first order.
+    /// Agents that may have run something for this tenure; each is recorded before the first run is
+    /// sent to it.
     pub agents: BTreeSet<AgentId>,
 }
 
--- a/toucanrail/src/grants.rs
+++ b/toucanrail/src/grants.rs
@@ -215,7 +215,7 @@
         }
     }
 
-    /// Records that an order for a hold is sent to an agent (`busy`), or has ended there.
+    /// Records that a run of a hold is sent to an agent (`busy`), or has ended there.
     pub fn mark_agent(&mut self, shard: &ShardName, agent: &AgentId, busy: bool) {
         if let Some(tenure) = self.shards.get_mut(shard) {
             tenure.mark_agent(agent, busy);
--- a/toucanrail/src/policies.rs
+++ b/toucanrail/src/policies.rs
@@ -67,9 +67,9 @@
         /// Whether unused grants are recalled from other entries before a request is refused.
         recall: bool,
     },
-    /// The expected usage of a time horizon, up to a fraction of the prepaid total. For a store
-    /// that is unavailable for seconds at a time, and holders whose grants are lost with their
-    /// process.
+    /// The expected usage of a time horizon, up to fractions of the prepaid total and of the unspent
+    /// tokens. For a store that is unavailable for seconds at a time, and holders whose grants are
+    /// lost with their process.
     OutageTolerant {
         /// How long the grant should last.
         horizon: Duration,
@@ -179,7 +179,7 @@
     /// tenth) of the target and twice the target, so that a steady load does not cause a write
     /// every tick. [`Self::EqualSplit`] and [`Self::FixedAmount`] never return tokens.
     pub fn adjust(&self, view: &GrantView) -> GrantChange {
-        let tolerant = matches!(self, Self::OutageTolerant { .. });
+        let is_tolerant = matches!(self, Self::OutageTolerant { .. });
         if view.granted == 0 && view.shortage == 0 {
             return GrantChange::Keep;
         }
@@ -187,11 +187,11 @@
         let needed = view.in_use + view.shortage;
         let headroom = target.saturating_sub(needed);
         let low =
-            if tolerant { (headroom as f64 * TOP_UP_FRACTION) as Tokens } else { headroom / 2 };
+            if is_tolerant { (headroom as f64 * TOP_UP_FRACTION) as Tokens } else { headroom / 2 };
         if view.granted < needed + low {
             return GrantChange::Ask(target.saturating_sub(view.granted));
         }
-        let returns = tolerant || matches!(self, Self::BurnRate { .. });
+        let returns = is_tolerant || matches!(self, Self::BurnRate { .. });
         if returns && view.granted > needed + headroom.saturating_mul(2) {
             return GrantChange::Return(view.granted - target);
         }
@@ -204,9 +204,9 @@
     /// [`Self::OutageTolerant`] it is then filled up to its target, which costs no extra call.
     pub fn adjust_on_write(&self, view: &GrantView) -> GrantChange {
         let change = self.adjust(view);
-        let tolerant = matches!(self, Self::OutageTolerant { .. });
+        let is_tolerant = matches!(self, Self::OutageTolerant { .. });
         let missing = self.target(view).saturating_sub(view.granted);
-        if tolerant && change == GrantChange::Keep && view.granted > 0 && missing > 0 {
+        if is_tolerant && change == GrantChange::Keep && view.granted > 0 && missing > 0 {
             return GrantChange::Ask(missing);
         }
         change
@@ -219,7 +219,7 @@
 
 /// Returns whether a request may use a grant that the store currently cannot top up.
 ///
-/// In an outage of some seconds, a grant may cover only one of them. The rest of it then goes to
+/// An outage may last for some seconds, and a grant for only one. What is left of it then goes to
 /// requests of the first rank and to small ones, which are the majority: one long prompt takes as
 /// much as ten of them.
 ///
--- a/toucanrail/src/tenures.rs
+++ b/toucanrail/src/tenures.rs
@@ -32,7 +32,7 @@
     pub cached: Option<(Version, BudgetShard)>,
     /// Unsettled bills of this entry's earlier tenures.
     pub late: Vec<BillRow>,
-    /// Number of orders in flight by agent; an agent in use stays recorded in the shard.
+    /// Number of runs in flight by agent; an agent in use stays recorded in the shard.
     busy_agents: BTreeMap<AgentId, u64>,
 }
 
@@ -75,7 +75,7 @@
         self.unacked.insert(plan.sequence, batch);
     }
 
-    /// Records that an order for a hold is sent to an agent (`busy`), or has ended there.
+    /// Records that a run of a hold is sent to an agent (`busy`), or has ended there.
     pub fn mark_agent(&mut self, agent: &AgentId, busy: bool) {
         let count = self.busy_agents.entry(Arc::clone(agent)).or_default();
         *count = if busy { *count + 1 } else { count.saturating_sub(1) };
--- a/toucanrail/tests/budget_schedules.rs
+++ b/toucanrail/tests/budget_schedules.rs
@@ -59,23 +59,23 @@
 }
 
 fn any_step(agents_die: bool) -> impl Strategy<Value = Step> {
-    let at = || 0..4usize;
+    let index = || 0..4usize;
     let customer = || 0..2usize;
     let amount = || 1..300u64;
     prop_oneof![
-        8 => (at(), customer(), amount(), any::<u8>()).prop_map(|(a, b, c, d)| Step::Admit(a, b, c, d)),
-        8 => (at(), any::<usize>()).prop_map(|(a, b)| Step::Deliver(a, b)),
-        8 => (at(), any::<usize>(), any::<u64>()).prop_map(|(a, b, c)| Step::FinishRun(a, b, c)),
-        6 => at().prop_map(Step::TakeResults),
-        10 => (at(), customer(), amount(), any::<u8>()).prop_map(|(a, b, c, d)| Step::Serve(a, b, c, d)),
-        16 => (at(), any_sequence()).prop_map(|(a, b)| Step::Sync(a, b)),
-        4 => at().prop_map(Step::Acks),
-        2 => at().prop_map(Step::KillEntry),
+        8 => (index(), customer(), amount(), any::<u8>()).prop_map(|(a, b, c, d)| Step::Admit(a, b, c, d)),
+        8 => (index(), any::<usize>()).prop_map(|(a, b)| Step::Deliver(a, b)),
+        8 => (index(), any::<usize>(), any::<u64>()).prop_map(|(a, b, c)| Step::FinishRun(a, b, c)),
+        6 => index().prop_map(Step::TakeResults),
+        10 => (index(), customer(), amount(), any::<u8>()).prop_map(|(a, b, c, d)| Step::Serve(a, b, c, d)),
+        16 => (index(), any_sequence()).prop_map(|(a, b)| Step::Sync(a, b)),
+        4 => index().prop_map(Step::Acks),
+        2 => index().prop_map(Step::KillEntry),
         2 => Just(Step::AddEntry),
-        1 => at().prop_map(move |a| if agents_die { Step::KillAgent(a) } else { Step::ApplyDelayed }),
-        2 => (at(), any::<bool>()).prop_map(|(a, b)| Step::CutAgent(a, b)),
-        8 => (at(), at(), any_sequence()).prop_map(|(a, b, c)| Step::Reclaim(a, b, c)),
-        6 => (at(), any_sequence()).prop_map(|(a, b)| Step::Archive(a, b)),
+        1 => index().prop_map(move |a| if agents_die { Step::KillAgent(a) } else { Step::ApplyDelayed }),
+        2 => (index(), any::<bool>()).prop_map(|(a, b)| Step::CutAgent(a, b)),
+        8 => (index(), index(), any_sequence()).prop_map(|(a, b, c)| Step::Reclaim(a, b, c)),
+        6 => (index(), any_sequence()).prop_map(|(a, b)| Step::Archive(a, b)),
         1 => Just(Step::ApplyDelayed),
         1 => (customer(), 1..400u64).prop_map(|(a, b)| Step::TopUp(a, b)),
         1 => (customer(), 1..900u64).prop_map(|(a, b)| Step::Lower(a, b)),
@@ -98,33 +98,33 @@
 fn run_step(sim: &mut FleetSim, step: &Step) {
     let (entries, agents) = (sim.entries.len(), sim.agents.len());
     match *step {
-        Step::Admit(at, customer, amount, key) => {
-            sim.admit(at % entries, customer, amount, request_id(customer, key));
+        Step::Admit(index, customer, amount, key) => {
+            sim.admit(index % entries, customer, amount, request_id(customer, key));
         }
-        Step::Deliver(at, which) => sim.deliver(at % entries, which),
-        Step::FinishRun(at, which, share) => sim.finish_run(at % agents, which, share),
-        Step::TakeResults(at) => sim.take_results(at % entries),
-        Step::Serve(at, customer, amount, key) => {
-            let at = at % entries;
-            sim.admit(at, customer, amount, request_id(customer, key));
-            sim.deliver(at, sim.entries[at].flights.len().saturating_sub(1));
+        Step::Deliver(index, number) => sim.deliver(index % entries, number),
+        Step::FinishRun(index, number, share) => sim.finish_run(index % agents, number, share),
+        Step::TakeResults(index) => sim.take_results(index % entries),
+        Step::Serve(index, customer, amount, key) => {
+            let index = index % entries;
+            sim.admit(index, customer, amount, request_id(customer, key));
+            sim.deliver(index, sim.entries[index].flights.len().saturating_sub(1));
             (0..agents).for_each(|agent| sim.finish_run(agent, usize::MAX, amount));
-            sim.take_results(at);
+            sim.take_results(index);
         }
-        Step::Sync(at, calls) => {
-            run_calls(calls, |fault| sim.step_sync(at % entries, fault, false));
+        Step::Sync(index, calls) => {
+            run_calls(calls, |fault| sim.step_sync(index % entries, fault, false));
         }
-        Step::Acks(at) => sim.send_acks(at % entries),
-        Step::KillEntry(at) => sim.kill_entry(at % entries),
+        Step::Acks(index) => sim.send_acks(index % entries),
+        Step::KillEntry(index) => sim.kill_entry(index % entries),
         Step::AddEntry if entries < 4 => sim.add_entry(),
         Step::AddEntry => {}
-        Step::KillAgent(at) => sim.kill_agent(at % agents),
-        Step::CutAgent(at, reachable) => sim.agents[at % agents].reachable = reachable,
+        Step::KillAgent(index) => sim.kill_agent(index % agents),
+        Step::CutAgent(index, reachable) => sim.agents[index % agents].reachable = reachable,
         Step::Reclaim(by, dead, calls) => run_calls(calls, |fault| {
             sim.step_reclaim(by % entries, dead % entries, fault);
         }),
-        Step::Archive(at, calls) => {
-            run_calls(calls, |fault| sim.step_archive(at % entries, fault));
+        Step::Archive(index, calls) => {
+            run_calls(calls, |fault| sim.step_archive(index % entries, fault));
         }
         Step::ApplyDelayed => sim.store.apply_delayed(),
         Step::TopUp(customer, amount) => sim.edit_account(customer, |account| {
--- a/toucanrail/tests/world/mod.rs
+++ b/toucanrail/tests/world/mod.rs
@@ -19,7 +19,7 @@
 use toucanrail::storecalls::{self, ObjectPath, StoreCall, StoreReply, WriteExpectation};
 use toucanrail::syncs::SyncMachine;
 
-/// How the object API fails on a call.
+/// The fault of one call to the object API.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StoreFault {
     /// It applies the call and replies.
@@ -237,7 +237,7 @@
     /// Admits a caller's request: takes a hold if the grant suffices, or else waits for more.
     pub fn admit(
         &mut self,
-        at: usize,
+        index: usize,
         customer: usize,
         amount: Tokens,
         request: Option<RequestId>,
@@ -247,7 +247,7 @@
         let run = self.next_id("run");
         let customer = Arc::clone(&self.customers[customer]);
         let shard = Arc::clone(&self.shard);
-        let entry = &mut self.entries[at];
+        let entry = &mut self.entries[index];
         if !entry.alive {
             return;
         }
@@ -273,14 +273,14 @@
         entry.flights.push(Flight { order, hold, delivered: false, ended: false, used: None });
     }
 
-    /// Delivers the order of a request in flight to its agent, which may refuse it.
-    pub fn deliver(&mut self, at: usize, which: usize) {
-        let entry = &mut self.entries[at];
+    /// Delivers a request in flight to its agent, which may refuse it.
+    pub fn deliver(&mut self, index: usize, number: usize) {
+        let entry = &mut self.entries[index];
         let count = entry.flights.len();
         if count == 0 {
             return;
         }
-        let flight = &mut entry.flights[which % count];
+        let flight = &mut entry.flights[number % count];
         if std::mem::replace(&mut flight.delivered, true) {
             return;
         }
@@ -293,12 +293,12 @@
     }
 
     /// Ends a run at its agent, so that the engine has used its tokens.
-    pub fn finish_run(&mut self, at: usize, which: usize, share: u64) {
-        let agent = &mut self.agents[at];
+    pub fn finish_run(&mut self, index: usize, number: usize, share: u64) {
+        let agent = &mut self.agents[index];
         if agent.running.is_empty() {
             return;
         }
-        let order = agent.running.remove(which % agent.running.len());
+        let order = agent.running.remove(number % agent.running.len());
         let used = (order.hold * (share % 101) / 100).max(1).min(order.hold);
         agent.ledger.finish(&order.run, true, used, 0, None);
         let run = ActualRun {
@@ -316,8 +316,8 @@
     }
 
     /// Lets an entry process the results that it has received.
-    pub fn take_results(&mut self, at: usize) {
-        let entry = &mut self.entries[at];
+    pub fn take_results(&mut self, index: usize) {
+        let entry = &mut self.entries[index];
         if !entry.alive {
             return;
         }
@@ -333,9 +333,9 @@
     }
 
     /// Performs one step of an entry's sync.
-    pub fn step_sync(&mut self, at: usize, fault: StoreFault, leave: bool) {
+    pub fn step_sync(&mut self, index: usize, fault: StoreFault, leave: bool) {
         let shard = Arc::clone(&self.shard);
-        let entry = &mut self.entries[at];
+        let entry = &mut self.entries[index];
         if !entry.alive {
             return;
         }
@@ -358,10 +358,10 @@
         }
     }
 
-    pub fn run_sync(&mut self, at: usize, leave: bool) {
+    pub fn run_sync(&mut self, index: usize, leave: bool) {
         for _ in 0..40 {
-            self.step_sync(at, StoreFault::NoFault, leave);
-            if self.entries[at].sync.is_none() {
+            self.step_sync(index, StoreFault::NoFault, leave);
+            if self.entries[index].sync.is_none() {
                 return;
             }
         }
@@ -369,18 +369,18 @@
 
     /// Opens a tenure with a grant at every entry.
     pub fn open_tenures(&mut self) {
-        for at in 0..self.entries.len() {
+        for index in 0..self.entries.len() {
             for customer in self.customers.clone() {
-                self.entries[at].table.begin_wait(&customer, 100);
+                self.entries[index].table.begin_wait(&customer, 100);
             }
-            self.run_sync(at, false);
+            self.run_sync(index, false);
         }
     }
 
     /// Performs one step of moving old keys to the archive.
-    pub fn step_archive(&mut self, at: usize, fault: StoreFault) {
+    pub fn step_archive(&mut self, index: usize, fault: StoreFault) {
         let shard = Arc::clone(&self.shard);
-        let entry = &mut self.entries[at];
+        let entry = &mut self.entries[index];
         if !entry.alive {
             return;
         }
@@ -393,8 +393,8 @@
     }
 
     /// Lets agents drop the runs that an entry has settled.
-    pub fn send_acks(&mut self, at: usize) {
-        let entry = &mut self.entries[at];
+    pub fn send_acks(&mut self, index: usize) {
+        let entry = &mut self.entries[index];
         if !entry.alive {
             return;
         }
@@ -413,8 +413,8 @@
     }
 
     /// Kills an entry with all its state. Its runs end at the agents on their own.
-    pub fn kill_entry(&mut self, at: usize) {
-        let entry = &mut self.entries[at];
+    pub fn kill_entry(&mut self, index: usize) {
+        let entry = &mut self.entries[index];
         entry.alive = false;
         entry.sync = None;
         entry.archive = None;
@@ -424,8 +424,8 @@
 
     /// Kills an agent with its ledger. The tokens of its running requests are used, but nothing
     /// records them.
-    pub fn kill_agent(&mut self, at: usize) {
-        let dead = self.agents.remove(at);
+    pub fn kill_agent(&mut self, index: usize) {
+        let dead = self.agents.remove(index);
         let id = Arc::clone(dead.ledger.agent());
         for order in dead.running {
             let run = ActualRun {
@@ -485,9 +485,9 @@
         None
     }
 
-    fn is_revoked(&self, at: usize) -> bool {
+    fn is_revoked(&self, index: usize) -> bool {
         let shard = self.read_shard();
-        let row = shard.holders.get(&self.entries[at].id);
+        let row = shard.holders.get(&self.entries[index].id);
         row.is_some_and(|row| row.state != HolderState::Live)
     }
 
@@ -549,14 +549,14 @@
         for agent in &mut self.agents {
             agent.reachable = true;
         }
-        for at in 0..self.entries.len() {
-            for which in 0..self.entries[at].flights.len() {
-                self.deliver(at, which);
+        for index in 0..self.entries.len() {
+            for number in 0..self.entries[index].flights.len() {
+                self.deliver(index, number);
             }
         }
-        for at in 0..self.agents.len() {
-            while !self.agents[at].running.is_empty() {
-                self.finish_run(at, 0, 50);
+        for index in 0..self.agents.len() {
+            while !self.agents[index].running.is_empty() {
+                self.finish_run(index, 0, 50);
             }
         }
         if self.entries.iter().all(|entry| !entry.alive) {
@@ -569,19 +569,19 @@
             }
         }
         for _ in 0..4 {
-            for at in 0..self.entries.len() {
-                self.take_results(at);
-                self.run_sync(at, false);
-                if self.is_revoked(at) {
-                    self.run_reclaim(at, at);
+            for index in 0..self.entries.len() {
+                self.take_results(index);
+                self.run_sync(index, false);
+                if self.is_revoked(index) {
+                    self.run_reclaim(index, index);
                 }
-                self.send_acks(at);
+                self.send_acks(index);
             }
         }
     }
 }
 
-/// Returns an order with default values.
+/// Returns a run with default values.
 pub fn plain_order(run: RunId, agent: AgentId) -> RunOrder {
     RunOrder {
         request: Arc::from("request"),
