--- a/toucanrail/tests/budget_schedules.rs
+++ b/toucanrail/tests/budget_schedules.rs
@@ -231,9 +231,9 @@
 
 /// Guards against wrong bills without any faults: they must match those of a single table.
 #[test]
-fn matches_naive_billing() {
+fn matches_single_table() {
     let mut sim = FleetSim::new(3, 3, GrantPolicy::FixedAmount { headroom: 300 });
-    let mut naive: BTreeMap<usize, Tokens> = BTreeMap::new();
+    let mut expected: BTreeMap<usize, Tokens> = BTreeMap::new();
     for turn in 0..120u64 {
         let (entry, customer) = ((turn % 3) as usize, (turn % 2) as usize);
         let before = sim.entries[entry].flights.len();
@@ -244,8 +244,8 @@
             }
         }
         if sim.entries[entry].flights.len() > before {
-            *naive.entry(customer).or_default() += (40 * (turn % 101) / 100).max(1);
-            let spent = naive[&customer];
+            *expected.entry(customer).or_default() += (40 * (turn % 101) / 100).max(1);
+            let spent = expected[&customer];
             assert!(spent <= OPENING_BUDGET);
             sim.deliver(entry, before);
             for agent in 0..3 {
@@ -257,6 +257,6 @@
     sim.settle_all();
     let shard = sim.read_shard();
     for (customer, name) in sim.customers.iter().enumerate() {
-        assert_eq!(shard.accounts[name].billed, naive[&customer], "{name}");
+        assert_eq!(shard.accounts[name].billed, expected[&customer], "{name}");
     }
 }
--- a/toucanrail/tests/world/mod.rs
+++ b/toucanrail/tests/world/mod.rs
@@ -100,6 +100,7 @@
     pub used: Option<Tokens>,
 }
 
+/// An entry process; `alive` is false after it was killed.
 #[derive(Debug)]
 pub struct EntrySim {
     pub id: EntryId,
@@ -111,6 +112,7 @@
     reclaim: Option<ReclaimMachine>,
 }
 
+/// An agent process; entries get no reply from it while it is not `reachable`.
 #[derive(Debug)]
 pub struct AgentSim {
     pub ledger: UsageLedger,
@@ -127,6 +129,7 @@
     pub agent: AgentId,
 }
 
+/// The simulated fleet and its object API, with the runs that its engines really executed.
 #[derive(Debug)]
 pub struct FleetSim {
     pub store: FakeStore,
@@ -140,6 +143,7 @@
     id_count: u64,
 }
 
+/// Initial prepaid total of every customer.
 pub const OPENING_BUDGET: Tokens = 2_000;
 /// Small enough that keys move to the archive in almost every schedule.
 const RECENT_KEYS: usize = 2;
