--- a/toucanrail/tests/world/mod.rs
+++ b/toucanrail/tests/world/mod.rs
@@ -391,7 +391,7 @@
         let machine = entry.archive.take();
         let mut machine = machine.unwrap_or_else(|| ArchiveMachine::new(shard, RECENT_KEYS));
         if let Some(call) = machine.next_call() {
-            machine.take_reply(self.store.call(&call, fault));
+            machine.handle_reply(self.store.call(&call, fault));
             entry.archive = Some(machine);
         }
     }
@@ -470,7 +470,7 @@
         let shard = Arc::clone(&self.shard);
         let entry = &mut self.entries[by];
         if !entry.alive {
-            return Some(ReclaimOutcome::Nothing);
+            return Some(ReclaimOutcome::NotNeeded);
         }
         let id = Arc::clone(&entry.id);
         let mut machine = match entry.reclaim.take() {
@@ -484,7 +484,7 @@
             ReclaimCall::Store(call) => ReclaimReply::Store(self.store.call(&call, fault)),
             ReclaimCall::Fence { agent, shard, epoch } => self.fence(&agent, &shard, epoch),
         };
-        machine.take_reply(reply);
+        machine.handle_reply(reply);
         self.entries[by].reclaim = Some(machine);
         None
     }
