--- a/toucanrail-gateway/src/relay.rs
+++ b/toucanrail-gateway/src/relay.rs
@@ -95,7 +95,7 @@
 async fn measure_burn(office: Rc<LoanOffice>) {
     loop {
         smol::Timer::after(BURN_INTERVAL).await;
-        office.keeper.grants.borrow_mut().smooth_burn(BURN_INTERVAL);
+        office.keeper.grants.borrow_mut().update_burn_rates(BURN_INTERVAL);
     }
 }
 
