--- a/toucanrail-daemons/src/agents.rs
+++ b/toucanrail-daemons/src/agents.rs
@@ -12,8 +12,10 @@
 use toucanrail::frames;
 use toucanrail::ids::{AgentId, ServiceName};
 use toucanrail::ledgers::UsageLedger;
-use toucanrail::messages::{AckOrder, AgentReply, AskMode, AskOrder, EngineOrder, FenceOrder};
-use toucanrail::messages::{LoadReport, MirrorOrder, RunFrame, RunOrder};
+use toucanrail::messages::{
+    AckCommand, AgentReply, EngineCommand, FenceCommand, QueryMode, RunQuery,
+};
+use toucanrail::messages::{LoadReport, MirrorQuery, RunCommand, RunFrame};
 use toucanrail::servers::{NodeEntry, NodeRole};
 use toucanrail::settings::{SettingRow, SettingValues};
 use toucanrail::storecalls;
@@ -162,15 +164,15 @@
             "/metrics" => self.board.answer(),
             "/state" => self.answer_state(),
             routes::RUN => self.take_run(&call),
-            routes::LOAD => self.sealed(&call, |order: MirrorOrder| {
+            routes::LOAD => self.sealed(&call, |order: MirrorQuery| {
                 self.mirrors.note_asker(&order);
                 replies::message(&self.report())
             }),
-            routes::FENCE => self.sealed(&call, |order: FenceOrder| {
+            routes::FENCE => self.sealed(&call, |order: FenceCommand| {
                 self.board.count_event("fences");
                 replies::message(&self.lock_ledger().fence(&order.shard, order.epoch))
             }),
-            routes::ACK => self.sealed(&call, |order: AckOrder| {
+            routes::ACK => self.sealed(&call, |order: AckCommand| {
                 self.lock_ledger().acknowledge(&order.runs);
                 replies::message(&AgentReply { agent: Arc::clone(&self.id), fate: None })
             }),
@@ -241,7 +243,7 @@
     }
 
     fn take_run(self: &Arc<Self>, call: &ReceivedCall) -> Response {
-        let order: RunOrder = match self.client.read(call) {
+        let order: RunCommand = match self.client.read(call) {
             Ok(order) => order,
             Err(refusal) => return *refusal,
         };
@@ -259,12 +261,12 @@
     }
 
     async fn answer_ask(&self, call: &ReceivedCall) -> Response {
-        let order: AskOrder = match self.client.read(call) {
+        let order: RunQuery = match self.client.read(call) {
             Ok(order) => order,
             Err(refusal) => return *refusal,
         };
         let fate = self.lock_ledger().ask(&order.run, order.mode);
-        if fate == toucanrail::messages::RunFate::Running && order.mode == AskMode::Cancel {
+        if fate == toucanrail::messages::RunReport::Running && order.mode == QueryMode::Cancel {
             let call = OutboundCall::get(format!("/engine/cancel/{}", order.run)).on_fresh();
             // The run's own task sees its stream end and notes what was used.
             self.pool.fetch(self.settings.backend, call, PROBE_BOUND).await.ok();
@@ -277,7 +279,7 @@
     /// Guards against an order of a holder that was replaced while paused: some engines take any
     /// order, so the agent, their only way in, refuses numbers lower than it has seen.
     async fn answer_order(&self, call: &ReceivedCall) -> Response {
-        let order: EngineOrder = match self.client.read(call) {
+        let order: EngineCommand = match self.client.read(call) {
             Ok(order) => order,
             Err(refusal) => return *refusal,
         };
--- a/toucanrail-daemons/src/attempts.rs
+++ b/toucanrail-daemons/src/attempts.rs
@@ -10,8 +10,10 @@
 use toucanrail::codetable;
 use toucanrail::frames::FrameScanner;
 use toucanrail::ids::{AgentId, RunId, Tokens};
-use toucanrail::messages::{AgentReply, AskMode, AskOrder, HeaderField, KeptAnswer, RunFate};
-use toucanrail::messages::{RunFrame, RunOrder};
+use toucanrail::messages::{
+    AgentReply, HeaderField, QueryMode, RunQuery, RunReport, StoredResponse,
+};
+use toucanrail::messages::{RunCommand, RunFrame};
 use toucanrail_wire::clients::{OpenAnswer, OpenFailure};
 use toucanrail_wire::clocks;
 
@@ -63,7 +65,7 @@
         /// What it may have used besides.
         unproved: Tokens,
         /// The whole answer, where the agent kept it.
-        answer: Option<KeptAnswer>,
+        answer: Option<StoredResponse>,
     },
     /// The agent cannot say yet how it ended.
     Open {
@@ -105,7 +107,7 @@
 pub async fn run_attempt<Sink>(
     entry: &Arc<Entry>,
     target: &AttemptTarget,
-    order: &RunOrder,
+    order: &RunCommand,
     sink: &mut Sink,
 ) -> AttemptEnd
 where
@@ -152,7 +154,7 @@
 async fn follow<Sink>(
     entry: &Arc<Entry>,
     target: &AttemptTarget,
-    order: &RunOrder,
+    order: &RunCommand,
     mut answer: OpenAnswer,
     sink: &mut Sink,
     started: Instant,
@@ -237,18 +239,18 @@
     run: &RunId,
     hold: Tokens,
 ) -> AttemptEnd {
-    let order = AskOrder { run: Arc::clone(run), mode: AskMode::Cancel };
+    let order = RunQuery { run: Arc::clone(run), mode: QueryMode::Cancel };
     loop {
         let reply: io::Result<AgentReply> =
             entry.client.send(target.address, routes::ASK, &order, ASK_BOUND).await;
         match reply {
             Ok(reply) if reply.agent != target.agent => return vanished(hold),
-            Ok(AgentReply { fate: Some(RunFate::NeverCame), .. }) => {
+            Ok(AgentReply { fate: Some(RunReport::NeverCame), .. }) => {
                 let code = codetable::VOIDED;
                 return AttemptEnd::NotRun { code, retry_after: Duration::from_secs(1) };
             }
             Ok(AgentReply {
-                fate: Some(RunFate::Ended { used, unproved, answer, .. }), ..
+                fate: Some(RunReport::Ended { used, unproved, answer, .. }), ..
             }) => {
                 let code = codetable::ANSWER_CUT;
                 return AttemptEnd::Lost { code, used, unproved, answer };
--- a/toucanrail-daemons/src/entries.rs
+++ b/toucanrail-daemons/src/entries.rs
@@ -9,7 +9,7 @@
 use toucanrail::catalogue::CustomerEntry;
 use toucanrail::codetable;
 use toucanrail::ids::EntryId;
-use toucanrail::messages::{MirrorOrder, RecallOrder, RecallReply};
+use toucanrail::messages::{MirrorQuery, RecallCommand, RecallReply};
 use toucanrail_wire::listeners::{self, ReceivedCall, ServerLimits};
 use toucanrail_wire::replies::{self, RefusalNote};
 
@@ -75,14 +75,14 @@
             "/health" => replies::text(200, "ok\n"),
             "/metrics" => self.board.answer(),
             "/state" => self.answer_state(),
-            routes::MIRROR => match self.client.read::<MirrorOrder>(&call) {
+            routes::MIRROR => match self.client.read::<MirrorQuery>(&call) {
                 Ok(order) => {
                     self.mirrors.note_asker(&order);
                     replies::message(&self.mirrors.news(&self.id, self.is_leaving(), &order))
                 }
                 Err(refusal) => *refusal,
             },
-            routes::RECALL => match self.client.read::<RecallOrder>(&call) {
+            routes::RECALL => match self.client.read::<RecallCommand>(&call) {
                 Ok(order) => {
                     let returned = settling::give_back(&self, &order).await;
                     replies::message(&RecallReply { returned })
--- a/toucanrail-daemons/src/inspecting.rs
+++ b/toucanrail-daemons/src/inspecting.rs
@@ -8,7 +8,7 @@
 use serde_json::Value;
 use toucanrail::budgets::{self, BillRow, BudgetError, BudgetShard};
 use toucanrail::ids::{CustomerId, RequestId, ShardName};
-use toucanrail::messages::EngineOrder;
+use toucanrail::messages::EngineCommand;
 use toucanrail::paths;
 use toucanrail::servers::{NodeEntry, NodeRole};
 use toucanrail::storecalls;
@@ -181,7 +181,7 @@
 ) -> Outcome<String> {
     let client = FleetClient::new(&tools.fleet_key);
     let (action, subject) = (Arc::from(action), Arc::from(subject));
-    let order = EngineOrder { fence: tools.fence, action, subject };
+    let order = EngineCommand { fence: tools.fence, action, subject };
     let address = read_address(address)?;
     let done: std::io::Result<bool> = client.send(address, routes::ORDER, &order, CALL_BOUND).await;
     match done {
--- a/toucanrail-daemons/src/mirroring.rs
+++ b/toucanrail-daemons/src/mirroring.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use toucanrail::catalogue::CatalogueTable;
-use toucanrail::messages::{MirrorNews, MirrorOrder, MirrorReply, VmSnapshot};
+use toucanrail::messages::{MirrorDelta, MirrorQuery, PeerUpdate, VmSnapshot};
 use toucanrail::mirrors::MirrorTable;
 use toucanrail::paths;
 use toucanrail::servers::{NodeEntry, NodeRole};
@@ -62,17 +62,17 @@
     }
 
     /// Returns the question for what is not known yet.
-    pub fn order(&self, address: Option<SocketAddr>) -> MirrorOrder {
+    pub fn order(&self, address: Option<SocketAddr>) -> MirrorQuery {
         let state = self.lock();
         let (catalogue, nodes) = (state.objects.seen(), state.nodes.seen());
-        MirrorOrder { address, catalogue, nodes }
+        MirrorQuery { address, catalogue, nodes }
     }
 
     /// Remembers an entry that asked.
     ///
     /// Guards against a process that knows no entry while the platform is down, as one that was
     /// paused right after its start: it asks those that ask it.
-    pub fn note_asker(&self, order: &MirrorOrder) {
+    pub fn note_asker(&self, order: &MirrorQuery) {
         let Some(address) = order.address else {
             return;
         };
@@ -84,9 +84,9 @@
     }
 
     /// Returns what an asker does not know.
-    pub fn news(&self, id: &Arc<str>, leaving: bool, order: &MirrorOrder) -> MirrorNews {
+    pub fn news(&self, id: &Arc<str>, leaving: bool, order: &MirrorQuery) -> PeerUpdate {
         let state = self.lock();
-        MirrorNews {
+        PeerUpdate {
             id: Arc::clone(id),
             leaving,
             catalogue: state.objects.newer_than(order.catalogue),
@@ -96,7 +96,7 @@
     }
 
     /// Takes a listing of the catalogue; true if anything was news.
-    pub fn take_catalogue(&self, reply: MirrorReply) -> bool {
+    pub fn take_catalogue(&self, reply: MirrorDelta) -> bool {
         let mut state = self.lock();
         let news = state.objects.take(reply);
         for object in &news {
@@ -106,14 +106,14 @@
     }
 
     /// Takes a listing of the registrations; true if anything was news.
-    pub fn take_nodes(&self, reply: MirrorReply) -> bool {
+    pub fn take_nodes(&self, reply: MirrorDelta) -> bool {
         !self.lock().nodes.take(reply).is_empty()
     }
 
     /// Takes a peer's news; true if the registrations changed.
-    pub fn take_news(&self, news: MirrorNews) -> bool {
+    pub fn take_news(&self, news: PeerUpdate) -> bool {
         self.take_catalogue(news.catalogue);
-        self.lock().vms.take_newer(news.vms);
+        self.lock().vms.merge_newer(news.vms);
         self.take_nodes(news.nodes)
     }
 
--- a/toucanrail-daemons/src/reclaiming.rs
+++ b/toucanrail-daemons/src/reclaiming.rs
@@ -7,7 +7,7 @@
 
 use toucanrail::ids::{AgentId, EntryId, RunId, ShardName};
 use toucanrail::members;
-use toucanrail::messages::{AckOrder, AgentReply, FenceOrder, FenceReply};
+use toucanrail::messages::{AckCommand, AgentReply, FenceCommand, FenceReply};
 use toucanrail::reclaims::{ReclaimCall, ReclaimMachine, ReclaimOutcome, ReclaimReply};
 use toucanrail::servers::{self, NodeEntry};
 use toucanrail::storecalls;
@@ -123,7 +123,7 @@
         let reply = match call {
             ReclaimCall::Store(call) => ReclaimReply::Store(entry.store.call(&call).await),
             ReclaimCall::Fence { agent, shard, epoch } => {
-                fence(entry, &agent, FenceOrder { shard, epoch }).await
+                fence(entry, &agent, FenceCommand { shard, epoch }).await
             }
         };
         machine.take_reply(reply);
@@ -131,7 +131,7 @@
     machine.into_outcome()
 }
 
-async fn fence(entry: &Arc<Entry>, agent: &AgentId, order: FenceOrder) -> ReclaimReply {
+async fn fence(entry: &Arc<Entry>, agent: &AgentId, order: FenceCommand) -> ReclaimReply {
     if is_gone(entry, agent) {
         return ReclaimReply::Gone;
     }
@@ -168,7 +168,7 @@
         let Some(address) = find_agent(entry, &agent) else {
             continue;
         };
-        let order = AckOrder { runs };
+        let order = AckCommand { runs };
         let reply: std::io::Result<AgentReply> =
             entry.client.send(address, routes::ACK, &order, FENCE_BOUND).await;
         if reply.is_err() {
--- a/toucanrail-daemons/src/recording.rs
+++ b/toucanrail-daemons/src/recording.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use toucanrail::ids::{AgentId, Version};
-use toucanrail::messages::{AgentReply, AskMode, AskOrder};
+use toucanrail::messages::{AgentReply, QueryMode, RunQuery};
 use toucanrail::paths;
 use toucanrail::records::RunRecord;
 use toucanrail::records::{RecordCall, RecordMachine, RecordOutcome, RecordReply, RecordState};
@@ -35,7 +35,7 @@
         let reply = match call {
             RecordCall::Store(call) => RecordReply::Store(entry.store.call(&call).await),
             RecordCall::Ask { agent, run, mode } => {
-                ask(entry, &agent, AskOrder { run, mode }).await
+                ask(entry, &agent, RunQuery { run, mode }).await
             }
         };
         machine.take_reply(reply);
@@ -43,14 +43,14 @@
     machine.into_outcome()
 }
 
-async fn ask(entry: &Arc<Entry>, agent: &AgentId, order: AskOrder) -> RecordReply {
+async fn ask(entry: &Arc<Entry>, agent: &AgentId, order: RunQuery) -> RecordReply {
     if reclaiming::is_gone(entry, agent) {
         return RecordReply::Gone;
     }
     let Some(address) = reclaiming::find_agent(entry, agent) else {
         return RecordReply::Unreachable;
     };
-    debug_assert_ne!(order.mode, AskMode::Cancel);
+    debug_assert_ne!(order.mode, QueryMode::Cancel);
     let reply: std::io::Result<AgentReply> =
         entry.client.send(address, routes::ASK, &order, ASK_BOUND).await;
     match reply {
--- a/toucanrail-daemons/src/running.rs
+++ b/toucanrail-daemons/src/running.rs
@@ -11,7 +11,7 @@
 use toucanrail::codetable;
 use toucanrail::frames;
 use toucanrail::ids::Tokens;
-use toucanrail::messages::{HeaderField, KeptAnswer, RunFrame, RunOrder, UsageRule};
+use toucanrail::messages::{HeaderField, RunCommand, RunFrame, StoredResponse, UsageRule};
 use toucanrail::meters::RunMeter;
 use toucanrail_wire::clients::{OpenFailure, OutboundCall};
 use toucanrail_wire::pipes::PipeWriter;
@@ -80,7 +80,7 @@
 /// One try under way.
 struct RunTask {
     agent: Arc<Agent>,
-    order: RunOrder,
+    order: RunCommand,
     writer: PipeWriter,
     meter: RunMeter,
     head: Option<(u16, Vec<HeaderField>)>,
@@ -96,7 +96,7 @@
 }
 
 /// Runs an admitted order to its end and notes it in the ledger; the entry may go away meanwhile.
-pub async fn run_order(agent: Arc<Agent>, order: RunOrder, writer: PipeWriter) {
+pub async fn run_order(agent: Arc<Agent>, order: RunCommand, writer: PipeWriter) {
     let (sender, events) = async_channel::bounded(16);
     let reading = smol::spawn(read_answer(Arc::clone(&agent), order.clone(), sender));
     let mut task = RunTask {
@@ -144,7 +144,11 @@
     read.or(gone).or(tick).await
 }
 
-async fn read_answer(agent: Arc<Agent>, order: RunOrder, events: async_channel::Sender<ReadEvent>) {
+async fn read_answer(
+    agent: Arc<Agent>,
+    order: RunCommand,
+    events: async_channel::Sender<ReadEvent>,
+) {
     let bound = Duration::from_millis(order.time_left);
     let call = backend_call(&order);
     let mut answer = match agent.pool.open(agent.settings.backend, call, bound).await {
@@ -186,7 +190,7 @@
     }
 }
 
-fn backend_call(order: &RunOrder) -> OutboundCall {
+fn backend_call(order: &RunCommand) -> OutboundCall {
     let method = order.method.parse().unwrap_or(Method::Post);
     let mut call = OutboundCall::new(method, &*order.path);
     for field in &order.fields {
@@ -373,7 +377,7 @@
         let empty = RunMeter::new(self.order.usage, false, 0);
         let meter = std::mem::replace(&mut self.meter, empty);
         let kept = meter.into_kept().filter(|_| whole && !self.order.repeatable);
-        let answer = kept.zip(self.head.clone()).map(|(body, (status, fields))| KeptAnswer {
+        let answer = kept.zip(self.head.clone()).map(|(body, (status, fields))| StoredResponse {
             status,
             fields,
             body,
--- a/toucanrail-daemons/src/serving.rs
+++ b/toucanrail-daemons/src/serving.rs
@@ -11,7 +11,7 @@
 use toucanrail::grants::GrantHold;
 use toucanrail::ids::{AgentId, RunId, Tokens, Version};
 use toucanrail::limits::ServiceLoad;
-use toucanrail::messages::{KeptAnswer, RunOrder};
+use toucanrail::messages::{RunCommand, StoredResponse};
 use toucanrail::records::{self, RecordOutcome, RecordState, RunRecord};
 use toucanrail::retries;
 use toucanrail::routing::{self, RouteQuery};
@@ -79,7 +79,7 @@
 enum RequestEnd {
     Whole,
     Refused(RefusalNote),
-    Replayed(KeptAnswer),
+    Replayed(StoredResponse),
     CallerGone,
 }
 
@@ -140,7 +140,7 @@
     }
 
     /// A keyed request that may be repeated is remembered here; one that may not, in its record.
-    fn begin_keyed(&mut self) -> Result<Option<KeptAnswer>, ResultCode> {
+    fn begin_keyed(&mut self) -> Result<Option<StoredResponse>, ResultCode> {
         if !self.plan.keyed || !self.plan.repeatable {
             return Ok(None);
         }
@@ -168,7 +168,7 @@
         let whole = matches!(end, RequestEnd::Whole);
         let body = self.caller.kept.take().filter(|_| whole);
         let answer = body.zip(self.caller.head.clone());
-        let answer = answer.map(|(body, (status, fields))| KeptAnswer { status, fields, body });
+        let answer = answer.map(|(body, (status, fields))| StoredResponse { status, fields, body });
         self.entry.lock().replays.end(&self.plan.request, answer);
     }
 
@@ -368,10 +368,10 @@
         end
     }
 
-    fn build_order(&self, target: &AttemptTarget, run: &RunId, hold: &GrantHold) -> RunOrder {
+    fn build_order(&self, target: &AttemptTarget, run: &RunId, hold: &GrantHold) -> RunCommand {
         let plan = &self.plan;
         let resumed = if self.caller.is_begun() { self.caller.tokens } else { 0 };
-        RunOrder {
+        RunCommand {
             request: Arc::clone(&plan.request),
             run: Arc::clone(run),
             agent: Arc::clone(&target.agent),
@@ -496,7 +496,7 @@
             AttemptEnd::Whole { .. } => {
                 let body = self.caller.held.clone();
                 let (status, fields) = self.caller.head.clone().unwrap_or((200, Vec::new()));
-                records::finished_state(KeptAnswer { status, fields, body })
+                records::finished_state(StoredResponse { status, fields, body })
             }
             _ => billing::record_state(end),
         };
--- a/toucanrail-daemons/src/settling.rs
+++ b/toucanrail-daemons/src/settling.rs
@@ -11,7 +11,7 @@
 use toucanrail::codetable;
 use toucanrail::grants::{GrantHold, HoldRefusal};
 use toucanrail::ids::{AgentId, CustomerId, RunId, ShardName, Tokens};
-use toucanrail::messages::{AckOrder, AgentReply, RecallOrder, RecallReply};
+use toucanrail::messages::{AckCommand, AgentReply, RecallCommand, RecallReply};
 use toucanrail::syncs::{SyncMachine, SyncOutcome};
 use toucanrail_wire::clocks;
 use toucanrail_wire::stores::ObjectStore;
@@ -138,7 +138,7 @@
         entry.lock().grants.note_acked(agent, &BTreeSet::new(), true);
         return;
     };
-    let order = AckOrder { runs };
+    let order = AckCommand { runs };
     let reply: std::io::Result<AgentReply> =
         entry.client.send(address, routes::ACK, &order, ACK_BOUND).await;
     let mut tables = entry.lock();
@@ -220,7 +220,8 @@
 async fn recall(entry: &Arc<Entry>, customer: &CustomerId, wanted: Tokens) -> Tokens {
     entry.board.count_event("recalls");
     let peers: Vec<_> = entry.lock().members.peers().map(|peer| peer.node.address).collect();
-    let order = RecallOrder { from: Arc::clone(&entry.id), customer: Arc::clone(customer), wanted };
+    let order =
+        RecallCommand { from: Arc::clone(&entry.id), customer: Arc::clone(customer), wanted };
     let asked: Vec<_> = peers
         .into_iter()
         .map(|address| {
@@ -241,7 +242,7 @@
 }
 
 /// Gives unused grant back to the shard for a peer; returns how much was reserved for it.
-pub async fn give_back(entry: &Arc<Entry>, order: &RecallOrder) -> Tokens {
+pub async fn give_back(entry: &Arc<Entry>, order: &RecallCommand) -> Tokens {
     let synced = entry.synced.listen();
     let given = entry.lock().grants.recall(&order.customer, order.wanted, &order.from);
     if given > 0 {
--- a/toucanrail-daemons/src/watching.rs
+++ b/toucanrail-daemons/src/watching.rs
@@ -7,7 +7,7 @@
 
 use toucanrail::ids::AgentId;
 use toucanrail::members;
-use toucanrail::messages::{LoadReport, MirrorNews};
+use toucanrail::messages::{LoadReport, PeerUpdate};
 use toucanrail::paths;
 use toucanrail::servers::{NodeEntry, NodeRole};
 use toucanrail_wire::stores::ObjectStore;
@@ -148,7 +148,7 @@
 
 async fn send_heartbeat(entry: Arc<Entry>, peer: Arc<str>, address: SocketAddr) {
     let order = entry.mirrors.order(Some(entry.node().address));
-    let answer: std::io::Result<MirrorNews> =
+    let answer: std::io::Result<PeerUpdate> =
         entry.client.send(address, routes::MIRROR, &order, PEER_BOUND).await;
     let Ok(news) = answer else {
         entry.board.count_event("heartbeats_lost");
--- a/toucanrail-gateway/src/following.rs
+++ b/toucanrail-gateway/src/following.rs
@@ -7,7 +7,7 @@
 
 use toucanrail::boards::{self, OutageTimer};
 use toucanrail::ids::Version;
-use toucanrail::messages::{MirrorChange, MirrorObject, NewsOrder, NewsReply};
+use toucanrail::messages::{ChangesQuery, ChangesReply, MirrorChange, MirrorObject};
 use toucanrail_platform::stores::{ListFreshness, StoreFailure};
 use toucanrail_platform::{configs, names, registrations};
 
@@ -152,17 +152,17 @@
     };
     taker.note_return(gateway, gateway.now().saturating_sub(state.heard), age);
     match news {
-        NewsReply::Listing { objects, revision } => {
+        ChangesReply::Listing { objects, revision } => {
             taker.take_all(gateway, &objects);
             Ok(revision)
         }
-        NewsReply::Changes { changes, revision: seen } => {
+        ChangesReply::Changes { changes, revision: seen } => {
             for change in &changes {
                 taker.take_change(gateway, change);
             }
             Ok(seen.max(revision.unwrap_or_default()))
         }
-        NewsReply::Stale => Err(no_answer()),
+        ChangesReply::Stale => Err(no_answer()),
     }
 }
 
@@ -175,7 +175,7 @@
     gateway: &Gateway,
     kind: &str,
     state: &mut FollowState,
-) -> Result<NewsReply, StoreFailure> {
+) -> Result<ChangesReply, StoreFailure> {
     if !state.outage.is_over(gateway.now()) {
         return Err(no_answer());
     }
@@ -190,21 +190,21 @@
     gateway: &Gateway,
     kind: &str,
     revision: Option<Version>,
-) -> Result<NewsReply, StoreFailure> {
+) -> Result<ChangesReply, StoreFailure> {
     let Some(revision) = revision else {
         let listing = gateway.store.list_kind(kind, ListFreshness::Latest, WATCH_WAIT).await?;
         let (objects, revision) = (listing.objects, listing.revision);
-        return Ok(NewsReply::Listing { objects, revision });
+        return Ok(ChangesReply::Listing { objects, revision });
     };
     let watched = gateway.store.watch_kind(kind, revision, WATCH_WAIT, ANSWER_SLACK).await?;
-    Ok(NewsReply::Changes { changes: watched.changes, revision: watched.revision })
+    Ok(ChangesReply::Changes { changes: watched.changes, revision: watched.revision })
 }
 
 /// What the boards of the region say.
 #[derive(Debug)]
 enum BoardAnswer {
     /// What one of them knows.
-    News(NewsReply),
+    News(ChangesReply),
     /// None of them hears from the store.
     Outage,
     /// None of them answers, or there are none.
@@ -224,7 +224,7 @@
     let boards = boards::pick_boards(&gateway.store.lenders());
     let answering =
         boards.iter().filter(|(name, _)| !gateway.boards.is_resting(name, gateway.now()));
-    let order = NewsOrder { kind: Arc::from(kind), after, wait: Taker::BOARD_WAIT };
+    let order = ChangesQuery { kind: Arc::from(kind), after, wait: Taker::BOARD_WAIT };
     let mut stale = false;
     for (board, address) in answering {
         if gateway.stale_boards.is_resting(board, gateway.now()) {
@@ -235,10 +235,10 @@
         let asked = peering::call_peer(gateway, board, *address, NEWS_PATH, &order, bound).await;
         let reason = match asked {
             // An older listing than what is known would bring servers back that have left.
-            Ok(NewsReply::Listing { revision, .. }) if after.is_some_and(|at| revision < at) => {
+            Ok(ChangesReply::Listing { revision, .. }) if after.is_some_and(|at| revision < at) => {
                 "behind".to_owned()
             }
-            Ok(NewsReply::Stale) => {
+            Ok(ChangesReply::Stale) => {
                 tracing::info!(event = "board_stale", %board, kind);
                 gateway.stale_boards.rest_for(board, gateway.now(), STALE_REST);
                 stale = true;
--- a/toucanrail-gateway/src/mirroring.rs
+++ b/toucanrail-gateway/src/mirroring.rs
@@ -9,13 +9,13 @@
 use smol::LocalExecutor;
 use smol::future::FutureExt;
 use toucanrail::boards::BoardTable;
-use toucanrail::messages::{NewsOrder, NewsReply};
+use toucanrail::messages::{ChangesQuery, ChangesReply};
 use toucanrail_platform::names;
 use toucanrail_platform::stores::{ListFreshness, StoreFailure};
 
 use crate::storing::StoreAccess;
 
-/// Call with a [`NewsOrder`], answered with a [`NewsReply`].
+/// Call with a [`ChangesQuery`], answered with a [`ChangesReply`].
 pub const NEWS_PATH: &str = "/news";
 
 /// Wait of one watch of what must be in force within two seconds.
@@ -85,9 +85,9 @@
     }
 
     /// Answers one question: at once where there is news, else when there is, or after its wait.
-    pub async fn answer(&self, order: &NewsOrder) -> NewsReply {
+    pub async fn answer(&self, order: &ChangesQuery) -> ChangesReply {
         let Some((kind, board)) = self.boards.get_key_value(&*order.kind) else {
-            return NewsReply::Stale;
+            return ChangesReply::Stale;
         };
         board.asked_at.set(self.store.now());
         if !board.watching.replace(true) {
--- a/toucanrail-wire/src/stores.rs
+++ b/toucanrail-wire/src/stores.rs
@@ -9,7 +9,7 @@
 use http_types::Method;
 use serde::{Deserialize, Serialize};
 use toucanrail::ids::{Version, VmId};
-use toucanrail::messages::{MirrorObject, MirrorReply};
+use toucanrail::messages::{MirrorDelta, MirrorObject};
 use toucanrail::storecalls::{StoreCall, StoreReply, WriteExpectation};
 
 use crate::clients::{ClientLimits, ConnectionPool, OutboundCall, WholeAnswer};
@@ -25,7 +25,7 @@
     fn call(&self, call: &StoreCall) -> impl Future<Output = StoreReply> + Send;
 
     /// Lists a kind's objects changed after a version; none if there is no answer.
-    fn list(&self, kind: &str, after: Version) -> impl Future<Output = Option<MirrorReply>> + Send;
+    fn list(&self, kind: &str, after: Version) -> impl Future<Output = Option<MirrorDelta>> + Send;
 
     /// Waits until a kind has a change after a version, or `wait` is over.
     ///
@@ -105,7 +105,7 @@
         answer
     }
 
-    async fn list_once(&self, kind: &str, after: Version) -> Option<MirrorReply> {
+    async fn list_once(&self, kind: &str, after: Version) -> Option<MirrorDelta> {
         let call = OutboundCall::get(format!("/v1/list/{kind}?after={after}"));
         let answer = self.fetch(call, CALL_BOUND).await.ok()?;
         let body: ListBody = serde_json::from_slice(&answer.body).ok()?;
@@ -114,7 +114,7 @@
             version: object.version,
             value: object.value.into_bytes(),
         });
-        Some(MirrorReply { objects: objects.collect(), seen: body.revision })
+        Some(MirrorDelta { objects: objects.collect(), seen: body.revision })
     }
 }
 
@@ -160,7 +160,7 @@
         answer.map_or(StoreReply::Unavailable, |answer| read_reply(call, answer))
     }
 
-    async fn list(&self, kind: &str, after: Version) -> Option<MirrorReply> {
+    async fn list(&self, kind: &str, after: Version) -> Option<MirrorDelta> {
         self.list_once(kind, after).await
     }
 
--- a/toucanrail/examples/message_sizes.rs
+++ b/toucanrail/examples/message_sizes.rs
@@ -6,7 +6,7 @@
 
 use toucanrail::budgets::{BillRow, BudgetShard, RunNote};
 use toucanrail::catalogue::{CustomerEntry, ServiceClass};
-use toucanrail::messages::{LoadReport, MirrorOrder};
+use toucanrail::messages::{LoadReport, MirrorQuery};
 use toucanrail::servers::{NodeEntry, NodeRole};
 use toucanrail::storecalls;
 
@@ -23,7 +23,7 @@
 fn main() {
     let name = |text: &str| -> Arc<str> { Arc::from(text) };
     let address = SocketAddr::from(([10, 1, 2, 3], 7101));
-    let order = MirrorOrder { address: Some(address), catalogue: 1 << 40, nodes: 1 << 40 };
+    let order = MirrorQuery { address: Some(address), catalogue: 1 << 40, nodes: 1 << 40 };
     let report = LoadReport {
         agent: name("agent-south-a-123.0123abcd"),
         service: name("levy-llm"),
--- a/toucanrail/src/boards.rs
+++ b/toucanrail/src/boards.rs
@@ -14,7 +14,7 @@
 use crate::detours::RelayName;
 use crate::ids::Version;
 use crate::loans;
-use crate::messages::{MirrorChange, MirrorObject, NewsReply};
+use crate::messages::{ChangesReply, MirrorChange, MirrorObject};
 
 /// Usual time since the store's last answer from which a board answers nothing: an entry then asks the store
 /// itself, well within the two seconds in which a change must be known. A board's watch waits for less.
@@ -120,36 +120,36 @@
     /// # Examples
     /// ```
     /// use std::time::Duration;
-    /// use toucanrail::{boards::BoardTable, messages::NewsReply};
+    /// use toucanrail::{boards::BoardTable, messages::ChangesReply};
     /// let mut table = BoardTable::new();
     /// assert_eq!(table.news(Some(7), Duration::ZERO), None);
     /// table.take_listing(Vec::new(), 7, Duration::ZERO);
     /// assert_eq!(table.news(Some(7), Duration::ZERO), None);
-    /// assert!(matches!(table.news(None, Duration::ZERO), Some(NewsReply::Listing { .. })));
+    /// assert!(matches!(table.news(None, Duration::ZERO), Some(ChangesReply::Listing { .. })));
     /// ```
-    pub fn news(&self, after: Option<Version>, now: Duration) -> Option<NewsReply> {
+    pub fn news(&self, after: Option<Version>, now: Duration) -> Option<ChangesReply> {
         if self.heard_at.is_none() && !self.is_silent {
             return None;
         }
         if self.is_stale(now) {
-            return Some(NewsReply::Stale);
+            return Some(ChangesReply::Stale);
         }
         // Changes that share a revision with the last one dropped may be gone with it.
         let Some(after) = after.filter(|after| *after >= self.complete_after) else {
             let objects = self.objects.values().cloned().collect();
-            return Some(NewsReply::Listing { objects, revision: self.revision });
+            return Some(ChangesReply::Listing { objects, revision: self.revision });
         };
         let newer = self.changes.iter().filter(|(revision, _)| *revision > after);
         let changes: Vec<MirrorChange> = newer.map(|(_, change)| change.clone()).collect();
-        (!changes.is_empty()).then_some(NewsReply::Changes { changes, revision: self.revision })
+        (!changes.is_empty()).then_some(ChangesReply::Changes { changes, revision: self.revision })
     }
 
     /// Returns the answer to one who has waited in vain.
-    pub fn no_news(&self, after: Version, now: Duration) -> NewsReply {
+    pub fn no_news(&self, after: Version, now: Duration) -> ChangesReply {
         if self.is_stale(now) {
-            return NewsReply::Stale;
+            return ChangesReply::Stale;
         }
-        NewsReply::Changes { changes: Vec::new(), revision: after }
+        ChangesReply::Changes { changes: Vec::new(), revision: after }
     }
 }
 
--- a/toucanrail/src/ledgers.rs
+++ b/toucanrail/src/ledgers.rs
@@ -12,7 +12,7 @@
 use crate::codes::ResultCode;
 use crate::codetable;
 use crate::ids::{AgentId, CustomerId, Epoch, RequestId, RunId, ServiceName, ShardName, Tokens};
-use crate::messages::{AskMode, FenceReply, KeptAnswer, RunFate, RunOrder, UsageRow};
+use crate::messages::{FenceReply, QueryMode, RunCommand, RunReport, StoredResponse, UsageRow};
 
 /// Runs remembered after they were dropped, and answers kept for runs that may not be repeated.
 const MEMORY_LIMIT: usize = 20_000;
@@ -64,7 +64,7 @@
     runs: BTreeMap<RunId, RunRow>,
     voided: BTreeSet<RunId>,
     #[serde(skip)]
-    answers: BTreeMap<RunId, KeptAnswer>,
+    answers: BTreeMap<RunId, StoredResponse>,
     #[serde(skip)]
     dropped: BTreeSet<RunId>,
     #[serde(skip)]
@@ -99,7 +99,7 @@
     /// [`codetable::WRONG_INCARNATION`], [`codetable::STOPPING`], [`codetable::FENCED`],
     /// [`codetable::VOIDED`] and [`codetable::DEADLINE_PASSED`] prove that it did not run;
     /// [`codetable::ALREADY_SEEN`] says that this very try came before.
-    pub fn admit(&mut self, order: &RunOrder) -> Result<(), ResultCode> {
+    pub fn admit(&mut self, order: &RunCommand) -> Result<(), ResultCode> {
         if order.agent != self.agent {
             return Err(codetable::WRONG_INCARNATION);
         }
@@ -140,7 +140,7 @@
         whole: bool,
         used: Tokens,
         unproved: Tokens,
-        answer: Option<KeptAnswer>,
+        answer: Option<StoredResponse>,
     ) {
         if let Some(row) = self.runs.get_mut(run) {
             row.state = RunProgress::Ended { whole, used, unproved };
@@ -197,23 +197,23 @@
 
     /// Tells what became of a try, and with a mode other than `Look` makes sure that one that
     /// has not come never runs.
-    pub fn ask(&mut self, run: &RunId, mode: AskMode) -> RunFate {
+    pub fn ask(&mut self, run: &RunId, mode: QueryMode) -> RunReport {
         let answer = self.answers.get(run).cloned();
         if let Some(row) = self.runs.get(run) {
             return match row.state {
-                RunProgress::Running => RunFate::Running,
+                RunProgress::Running => RunReport::Running,
                 RunProgress::Ended { whole, used, unproved } => {
-                    RunFate::Ended { whole, used, unproved, answer }
+                    RunReport::Ended { whole, used, unproved, answer }
                 }
             };
         }
         if self.dropped.contains(run) {
-            return RunFate::Ended { whole: answer.is_some(), used: 0, unproved: 0, answer };
+            return RunReport::Ended { whole: answer.is_some(), used: 0, unproved: 0, answer };
         }
-        if mode != AskMode::Look {
+        if mode != QueryMode::Look {
             self.voided.insert(Arc::clone(run));
         }
-        RunFate::NeverCame
+        RunReport::NeverCame
     }
 
     /// Returns how many tries run.
--- a/toucanrail/src/messages.rs
+++ b/toucanrail/src/messages.rs
@@ -34,7 +34,7 @@
 
 /// Orders an agent to run a request once.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RunOrder {
+pub struct RunCommand {
     /// The request.
     pub request: RequestId,
     /// This try; an agent runs it at most once.
@@ -78,7 +78,7 @@
     pub body: Vec<u8>,
 }
 
-/// A frame of the answer to a [`RunOrder`].
+/// A frame of the answer to a [`RunCommand`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RunFrame {
     /// The agent did not run it and never will.
@@ -156,7 +156,7 @@
 
 /// Orders an agent to take no more work of a tenure and to tell what it used.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct FenceOrder {
+pub struct FenceCommand {
     /// The shard.
     pub shard: ShardName,
     /// The tenure.
@@ -199,14 +199,14 @@
 
 /// Tells an agent that runs are settled and may be dropped.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct AckOrder {
+pub struct AckCommand {
     /// The runs.
     pub runs: Vec<RunId>,
 }
 
 /// What to do with a try whose end is not known to the asker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum AskMode {
+pub enum QueryMode {
     /// Only tell.
     Look,
     /// If it has not come yet, never let it run.
@@ -217,16 +217,16 @@
 
 /// Asks what became of a try.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct AskOrder {
+pub struct RunQuery {
     /// The try.
     pub run: RunId,
     /// What to do about it.
-    pub mode: AskMode,
+    pub mode: QueryMode,
 }
 
 /// What became of a try.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum RunFate {
+pub enum RunReport {
     /// It never came; after `Void` or `Cancel` it never will.
     NeverCame,
     /// It runs.
@@ -240,22 +240,22 @@
         /// What it may have used besides.
         unproved: Tokens,
         /// The answer, kept for tries that may not be repeated.
-        answer: Option<KeptAnswer>,
+        answer: Option<StoredResponse>,
     },
 }
 
-/// The reply to [`AckOrder`] and [`AskOrder`].
+/// The reply to [`AckCommand`] and [`RunQuery`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AgentReply {
     /// The agent's incarnation.
     pub agent: AgentId,
     /// The fate of the try asked about.
-    pub fate: Option<RunFate>,
+    pub fate: Option<RunReport>,
 }
 
 /// A whole answer, kept so that a retry gets the same one.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct KeptAnswer {
+pub struct StoredResponse {
     /// The status number.
     pub status: u16,
     /// The fields.
@@ -288,7 +288,7 @@
 
 /// Asks a peer for unused grant before a refusal.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RecallOrder {
+pub struct RecallCommand {
     /// Who asks.
     pub from: EntryId,
     /// The account.
@@ -327,7 +327,7 @@
 
 /// Asks a board what changed in a kind of the store.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct NewsOrder {
+pub struct ChangesQuery {
     /// The kind.
     pub kind: Arc<str>,
     /// The store's revision up to which the asker knows all; none for a listing.
@@ -338,7 +338,7 @@
 
 /// A board's answer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum NewsReply {
+pub enum ChangesReply {
     /// All objects, where the asker knows none or is too far behind.
     Listing {
         /// The objects.
@@ -359,7 +359,7 @@
 
 /// What a peer knows beyond a version.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct MirrorReply {
+pub struct MirrorDelta {
     /// Objects newer than what the asker has.
     pub objects: Vec<MirrorObject>,
     /// The version up to which the peer has seen everything.
@@ -368,7 +368,7 @@
 
 /// An order to a model engine, passed on by its agent.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct EngineOrder {
+pub struct EngineCommand {
     /// The fencing number; the agent refuses one lower than it has seen.
     pub fence: u64,
     /// `load-model`, `load-adapter` or `set-role`.
@@ -379,7 +379,7 @@
 
 /// Asks a peer for its mirrors; also the heartbeat between entries.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct MirrorOrder {
+pub struct MirrorQuery {
     /// Where the asker, an entry, can be asked in turn; none if it is an agent.
     pub address: Option<SocketAddr>,
     /// The version up to which the asker knows the catalogue.
@@ -390,15 +390,15 @@
 
 /// A peer's mirrors.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct MirrorNews {
+pub struct PeerUpdate {
     /// The peer's incarnation.
     pub id: EntryId,
     /// Whether the peer is stopping.
     pub leaving: bool,
     /// News of the catalogue.
-    pub catalogue: MirrorReply,
+    pub catalogue: MirrorDelta,
     /// News of the registrations.
-    pub nodes: MirrorReply,
+    pub nodes: MirrorDelta,
     /// The platform's VM list as the peer last saw it.
     pub vms: VmSnapshot,
 }
@@ -419,10 +419,10 @@
     /// ```
     /// use toucanrail::messages::VmSnapshot;
     /// let mut known = VmSnapshot { readings: 2, ..VmSnapshot::default() };
-    /// known.take_newer(VmSnapshot::default());
+    /// known.merge_newer(VmSnapshot::default());
     /// assert_eq!(known.readings, 2);
     /// ```
-    pub fn take_newer(&mut self, other: Self) {
+    pub fn merge_newer(&mut self, other: Self) {
         if other.readings > self.readings {
             *self = other;
         }
--- a/toucanrail/src/mirrors.rs
+++ b/toucanrail/src/mirrors.rs
@@ -6,7 +6,7 @@
 use serde::Serialize;
 
 use crate::ids::Version;
-use crate::messages::{MirrorObject, MirrorReply};
+use crate::messages::{MirrorDelta, MirrorObject};
 
 /// All objects of one kind that a node knows, the deleted ones included.
 ///
@@ -34,16 +34,16 @@
     ///
     /// # Examples
     /// ```
-    /// use toucanrail::{messages::{MirrorObject, MirrorReply}, mirrors::MirrorTable};
+    /// use toucanrail::{messages::{MirrorObject, MirrorDelta}, mirrors::MirrorTable};
     /// let mut table = MirrorTable::new();
     /// let newer = MirrorObject { name: "a".into(), version: 5, value: b"new".to_vec() };
     /// let older = MirrorObject { name: "a".into(), version: 4, value: b"old".to_vec() };
-    /// table.take(MirrorReply { objects: vec![newer], seen: 5 });
-    /// table.take(MirrorReply { objects: vec![older], seen: 4 });
+    /// table.take(MirrorDelta { objects: vec![newer], seen: 5 });
+    /// table.take(MirrorDelta { objects: vec![older], seen: 4 });
     /// assert_eq!(table.get("a"), Some(&b"new"[..]));
     /// assert_eq!(table.seen(), 5);
     /// ```
-    pub fn take(&mut self, reply: MirrorReply) -> Vec<MirrorObject> {
+    pub fn take(&mut self, reply: MirrorDelta) -> Vec<MirrorObject> {
         let mut news = Vec::new();
         for object in reply.objects {
             if self.version(&object.name).is_some_and(|known| known >= object.version) {
@@ -76,13 +76,13 @@
     }
 
     /// Returns all that a peer which has seen `after` does not know.
-    pub fn newer_than(&self, after: Version) -> MirrorReply {
+    pub fn newer_than(&self, after: Version) -> MirrorDelta {
         let newer = self.objects.iter().filter(|(_, (version, _))| *version > after);
         let objects = newer.map(|(name, (version, value))| MirrorObject {
             name: Arc::clone(name),
             version: *version,
             value: value.to_vec(),
         });
-        MirrorReply { objects: objects.collect(), seen: self.seen }
+        MirrorDelta { objects: objects.collect(), seen: self.seen }
     }
 }
--- a/toucanrail/src/records.rs
+++ b/toucanrail/src/records.rs
@@ -10,7 +10,7 @@
 use crate::codes::ResultCode;
 use crate::codetable;
 use crate::ids::{AgentId, CustomerId, EntryId, RequestId, RunId, Version};
-use crate::messages::{AskMode, HeaderField, KeptAnswer, RunFate};
+use crate::messages::{HeaderField, QueryMode, RunReport, StoredResponse};
 use crate::paths;
 use crate::storecalls::{self, StoreCall, StoreReply, WriteExpectation};
 
@@ -110,7 +110,7 @@
         /// The try.
         run: RunId,
         /// What to do about it.
-        mode: AskMode,
+        mode: QueryMode,
     },
 }
 
@@ -120,7 +120,7 @@
     /// The object API's reply.
     Store(StoreReply),
     /// The agent's answer.
-    Fate(RunFate),
+    Fate(RunReport),
     /// That incarnation of the agent is provably gone.
     Gone,
     /// The agent does not answer.
@@ -138,7 +138,7 @@
         version: Version,
     },
     /// Answer with this, as the first time.
-    Replay(KeptAnswer),
+    Replay(StoredResponse),
     /// Refuse with this code.
     Refuse(ResultCode),
 }
@@ -196,7 +196,7 @@
             RecordStage::Ask => found.map(|(_, record)| RecordCall::Ask {
                 agent: Arc::clone(&record.agent),
                 run: record.run(),
-                mode: AskMode::Void,
+                mode: QueryMode::Void,
             }),
             RecordStage::Rewrite => found.map(|(version, _)| {
                 RecordCall::Store(StoreCall::Put {
@@ -246,7 +246,7 @@
         self.end(match record.state {
             RecordState::Started => RecordOutcome::Run { record, version },
             RecordState::Finished { status, fields, body } => {
-                RecordOutcome::Replay(KeptAnswer { status, fields, body: body.into_bytes() })
+                RecordOutcome::Replay(StoredResponse { status, fields, body: body.into_bytes() })
             }
             RecordState::NotRun | RecordState::Unknown => {
                 RecordOutcome::Refuse(codetable::END_UNKNOWN)
@@ -297,11 +297,11 @@
         };
         match reply {
             // Voided at the only agent that the try may go to: a new one may run.
-            RecordReply::Fate(RunFate::NeverCame) => self.start_attempt(&record),
-            RecordReply::Fate(RunFate::Ended { answer: Some(answer), .. }) => {
+            RecordReply::Fate(RunReport::NeverCame) => self.start_attempt(&record),
+            RecordReply::Fate(RunReport::Ended { answer: Some(answer), .. }) => {
                 self.rewrite(&record, finished_state(answer));
             }
-            RecordReply::Fate(RunFate::Ended { .. }) | RecordReply::Gone => {
+            RecordReply::Fate(RunReport::Ended { .. }) | RecordReply::Gone => {
                 self.rewrite(&record, RecordState::Unknown);
             }
             _ => self.refuse(codetable::IN_FLIGHT),
@@ -315,7 +315,7 @@
 }
 
 /// Returns the state of a request that has its answer.
-pub fn finished_state(answer: KeptAnswer) -> RecordState {
+pub fn finished_state(answer: StoredResponse) -> RecordState {
     RecordState::Finished {
         status: answer.status,
         fields: answer.fields,
--- a/toucanrail/src/replays.rs
+++ b/toucanrail/src/replays.rs
@@ -9,7 +9,7 @@
 use crate::codes::ResultCode;
 use crate::codetable;
 use crate::ids::RequestId;
-use crate::messages::KeptAnswer;
+use crate::messages::StoredResponse;
 
 /// Bytes of all answers kept; the oldest go first.
 const KEPT_BYTES: usize = 16 * 1024 * 1024;
@@ -18,7 +18,7 @@
 struct KeyedRow {
     digest: Arc<str>,
     #[serde(skip)]
-    answer: Option<KeptAnswer>,
+    answer: Option<StoredResponse>,
 }
 
 /// The keyed requests that an entry has seen.
@@ -53,7 +53,7 @@
         &mut self,
         request: &RequestId,
         digest: &Arc<str>,
-    ) -> Result<Option<KeptAnswer>, ResultCode> {
+    ) -> Result<Option<StoredResponse>, ResultCode> {
         if let Some(row) = self.rows.get(request) {
             if row.digest != *digest {
                 return Err(codetable::KEY_REUSED);
@@ -66,7 +66,7 @@
     }
 
     /// Ends a keyed request; without an answer, a retry runs again.
-    pub fn end(&mut self, request: &RequestId, answer: Option<KeptAnswer>) {
+    pub fn end(&mut self, request: &RequestId, answer: Option<StoredResponse>) {
         let Some(answer) = answer else {
             self.rows.remove(request);
             return;
--- a/toucanrail/tests/agent_ledger.rs
+++ b/toucanrail/tests/agent_ledger.rs
@@ -9,11 +9,11 @@
 
 use toucanrail::codetable;
 use toucanrail::ledgers::UsageLedger;
-use toucanrail::messages::{AskMode, RunFate, RunOrder};
+use toucanrail::messages::{QueryMode, RunCommand, RunReport};
 
-fn order(run: &str, epoch: u64) -> RunOrder {
+fn order(run: &str, epoch: u64) -> RunCommand {
     let order = world::plain_order(Arc::from(run), Arc::from("agent-1.first"));
-    RunOrder { epoch, ..order }
+    RunCommand { epoch, ..order }
 }
 
 fn ledger() -> UsageLedger {
@@ -61,9 +61,9 @@
 fn late_order() {
     let mut ledger = ledger();
     let run = Arc::from("r.1");
-    assert_eq!(ledger.ask(&run, AskMode::Void), RunFate::NeverCame);
+    assert_eq!(ledger.ask(&run, QueryMode::Void), RunReport::NeverCame);
     assert_eq!(ledger.admit(&order("r.1", 1)), Err(codetable::VOIDED));
-    assert_eq!(ledger.ask(&Arc::from("r.2"), AskMode::Look), RunFate::NeverCame);
+    assert_eq!(ledger.ask(&Arc::from("r.2"), QueryMode::Look), RunReport::NeverCame);
     assert!(ledger.admit(&order("r.2", 1)).is_ok(), "looking promises nothing");
 }
 
--- a/toucanrail/tests/board_news.rs
+++ b/toucanrail/tests/board_news.rs
@@ -7,7 +7,7 @@
 use proptest::prelude::*;
 use toucanrail::boards::{BoardTable, FRESH_BOUND, OutageTimer};
 use toucanrail::ids::Version;
-use toucanrail::messages::{MirrorChange, MirrorObject, NewsReply};
+use toucanrail::messages::{ChangesReply, MirrorChange, MirrorObject};
 
 const NOW: Duration = Duration::from_secs(10);
 
@@ -26,8 +26,8 @@
     let mut table = BoardTable::new();
     table.take_listing(vec![object("a", 3)], 3, NOW);
     let later = NOW + FRESH_BOUND + Duration::from_millis(1);
-    assert_eq!(table.news(Some(3), later), Some(NewsReply::Stale));
-    assert_eq!(table.no_news(3, later), NewsReply::Stale);
+    assert_eq!(table.news(Some(3), later), Some(ChangesReply::Stale));
+    assert_eq!(table.no_news(3, later), ChangesReply::Stale);
 }
 
 /// The board's call to the store failed. Entries that wait for news must not wait on: those who reach
@@ -37,7 +37,7 @@
     let mut table = BoardTable::new();
     table.take_listing(vec![object("a", 3)], 3, NOW);
     table.note_silence();
-    assert_eq!(table.news(Some(3), NOW), Some(NewsReply::Stale));
+    assert_eq!(table.news(Some(3), NOW), Some(ChangesReply::Stale));
     table.take_changes(Vec::new(), 3, NOW);
     assert_eq!(table.news(Some(3), NOW), None);
 }
@@ -50,7 +50,7 @@
     table.take_listing(vec![object("a", 3)], 3, NOW);
     table.take_changes(vec![change("b", 5, false)], 5, NOW);
     assert_eq!(table.news(Some(9), NOW), None);
-    assert_eq!(table.no_news(9, NOW), NewsReply::Changes { changes: Vec::new(), revision: 9 });
+    assert_eq!(table.no_news(9, NOW), ChangesReply::Changes { changes: Vec::new(), revision: 9 });
 }
 
 /// The store forgot its history, and the board listed anew. An entry that is further behind must get
@@ -60,7 +60,7 @@
     let mut table = BoardTable::new();
     table.take_listing(vec![object("a", 8)], 20, NOW);
     let news = table.news(Some(12), NOW);
-    assert!(matches!(news, Some(NewsReply::Listing { revision: 20, .. })), "{news:?}");
+    assert!(matches!(news, Some(ChangesReply::Listing { revision: 20, .. })), "{news:?}");
 }
 
 #[derive(Debug, Default)]
@@ -94,7 +94,7 @@
     let mut table = BoardTable::new();
     assert_eq!(table.news(None, NOW), None);
     table.note_silence();
-    assert_eq!(table.news(None, NOW), Some(NewsReply::Stale));
+    assert_eq!(table.news(None, NOW), Some(ChangesReply::Stale));
 }
 
 /// The store is down for four seconds, and 68 entries look every 640 ms at the latest whether they may ask
@@ -140,11 +140,11 @@
                 }
                 3 if which == 0 => table = BoardTable::new(),
                 _ => match table.news(seen, NOW) {
-                    Some(NewsReply::Listing { objects, revision }) => {
+                    Some(ChangesReply::Listing { objects, revision }) => {
                         view = objects.iter().map(|row| (row.name.to_string(), row.version)).collect();
                         seen = Some(revision);
                     }
-                    Some(NewsReply::Changes { changes, revision }) => {
+                    Some(ChangesReply::Changes { changes, revision }) => {
                         for change in changes {
                             let name = change.object.name.to_string();
                             view.remove(&name);
@@ -154,7 +154,7 @@
                         }
                         seen = Some(revision);
                     }
-                    Some(NewsReply::Stale) => prop_assert!(false, "the store is there"),
+                    Some(ChangesReply::Stale) => prop_assert!(false, "the store is there"),
                     None => {}
                 },
             }
--- a/toucanrail/tests/run_records.rs
+++ b/toucanrail/tests/run_records.rs
@@ -12,7 +12,7 @@
 use toucanrail::codetable;
 use toucanrail::ids::{AgentId, EntryId, RequestId, Version};
 use toucanrail::ledgers::UsageLedger;
-use toucanrail::messages::{KeptAnswer, RunOrder};
+use toucanrail::messages::{RunCommand, StoredResponse};
 use toucanrail::paths;
 use toucanrail::records::RunRecord;
 use toucanrail::records::{
@@ -39,7 +39,7 @@
 struct Desk {
     store: FakeStore,
     agents: Vec<UsageLedger>,
-    running: Vec<RunOrder>,
+    running: Vec<RunCommand>,
     tries: Vec<Try>,
     /// How often the service truly ran.
     runs: u64,
@@ -150,7 +150,7 @@
             return;
         };
         let body = format!("filed {}", self.runs).into_bytes();
-        let answer = KeptAnswer { status: 200, fields: Vec::new(), body };
+        let answer = StoredResponse { status: 200, fields: Vec::new(), body };
         if let Some(at) = self.agent(&order.agent) {
             self.agents[at].finish(&order.run, true, 5, 0, Some(answer.clone()));
         }
@@ -201,8 +201,8 @@
     }
 }
 
-fn order_of(record: &RunRecord) -> RunOrder {
-    RunOrder {
+fn order_of(record: &RunRecord) -> RunCommand {
+    RunCommand {
         request: Arc::clone(&record.request),
         entry: Arc::clone(&record.writer),
         hold: 5,
--- a/toucanrail/tests/world/mod.rs
+++ b/toucanrail/tests/world/mod.rs
@@ -12,7 +12,7 @@
 use toucanrail::grants::{GrantHold, GrantTable};
 use toucanrail::ids::{AgentId, CustomerId, EntryId, RequestId, RunId, ShardName, Tokens, Version};
 use toucanrail::ledgers::UsageLedger;
-use toucanrail::messages::{RunOrder, UsageRule};
+use toucanrail::messages::{RunCommand, UsageRule};
 use toucanrail::paths;
 use toucanrail::policies::GrantPolicy;
 use toucanrail::reclaims::{ReclaimCall, ReclaimMachine, ReclaimOutcome, ReclaimReply};
@@ -92,7 +92,7 @@
 /// A request that an entry holds money for.
 #[derive(Debug, Clone)]
 pub struct Flight {
-    pub order: RunOrder,
+    pub order: RunCommand,
     pub hold: GrantHold,
     pub delivered: bool,
     /// Whether it ended, and what it used if it ran.
@@ -114,7 +114,7 @@
 #[derive(Debug)]
 pub struct AgentSim {
     pub ledger: UsageLedger,
-    pub running: Vec<RunOrder>,
+    pub running: Vec<RunCommand>,
     pub reachable: bool,
 }
 
@@ -260,7 +260,7 @@
         };
         let agent = Arc::clone(&agents[self.next as usize % agents.len()]);
         entry.table.mark_agent(&shard, &agent, true);
-        let order = RunOrder {
+        let order = RunCommand {
             request,
             entry: Arc::clone(&entry.id),
             customer,
@@ -576,8 +576,8 @@
 }
 
 /// Makes an order with nothing special about it.
-pub fn plain_order(run: RunId, agent: AgentId) -> RunOrder {
-    RunOrder {
+pub fn plain_order(run: RunId, agent: AgentId) -> RunCommand {
+    RunCommand {
         request: Arc::from("request"),
         run,
         agent,
@@ -601,7 +601,7 @@
     }
 }
 
-fn bill_row(order: &RunOrder, used: Tokens) -> BillRow {
+fn bill_row(order: &RunCommand, used: Tokens) -> BillRow {
     BillRow {
         request: Arc::clone(&order.request),
         customer: Arc::clone(&order.customer),
