--- a/toucanrail-daemons/src/callers.rs
+++ b/toucanrail-daemons/src/callers.rs
@@ -111,7 +111,8 @@
     call: &ReceivedCall,
 ) -> PlanResult<&'table CustomerEntry> {
     let bearer = call.field("authorization").and_then(|value| value.strip_prefix("Bearer "));
-    let customer = bearer.and_then(|key| table.customer_of(&paths::hash_text(key.trim())));
+    let customer =
+        bearer.and_then(|key| table.customer_by_key_digest(&paths::hash_text(key.trim())));
     customer.map_or_else(|| refuse(codetable::UNKNOWN_KEY, ""), Ok)
 }
 
@@ -134,7 +135,7 @@
         return refuse(codetable::BAD_REQUEST, "The body is not a JSON object.");
     };
     let model = fields.get("model").and_then(Value::as_str).unwrap_or_default();
-    let Some(service) = table.service_of_model(model).filter(|found| may_use(&customer, found))
+    let Some(service) = table.service_by_model(model).filter(|found| may_use(&customer, found))
     else {
         return refuse(codetable::NO_SUCH_MODEL, "See GET /v1/models.");
     };
@@ -212,7 +213,7 @@
     customer: CustomerEntry,
     call: &ReceivedCall,
 ) -> PlanResult<CallPlan> {
-    let found = table.service_of_path(call.path()).filter(|found| may_use(&customer, found));
+    let found = table.service_by_path(call.path()).filter(|found| may_use(&customer, found));
     let Some(service) = found.filter(|found| found.kind == ServiceKind::Plain) else {
         return refuse(codetable::NO_SUCH_ROUTE, "");
     };
@@ -245,7 +246,7 @@
         return refuse(codetable::BAD_REQUEST, "The Idempotency-Key is too long.");
     }
     let request = match key {
-        Some(key) => paths::keyed_request(&customer.name, key),
+        Some(key) => paths::keyed_request_id(&customer.name, key),
         None => Arc::from(format!("{:032x}", fastrand::u128(..))),
     };
     let method: Arc<str> = Arc::from(call.request.method().as_ref());
--- a/toucanrail-daemons/src/demos.rs
+++ b/toucanrail-daemons/src/demos.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use toucanrail::settings::{self, SettingsCall};
+use toucanrail::settings::{self, StartAction};
 use toucanrail_standins::engines::{self, EngineSpeed};
 use toucanrail_standins::{plains, platforms};
 use toucanrail_wire::clients::{ClientLimits, ConnectionPool, OutboundCall};
@@ -66,8 +66,8 @@
     let words: Vec<_> =
         args.iter().map(|(name, value)| format!("--{name}={value}").into()).collect();
     match settings::read("demo", "", rows, words, |_| None) {
-        SettingsCall::Run(values) => values,
-        SettingsCall::Print(_) => unreachable!("no demo argument prints"),
+        StartAction::Run(values) => values,
+        StartAction::Print(_) => unreachable!("no demo argument prints"),
     }
 }
 
--- a/toucanrail-daemons/src/editing.rs
+++ b/toucanrail-daemons/src/editing.rs
@@ -7,7 +7,7 @@
 use serde_json::Value;
 use toucanrail::budgets::BudgetShard;
 use toucanrail::catalogue::{CatalogueItem, CustomerEntry};
-use toucanrail::files;
+use toucanrail::catalogue_files;
 use toucanrail::ids::Version;
 use toucanrail::messages::MirrorObject;
 use toucanrail::paths;
@@ -32,7 +32,7 @@
 fn read_file(path: &str) -> Outcome<CatalogueFile> {
     let text = std::fs::read_to_string(path)
         .map_err(|error| OperatorError::File(path.to_owned(), error))?;
-    let rows = files::read_items(&text).map_err(OperatorError::Faults)?;
+    let rows = catalogue_files::parse_items(&text).map_err(OperatorError::Faults)?;
     let mark = text.lines().find_map(|line| line.strip_prefix(VERSION_MARK));
     let base = mark.and_then(|version| version.trim().parse().ok());
     Ok(CatalogueFile { items: rows.into_iter().map(|row| row.item).collect(), base })
--- a/toucanrail-daemons/src/mirroring.rs
+++ b/toucanrail-daemons/src/mirroring.rs
@@ -100,7 +100,7 @@
         let mut state = self.lock();
         let news = state.objects.take(reply);
         for object in &news {
-            state.catalogue.take(object);
+            state.catalogue.apply(object);
         }
         !news.is_empty()
     }
--- a/toucanrail-daemons/src/operators.rs
+++ b/toucanrail-daemons/src/operators.rs
@@ -7,7 +7,7 @@
 
 use quick_error::quick_error;
 use toucanrail::budgets::BudgetError;
-use toucanrail::files::FileFault;
+use toucanrail::catalogue_files::CatalogueError;
 use toucanrail::settings::{SettingRow, SettingValues};
 use toucanrail_wire::clients::{ClientLimits, ConnectionPool};
 use toucanrail_wire::stores::HttpStore;
@@ -63,7 +63,7 @@
             display("5003: {path}: {error}")
         }
         /// The catalogue file has faults; exit code 1.
-        Faults(faults: Vec<FileFault>) {
+        Faults(faults: Vec<CatalogueError>) {
             display("{}", list_faults(faults))
         }
         /// Something was changed meanwhile; exit code 3.
@@ -90,7 +90,7 @@
     }
 }
 
-fn list_faults(faults: &[FileFault]) -> String {
+fn list_faults(faults: &[CatalogueError]) -> String {
     faults.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n")
 }
 
@@ -195,12 +195,12 @@
     if starting::print_faults(&values) {
         return ExitCode::from(starting::EXIT_USAGE);
     }
-    let demo = values.words.first().is_some_and(|word| word == "demo");
+    let demo = values.positionals.first().is_some_and(|word| word == "demo");
     let ran = smol::block_on(async {
         if demo {
             demos::run().await.map(|()| String::new()).map_err(|error| demo_failed(&error))
         } else {
-            run_command(&tools, &values.words).await
+            run_command(&tools, &values.positionals).await
         }
     });
     match ran {
--- a/toucanrail-daemons/src/serving.rs
+++ b/toucanrail-daemons/src/serving.rs
@@ -115,7 +115,7 @@
         };
         self.reply_end(end).await;
         let steps = std::mem::take(&mut self.steps);
-        self.entry.lock().traces.keep(&self.plan.request, steps);
+        self.entry.lock().traces.append(&self.plan.request, steps);
     }
 
     fn note(&mut self, event: String) {
--- a/toucanrail-daemons/src/starting.rs
+++ b/toucanrail-daemons/src/starting.rs
@@ -8,7 +8,7 @@
 use async_signal::{Signal, Signals};
 use smol::stream::StreamExt;
 use toucanrail::ids::{DataCentre, VmId};
-use toucanrail::settings::{self, SettingRow, SettingValues, SettingsCall};
+use toucanrail::settings::{self, SettingRow, SettingValues, StartAction};
 use tracing_subscriber::EnvFilter;
 
 /// Exit code of a program whose settings have faults.
@@ -129,8 +129,8 @@
 ) -> Result<SettingValues, ExitCode> {
     let env = |name: &str| std::env::var(name).ok();
     match settings::read(program, about, rows, std::env::args_os().skip(1), env) {
-        SettingsCall::Run(values) => Ok(values),
-        SettingsCall::Print(text) => {
+        StartAction::Run(values) => Ok(values),
+        StartAction::Print(text) => {
             print!("{text}");
             Err(ExitCode::SUCCESS)
         }
@@ -139,10 +139,10 @@
 
 /// Prints all faults; true if there were any.
 pub fn print_faults(values: &SettingValues) -> bool {
-    for fault in &values.faults {
+    for fault in &values.errors {
         eprintln!("{fault}");
     }
-    !values.faults.is_empty()
+    !values.errors.is_empty()
 }
 
 /// Starts the logs on standard error.
--- a/toucanrail-gateway/src/accepting.rs
+++ b/toucanrail-gateway/src/accepting.rs
@@ -9,7 +9,7 @@
 use smol::future::FutureExt;
 use toucanrail::codes::{ResultCode, RunState};
 use toucanrail::codetable;
-use toucanrail::framing::BodyFramer;
+use toucanrail::framing::BodyDecoder;
 use toucanrail::matching::CallerBounds;
 use toucanrail_platform::requests;
 use toucanrail_wire::channels::BufferedChannel;
@@ -139,7 +139,7 @@
 ) -> Result<(RequestHead, Vec<u8>), ReadFault> {
     let bytes = clocks::within(bounds.arrival, channel.read_head(bounds.head)).await?;
     let head = RequestHead::parse(&bytes.ok_or(ReadFault::Gone)?)?;
-    let mut framer = BodyFramer::of_request(head.length);
+    let mut framer = BodyDecoder::for_request(head.length);
     let mut body = Vec::new();
     if !framer.is_done() && head.fields.get("expect").is_some() {
         channel.writer().write_all(b"HTTP/1.1 100 Continue\r\n\r\n").await?;
@@ -148,7 +148,7 @@
         loop {
             let taken = framer.feed(&channel.buffer, &mut body);
             channel.buffer.drain(..taken);
-            if framer.is_broken() {
+            if framer.is_malformed() {
                 return Err(ReadFault::Refused(codetable::BAD_REQUEST));
             }
             if body.len() > bounds.body {
--- a/toucanrail-gateway/src/admitting.rs
+++ b/toucanrail-gateway/src/admitting.rs
@@ -7,7 +7,7 @@
 use toucanrail::admissions::AdmissionQuery;
 use toucanrail::codes::{ResultCode, RunState};
 use toucanrail::codetable;
-use toucanrail::matching::{CustomerFacts, RouteRule};
+use toucanrail::matching::{CustomerProfile, RouteRule};
 use toucanrail::returns::{self, RefusalCause};
 use toucanrail_platform::requests::{self, RequestFacts};
 use toucanrail_wire::heads::RequestHead;
@@ -138,7 +138,7 @@
     gateway: &Gateway,
     head: &RequestHead,
     facts: &RequestFacts,
-) -> Result<(Arc<RouteRule>, Option<Arc<CustomerFacts>>), EntryRefusal> {
+) -> Result<(Arc<RouteRule>, Option<Arc<CustomerProfile>>), EntryRefusal> {
     let tables = gateway.tables.borrow();
     let left = facts.timeout.unwrap_or(Duration::MAX);
     let later = Some(returns::pick_wait(RefusalCause::Uninformed, left, fastrand::f64()));
@@ -153,7 +153,7 @@
     };
     let route = tables.routes.find_route(head.host(), head.path());
     let route = route.ok_or_else(|| unknown(codetable::NO_SUCH_ROUTE))?;
-    if route.public || !tables.routes.needs_keys() {
+    if route.public || !tables.routes.requires_keys() {
         return Ok((Arc::clone(route), None));
     }
     let key = facts.key.as_deref().ok_or(codetable::UNKNOWN_KEY)?;
--- a/toucanrail-gateway/src/calls.rs
+++ b/toucanrail-gateway/src/calls.rs
@@ -7,10 +7,10 @@
 
 use toucanrail::attempting::AttemptFate;
 use toucanrail::backends::BackendEntry;
-use toucanrail::events::EventScanner;
-use toucanrail::framing::BodyFramer;
+use toucanrail::framing::BodyDecoder;
 use toucanrail::ids::ServiceName;
-use toucanrail::matching::{CustomerFacts, RouteRule};
+use toucanrail::matching::{CustomerProfile, RouteRule};
+use toucanrail::sse::EventScanner;
 use toucanrail_platform::requests::RequestFacts;
 use toucanrail_wire::channels::BufferedChannel;
 use toucanrail_wire::heads::{AnswerHead, RequestHead};
@@ -36,7 +36,7 @@
     /// Its route.
     pub route: Arc<RouteRule>,
     /// Who pays; none on a public route.
-    pub customer: Option<Arc<CustomerFacts>>,
+    pub customer: Option<Arc<CustomerProfile>>,
     /// The service chosen for it.
     pub service: ServiceName,
     /// When it arrived.
@@ -57,7 +57,7 @@
 
     /// Returns the time left until the caller gives up for want of a beginning.
     pub fn left_to_begin(&self) -> Duration {
-        let begun_by = self.arrived + self.route.patience().saturating_sub(DEADLINE_MARGIN);
+        let begun_by = self.arrived + self.route.caller_timeout().saturating_sub(DEADLINE_MARGIN);
         self.left().min(begun_by.saturating_duration_since(Instant::now()))
     }
 }
@@ -109,7 +109,7 @@
     /// The head.
     pub head: AnswerHead,
     /// Where the body ends.
-    pub framer: BodyFramer,
+    pub framer: BodyDecoder,
     /// Whether all of the request was sent.
     pub sent_whole: bool,
 }
--- a/toucanrail-gateway/src/following.rs
+++ b/toucanrail-gateway/src/following.rs
@@ -274,7 +274,7 @@
         let version = config.version;
         let (taken, routes) = {
             let mut tables = gateway.tables.borrow_mut();
-            (tables.routes.take_config(config), tables.routes.route_count())
+            (tables.routes.apply_config(config), tables.routes.route_count())
         };
         if taken {
             gateway.board.in_force.set(i64::try_from(version).unwrap_or(i64::MAX));
--- a/toucanrail-gateway/src/inspecting.rs
+++ b/toucanrail-gateway/src/inspecting.rs
@@ -10,7 +10,7 @@
 use smol::Async;
 use toucanrail::admissions::AdmissionLimit;
 use toucanrail::backends::BackendTable;
-use toucanrail::detours::DetourTable;
+use toucanrail::endpoints::EndpointTable;
 use toucanrail::grants::GrantTable;
 use toucanrail::ids::ServiceName;
 use toucanrail_platform::names;
@@ -32,7 +32,7 @@
     stopping: bool,
     in_flight: usize,
     store_age_ms: u64,
-    store_ways: DetourTable,
+    store_ways: EndpointTable,
     backends: &'tables BackendTable,
     limits: &'tables BTreeMap<ServiceName, AdmissionLimit>,
     grants: &'tables GrantTable,
--- a/toucanrail-gateway/src/lib.rs
+++ b/toucanrail-gateway/src/lib.rs
@@ -19,7 +19,7 @@
 //!
 //! let rows = &tuning::SETTINGS;
 //! let read = toucanrail::settings::read("gateway", "", rows, std::env::args_os(), |_| None);
-//! let toucanrail::settings::SettingsCall::Run(mut values) = read else { return Ok(()) };
+//! let toucanrail::settings::StartAction::Run(mut values) = read else { return Ok(()) };
 //! let settings = settings::read_settings()?;
 //! starting::run(settings, tuning::GatewayTuning::read(&mut values))?;
 //! # Ok::<(), Box<dyn std::error::Error>>(())
--- a/toucanrail-gateway/src/permitting.rs
+++ b/toucanrail-gateway/src/permitting.rs
@@ -6,7 +6,7 @@
 
 use toucanrail::backends::BackendEntry;
 use toucanrail::coldstarts::{self, PERMIT_TIME, PermitOrder, PermitReply};
-use toucanrail::detours::RelayName;
+use toucanrail::endpoints::RelayName;
 use toucanrail::loans;
 
 use crate::lending::PERMIT_PATH;
--- a/toucanrail-gateway/src/registering.rs
+++ b/toucanrail-gateway/src/registering.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use toucanrail::detours::RelayEntry;
+use toucanrail::endpoints::RelayEntry;
 use toucanrail::paces::{self, PaceMeter};
 use toucanrail::storecalls::{self, StoreCall, StoreReply, WriteExpectation};
 use toucanrail_daemons::starting::ProcessClock;
--- a/toucanrail-gateway/src/relaying.rs
+++ b/toucanrail-gateway/src/relaying.rs
@@ -6,7 +6,7 @@
 use smol::Timer;
 use smol::future::FutureExt;
 use toucanrail::attempting::AttemptFate;
-use toucanrail::framing::BodyFramer;
+use toucanrail::framing::BodyDecoder;
 use toucanrail::silences::SilenceWatch;
 use toucanrail_wire::clocks;
 
@@ -33,7 +33,7 @@
         if exchange.framer.is_done() {
             return Ok(());
         }
-        if exchange.framer.is_broken() || body.len() > BODY_LIMIT {
+        if exchange.framer.is_malformed() || body.len() > BODY_LIMIT {
             return Err(io::ErrorKind::InvalidData.into());
         }
         if exchange.channel.fill().await? == 0 {
@@ -79,7 +79,7 @@
     flight: &FlightGuard,
 ) -> AttemptEnd {
     let AttemptContext { gateway, plan, .. } = *context;
-    let stride = gateway.tables.borrow().routes.stride(&plan.service);
+    let stride = gateway.tables.borrow().routes.tokens_per_event(&plan.service);
     let stall = (plan.route.gap * STALL_FACTOR).max(STALL_LEAST);
     let mut tick = Timer::interval(TICK);
     let mut pending = Vec::new();
@@ -108,7 +108,7 @@
             return AttemptEnd::CallerGone;
         }
         pending.drain(..whole);
-        if exchange.framer.is_broken() {
+        if exchange.framer.is_malformed() {
             return AttemptEnd::Ended(cut_fate(caller));
         }
         match read_more(&mut exchange, &mut tick).await {
@@ -144,7 +144,7 @@
             Ok(_) => ReadEnd::End,
             Err(_) => {
                 // A reset is no end, even of an answer that ends with its connection.
-                exchange.framer = BodyFramer::Exact(u64::MAX);
+                exchange.framer = BodyDecoder::Exact(u64::MAX);
                 ReadEnd::End
             }
         }
--- a/toucanrail-gateway/src/sending.rs
+++ b/toucanrail-gateway/src/sending.rs
@@ -9,7 +9,7 @@
 use toucanrail::admissions::WaitRow;
 use toucanrail::attempting::AttemptFate;
 use toucanrail::backends::{BackendEntry, FlightRow};
-use toucanrail::framing::BodyFramer;
+use toucanrail::framing::BodyDecoder;
 use toucanrail::matching::RouteKind;
 use toucanrail_platform::requests::{self, OrderFacts};
 use toucanrail_wire::channels::BufferedChannel;
@@ -131,7 +131,7 @@
             return Err(AttemptFate::Lost);
         }
     };
-    let framer = BodyFramer::of_answer(head.length);
+    let framer = BodyDecoder::for_response(head.length);
     Ok(OpenExchange { channel, head, framer, sent_whole })
 }
 
@@ -199,7 +199,7 @@
 }
 
 async fn skip_body(channel: &mut BufferedChannel, head: &AnswerHead) -> io::Result<()> {
-    let mut framer = BodyFramer::of_answer(head.length);
+    let mut framer = BodyDecoder::for_response(head.length);
     let mut body = Vec::new();
     loop {
         let taken = framer.feed(&channel.buffer, &mut body);
@@ -208,7 +208,7 @@
         if framer.is_done() {
             return Ok(());
         }
-        if framer.is_broken() || channel.fill().await? == 0 {
+        if framer.is_malformed() || channel.fill().await? == 0 {
             return Err(io::ErrorKind::InvalidData.into());
         }
     }
--- a/toucanrail-gateway/src/starting.rs
+++ b/toucanrail-gateway/src/starting.rs
@@ -11,7 +11,7 @@
 use event_listener::Event;
 use smol::{Async, LocalExecutor};
 use toucanrail::backends::BackendTable;
-use toucanrail::detours::DetourTable;
+use toucanrail::endpoints::EndpointTable;
 use toucanrail::evacuations::EvacuationTable;
 use toucanrail::matching::RouteTable;
 use toucanrail_daemons::observing::MetricBoard;
@@ -72,7 +72,7 @@
     let clock = ProcessClock::start();
     let executor = Rc::new(LocalExecutor::new());
     let data_centre = Arc::clone(&settings.data_centre);
-    let ways = DetourTable::new(settings.store, data_centre, Arc::clone(&settings.region));
+    let ways = EndpointTable::new(settings.store, data_centre, Arc::clone(&settings.region));
     let store = Rc::new(StoreAccess::new(StoreClient::new(STORE_CONNECT), ways, clock));
     let keeper =
         BudgetKeeper::new(&id, Rc::clone(&store), tuning, board.clone(), Rc::clone(&executor));
--- a/toucanrail-gateway/src/storing.rs
+++ b/toucanrail-gateway/src/storing.rs
@@ -9,7 +9,7 @@
 
 use event_listener::Event;
 use smol::future::FutureExt;
-use toucanrail::detours::{DetourTable, RelayEntry, RelayName, StoreWay};
+use toucanrail::endpoints::{EndpointTable, RelayEntry, RelayName, StoreEndpoint};
 use toucanrail::ids::Version;
 use toucanrail::patience::AnswerPatience;
 use toucanrail::storecalls::{self, StoreCall, StoreReply};
@@ -42,7 +42,7 @@
 pub struct StoreAccess {
     client: StoreClient,
     patience: Cell<AnswerPatience>,
-    ways: RefCell<DetourTable>,
+    ways: RefCell<EndpointTable>,
     relays_listed: Cell<bool>,
     moved: Event,
     clock: ProcessClock,
@@ -54,7 +54,7 @@
 
 impl StoreAccess {
     /// Makes the access of one process.
-    pub fn new(client: StoreClient, ways: DetourTable, clock: ProcessClock) -> Self {
+    pub fn new(client: StoreClient, ways: EndpointTable, clock: ProcessClock) -> Self {
         let patience = Cell::new(AnswerPatience::new());
         Self {
             client,
@@ -69,7 +69,7 @@
     }
 
     /// Returns the ways, for the dump of the state.
-    pub fn ways(&self) -> DetourTable {
+    pub fn ways(&self) -> EndpointTable {
         self.ways.borrow().clone()
     }
 
@@ -126,12 +126,12 @@
 
     /// Tells whether calls go to the store directly.
     pub fn is_direct(&self) -> bool {
-        self.ways.borrow().way().0 == StoreWay::Direct
+        self.ways.borrow().current().0 == StoreEndpoint::Direct
     }
 
     /// Tells whether the relays were listed, and none stands on a VM of its own.
     pub fn lacks_relays(&self) -> bool {
-        self.relays_listed.get() && self.ways.borrow().is_hosted()
+        self.relays_listed.get() && self.ways.borrow().uses_hosted_relays()
     }
 
     /// Tells whether the store lists a relay of this name.
@@ -146,7 +146,7 @@
 
     /// Makes one read or conditional write.
     pub async fn call(&self, call: &StoreCall) -> StoreReply {
-        let (way, address) = self.ways.borrow().way();
+        let (way, address) = self.ways.borrow().current();
         let asked = self.now();
         let wait = self.patience.get().wait();
         let reply = self.client.call(address, call, wait).await;
@@ -169,7 +169,7 @@
         freshness: ListFreshness,
         bound: Duration,
     ) -> Result<KindListing, StoreFailure> {
-        let (way, address) = self.ways.borrow().way();
+        let (way, address) = self.ways.borrow().current();
         let listing = self.client.list_kind(address, kind, freshness, bound).await;
         self.note_result(&way, &listing);
         listing
@@ -186,7 +186,7 @@
         slack: Duration,
     ) -> Result<WatchedChanges, StoreFailure> {
         let moved = self.moved.listen();
-        let (way, address) = self.ways.borrow().way();
+        let (way, address) = self.ways.borrow().current();
         let watching = self.client.watch_kind(address, kind, after, wait, wait + slack);
         let moving = async {
             moved.await;
@@ -197,22 +197,22 @@
         watched
     }
 
-    fn note_result<Value>(&self, way: &StoreWay, result: &Result<Value, StoreFailure>) {
+    fn note_result<Value>(&self, way: &StoreEndpoint, result: &Result<Value, StoreFailure>) {
         if matches!(result, Err(StoreFailure::NoAnswer(_) | StoreFailure::Declined(_))) {
             self.note_failure(way);
         }
     }
 
-    fn note_failure(&self, way: &StoreWay) {
+    fn note_failure(&self, way: &StoreEndpoint) {
         let now = self.now();
-        let moved = self.ways.borrow_mut().note_failure(way, fastrand::f64(), now);
+        let moved = self.ways.borrow_mut().record_failure(way, fastrand::f64(), now);
         if moved {
             self.note_moved("failure");
         }
     }
 
     fn note_moved(&self, reason: &str) {
-        let (way, address) = self.ways.borrow().way();
+        let (way, address) = self.ways.borrow().current();
         tracing::info!(event = "store_way", ?way, %address, reason);
         self.moved.notify(usize::MAX);
     }
@@ -223,7 +223,7 @@
         let call = StoreCall::Get { path: path.into() };
         let reply = self.client.call(store, &call, PROBE_BOUND).await;
         if matches!(reply, StoreReply::Found { .. } | StoreReply::Missing) {
-            self.ways.borrow_mut().note_direct();
+            self.ways.borrow_mut().restore_direct();
             self.note_moved("direct way works again");
         }
     }
@@ -240,14 +240,14 @@
         let pause = match now {
             now if now < RELAY_FIRST => RELAY_FIRST_REFRESH,
             now if now < HOSTED_FIRST && store.lacks_relays() => RELAY_FIRST_REFRESH,
-            _ if store.ways.borrow().lacks_paces() => unmeasured,
+            _ if store.ways.borrow().has_unmeasured_server() => unmeasured,
             _ => RELAY_REFRESH,
         };
         if listed.is_none_or(|at| now.saturating_sub(at) > pause) {
             let done = list_relays(&store).await;
             listed = done.then(|| store.now()).or(listed);
         }
-        let wants = store.ways.borrow_mut().wants_probe(now);
+        let wants = store.ways.borrow_mut().start_due_probe(now);
         if wants {
             store.probe_direct(direct).await;
         }
@@ -268,7 +268,7 @@
         let entry: Option<RelayEntry> = storecalls::decode_value(&object.value);
         entry.map(|entry| (object.name, entry))
     });
-    store.ways.borrow_mut().take_relays(entries);
+    store.ways.borrow_mut().set_relays(entries);
     store.relays_listed.set(true);
     true
 }
--- a/toucanrail-gateway/src/tunnelling.rs
+++ b/toucanrail-gateway/src/tunnelling.rs
@@ -15,7 +15,7 @@
 use smol::stream::StreamExt;
 use smol::{Async, LocalExecutor};
 use toucanrail::coldstarts::PermitTable;
-use toucanrail::detours::DetourTable;
+use toucanrail::endpoints::EndpointTable;
 use toucanrail_daemons::observing::MetricBoard;
 use toucanrail_daemons::starting::{self, ProcessClock};
 use toucanrail_platform::settings::NodeSettings;
@@ -76,7 +76,7 @@
     let id = starting::new_incarnation(&settings.vm);
     let board = MetricBoard::new("relay").map_err(io::Error::other)?;
     let data_centre = Arc::clone(&settings.data_centre);
-    let ways = DetourTable::new(settings.store, data_centre, Arc::clone(&settings.region));
+    let ways = EndpointTable::new(settings.store, data_centre, Arc::clone(&settings.region));
     let client = StoreClient::new(CONNECT_BOUND);
     let store = Rc::new(StoreAccess::new(client, ways, ProcessClock::start()));
     let watching = storing::keep_ways(Rc::clone(&store), settings.store, RELAY_REFRESH);
--- a/toucanrail-standins/src/bin/toucanrail-load.rs
+++ b/toucanrail-standins/src/bin/toucanrail-load.rs
@@ -4,7 +4,7 @@
 use std::process::ExitCode;
 use std::sync::Arc;
 
-use toucanrail::settings::{self, SettingValues, SettingsCall};
+use toucanrail::settings::{self, SettingValues, StartAction};
 use toucanrail_standins::loads::{self, LoadFault, LoadPlan};
 use toucanrail_standins::reports::{self, TruthSources, TruthWatch};
 use toucanrail_standins::senders;
@@ -18,20 +18,20 @@
     let env = |name: &str| std::env::var(name).ok();
     let args = std::env::args_os().skip(1);
     let mut values = match settings::read("toucanrail-load", about, &loads::SETTINGS, args, env) {
-        SettingsCall::Print(text) => {
+        StartAction::Print(text) => {
             print!("{text}");
             return ExitCode::SUCCESS;
         }
-        SettingsCall::Run(values) => values,
+        StartAction::Run(values) => values,
     };
     let plan = LoadPlan::read(&mut values);
     let sources = read_sources(&mut values);
     let faults = read_fault_file(&values);
-    for fault in &values.faults {
+    for fault in &values.errors {
         eprintln!("{fault}");
     }
     let faults = match faults {
-        Ok(faults) if values.faults.is_empty() => faults,
+        Ok(faults) if values.errors.is_empty() => faults,
         Ok(_) => return ExitCode::from(EXIT_USAGE),
         Err(reason) => {
             eprintln!("{reason}");
--- a/toucanrail-standins/src/bin/toucanrail-standin.rs
+++ b/toucanrail-standins/src/bin/toucanrail-standin.rs
@@ -2,7 +2,7 @@
 
 use std::process::ExitCode;
 
-use toucanrail::settings::{self, SettingRow, SettingValues, SettingsCall};
+use toucanrail::settings::{self, SettingRow, SettingValues, StartAction};
 use toucanrail_standins::engines::{self, EngineSpeed};
 use toucanrail_standins::{plains, platforms};
 
@@ -23,18 +23,18 @@
     let env = |name: &str| std::env::var(name).ok();
     let args = std::env::args_os().skip(1);
     let mut values = match settings::read("toucanrail-standin", about, &SETTINGS, args, env) {
-        SettingsCall::Print(text) => {
+        StartAction::Print(text) => {
             print!("{text}");
             return ExitCode::SUCCESS;
         }
-        SettingsCall::Run(values) => values,
+        StartAction::Run(values) => values,
     };
     let started = start(&mut values);
-    for fault in &values.faults {
+    for fault in &values.errors {
         eprintln!("{fault}");
     }
     match started {
-        _ if !values.faults.is_empty() => ExitCode::from(2),
+        _ if !values.errors.is_empty() => ExitCode::from(2),
         Err(error) => {
             eprintln!("{error}");
             ExitCode::from(2)
@@ -58,7 +58,7 @@
     };
     let vm_lag = values.duration("vm-lag");
     let honours = values.parse("honours-fencing", "true or false");
-    match values.words.first().map(String::as_str) {
+    match values.positionals.first().map(String::as_str) {
         Some("platform") => platforms::start(&listen, vm_lag).map(|(_, address)| address),
         Some("engine") => engines::start(&listen, speed, honours).map(|(_, address)| address),
         Some("plain") => plains::start(&listen).map(|(_, address)| address),
--- a/toucanrail-wire/src/calling.rs
+++ b/toucanrail-wire/src/calling.rs
@@ -4,7 +4,7 @@
 
 use serde::Serialize;
 use serde::de::DeserializeOwned;
-use toucanrail::framing::BodyFramer;
+use toucanrail::framing::BodyDecoder;
 use toucanrail::scanners::BodyLength;
 
 use crate::channels::BufferedChannel;
@@ -71,7 +71,7 @@
 }
 
 async fn read_body(channel: &mut BufferedChannel, length: BodyLength) -> io::Result<Vec<u8>> {
-    let mut framer = BodyFramer::of_request(length);
+    let mut framer = BodyDecoder::for_request(length);
     let mut body = Vec::new();
     loop {
         let taken = framer.feed(&channel.buffer, &mut body);
@@ -79,7 +79,7 @@
         if framer.is_done() {
             return Ok(body);
         }
-        if framer.is_broken() || body.len() > BODY_LIMIT || channel.fill().await? == 0 {
+        if framer.is_malformed() || body.len() > BODY_LIMIT || channel.fill().await? == 0 {
             return Err(io::ErrorKind::InvalidData.into());
         }
     }
--- a/toucanrail-wire/src/channels.rs
+++ b/toucanrail-wire/src/channels.rs
@@ -53,7 +53,7 @@
     /// messages.
     pub async fn read_head(&mut self, limit: usize) -> io::Result<Option<Vec<u8>>> {
         loop {
-            if let Some(end) = scanners::scan_head_end(&self.buffer) {
+            if let Some(end) = scanners::find_head_end(&self.buffer) {
                 if end > limit {
                     return Err(io::ErrorKind::FileTooLarge.into());
                 }
--- a/toucanrail-wire/src/clients.rs
+++ b/toucanrail-wire/src/clients.rs
@@ -13,7 +13,7 @@
 use smol::future::FutureExt;
 use smol::io::{AsyncReadExt, AsyncWriteExt};
 use smol::net::TcpStream;
-use toucanrail::scanners::{self, BodyLength, HeadFacts};
+use toucanrail::scanners::{self, BodyLength, HeadInfo};
 
 use crate::clocks;
 use crate::replays::ReplayStream;
@@ -343,12 +343,12 @@
 async fn read_answer_head(
     stream: &TcpStream,
     limit: usize,
-) -> io::Result<(Vec<u8>, usize, HeadFacts)> {
+) -> io::Result<(Vec<u8>, usize, HeadInfo)> {
     let mut reader = stream.clone();
     let mut bytes = Vec::new();
     let mut chunk = vec![0; HEAD_READ_SIZE];
     loop {
-        if let Some(end) = scanners::scan_head_end(&bytes) {
+        if let Some(end) = scanners::find_head_end(&bytes) {
             let facts =
                 scanners::scan_head(&bytes[..end]).map_err(|code| invalid(code.row().text))?;
             return Ok((bytes, end, facts));
--- a/toucanrail-wire/src/heads.rs
+++ b/toucanrail-wire/src/heads.rs
@@ -115,7 +115,7 @@
     /// ```
     pub fn parse(bytes: &[u8]) -> Result<Self, HeadFault> {
         let facts = scanners::scan_head(bytes).map_err(HeadFault::Malformed)?;
-        if !facts.host {
+        if !facts.has_host {
             return Err(HeadFault::Malformed(codetable::MISSING_HOST));
         }
         let mut fields = [httparse::EMPTY_HEADER; FIELD_LIMIT];
--- a/toucanrail-wire/src/listeners.rs
+++ b/toucanrail-wire/src/listeners.rs
@@ -12,7 +12,7 @@
 use smol::net::{TcpListener, TcpStream};
 use toucanrail::codes::ResultCode;
 use toucanrail::codetable;
-use toucanrail::scanners::{self, BodyLength, HeadFacts};
+use toucanrail::scanners::{self, BodyLength, HeadInfo};
 
 use crate::clocks;
 use crate::replays::ReplayStream;
@@ -182,10 +182,10 @@
     buffered: &mut Vec<u8>,
     chunk: &mut [u8],
     limits: &ServerLimits,
-) -> io::Result<Option<Result<(usize, HeadFacts), ResultCode>>> {
+) -> io::Result<Option<Result<(usize, HeadInfo), ResultCode>>> {
     let mut reader = stream.clone();
     loop {
-        if let Some(end) = scanners::scan_head_end(buffered) {
+        if let Some(end) = scanners::find_head_end(buffered) {
             return Ok(Some(check_head(&buffered[..end], limits).map(|facts| (end, facts))));
         }
         if buffered.len() > limits.head {
@@ -204,12 +204,12 @@
     }
 }
 
-fn check_head(head: &[u8], limits: &ServerLimits) -> Result<HeadFacts, ResultCode> {
+fn check_head(head: &[u8], limits: &ServerLimits) -> Result<HeadInfo, ResultCode> {
     if head.len() > limits.head {
         return Err(codetable::HEAD_TOO_LARGE);
     }
     let facts = scanners::scan_head(head)?;
-    if !facts.host {
+    if !facts.has_host {
         return Err(codetable::MISSING_HOST);
     }
     match facts.length {
--- a/toucanrail/src/boards.rs
+++ b/toucanrail/src/boards.rs
@@ -11,7 +11,7 @@
 
 use serde::Serialize;
 
-use crate::detours::RelayName;
+use crate::endpoints::RelayName;
 use crate::ids::Version;
 use crate::loans;
 use crate::messages::{ChangesReply, MirrorChange, MirrorObject};
--- a/toucanrail/src/catalogue.rs
+++ b/toucanrail/src/catalogue.rs
@@ -131,7 +131,7 @@
 
 /// A fault of one field.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
-pub struct FieldFault {
+pub struct FieldError {
     /// The field, as the file writes it.
     pub field: &'static str,
     /// What is wrong.
@@ -148,7 +148,7 @@
     }
 
     /// Checks the item by itself.
-    pub fn check(&self) -> Vec<FieldFault> {
+    pub fn check(&self) -> Vec<FieldError> {
         match self {
             Self::Service(service) => check_service(service),
             Self::Customer(customer) => check_customer(customer),
@@ -156,9 +156,9 @@
     }
 }
 
-fn fault(faults: &mut Vec<FieldFault>, wrong: bool, field: &'static str, reason: &str) {
+fn fault(faults: &mut Vec<FieldError>, wrong: bool, field: &'static str, reason: &str) {
     if wrong {
-        faults.push(FieldFault { field, reason: reason.to_owned() });
+        faults.push(FieldError { field, reason: reason.to_owned() });
     }
 }
 
@@ -167,7 +167,7 @@
     !name.is_empty() && name.len() <= 64 && name.bytes().all(plain)
 }
 
-fn check_service(service: &ServiceEntry) -> Vec<FieldFault> {
+fn check_service(service: &ServiceEntry) -> Vec<FieldError> {
     let mut faults = Vec::new();
     let engine = service.kind == ServiceKind::Engine;
     let names = "must be 1 to 64 letters, digits, '-' or '_'";
@@ -190,7 +190,7 @@
     faults
 }
 
-fn check_customer(customer: &CustomerEntry) -> Vec<FieldFault> {
+fn check_customer(customer: &CustomerEntry) -> Vec<FieldError> {
     let mut faults = Vec::new();
     let names = "must be 1 to 64 letters, digits, '-' or '_'";
     fault(&mut faults, !is_plain_name(&customer.name), "name", names);
@@ -220,7 +220,7 @@
 
     /// Takes a changed object: a good one comes into force, a bad one is noted and the last good
     /// one stays, an empty one ends its entry.
-    pub fn take(&mut self, object: &MirrorObject) {
+    pub fn apply(&mut self, object: &MirrorObject) {
         self.faults.remove(&object.name);
         if object.value.is_empty() {
             self.items.remove(&object.name);
@@ -249,7 +249,7 @@
     }
 
     /// Returns the customer that a key's digest belongs to.
-    pub fn customer_of(&self, key_digest: &str) -> Option<&CustomerEntry> {
+    pub fn customer_by_key_digest(&self, key_digest: &str) -> Option<&CustomerEntry> {
         self.customer(self.keys.get(key_digest)?)
     }
 
@@ -286,12 +286,12 @@
     }
 
     /// Returns the service of a model.
-    pub fn service_of_model(&self, model: &str) -> Option<&ServiceEntry> {
+    pub fn service_by_model(&self, model: &str) -> Option<&ServiceEntry> {
         self.services().find(|service| service.model.as_deref() == Some(model))
     }
 
     /// Returns the plain service with the longest route that begins the path.
-    pub fn service_of_path(&self, path: &str) -> Option<&ServiceEntry> {
+    pub fn service_by_path(&self, path: &str) -> Option<&ServiceEntry> {
         let matching = self.services().filter(|service| {
             let rest = service.route.as_deref().and_then(|route| path.strip_prefix(route));
             rest.is_some_and(|rest| rest.is_empty() || rest.starts_with(['/', '?']))
@@ -305,10 +305,10 @@
     ///
     /// # Examples
     /// ```
-    /// use toucanrail::files;
+    /// use toucanrail::catalogue_files;
     /// let text = "[[service]]\nname = 'desk'\nowner = 'a'\nkind = 'plain'\nroute = '/desk'\n\
     ///     price = 1\nnot-repeatable = ['POST /deposits']\n";
-    /// let items = files::read_items(text).unwrap();
+    /// let items = catalogue_files::parse_items(text).unwrap();
     /// let toucanrail::catalogue::CatalogueItem::Service(desk) = &items[0].item else { panic!() };
     /// assert!(!desk.is_repeatable("POST", "/deposits/7"));
     /// assert!(desk.is_repeatable("GET", "/deposits/7"));
--- a/toucanrail/src/files.rs
+++ b/toucanrail/src/catalogue_files.rs
@@ -13,7 +13,7 @@
 quick_error! {
     /// A fault of a catalogue file.
     #[derive(Debug, Clone, PartialEq, Eq)]
-    pub enum FileFault {
+    pub enum CatalogueError {
         /// The text is no TOML, or a block has an unknown name.
         Syntax(line: usize, reason: String) {
             display("5001: line {line}: {reason}")
@@ -27,7 +27,7 @@
 
 /// An item and where its block begins.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct FileItem {
+pub struct ParsedItem {
     /// The item.
     pub item: CatalogueItem,
     /// The line of its block, from 1.
@@ -47,13 +47,13 @@
 ///
 /// # Examples
 /// ```
-/// let faults = toucanrail::files::read_items("[[customer]]\nname = 'a b'\n").unwrap_err();
+/// let faults = toucanrail::catalogue_files::parse_items("[[customer]]\nname = 'a b'\n").unwrap_err();
 /// assert!(faults[0].to_string().starts_with("5001: line 1: customer"));
 /// ```
-pub fn read_items(text: &str) -> Result<Vec<FileItem>, Vec<FileFault>> {
+pub fn parse_items(text: &str) -> Result<Vec<ParsedItem>, Vec<CatalogueError>> {
     let blocks: FileBlocks = toml::from_str(text).map_err(|error| {
         let line = error.span().map_or(1, |span| line_at(text, span.start));
-        vec![FileFault::Syntax(line, error.message().to_owned())]
+        vec![CatalogueError::Syntax(line, error.message().to_owned())]
     })?;
     let mut items = Vec::new();
     let mut faults = Vec::new();
@@ -73,23 +73,23 @@
     text: &str,
     kind: &str,
     block: &Spanned<toml::Table>,
-) -> Result<Entry, FileFault>
+) -> Result<Entry, CatalogueError>
 where
     Entry: DeserializeOwned,
 {
     let table = block.get_ref().clone();
     table.try_into().map_err(|error: toml::de::Error| {
         let line = line_at(text, block.span().start);
-        FileFault::Field(line, kind.to_owned(), error.message().to_owned())
+        CatalogueError::Field(line, kind.to_owned(), error.message().to_owned())
     })
 }
 
 fn take_block(
     text: &str,
     span: Range<usize>,
-    read: Result<CatalogueItem, FileFault>,
-    items: &mut Vec<FileItem>,
-    faults: &mut Vec<FileFault>,
+    read: Result<CatalogueItem, CatalogueError>,
+    items: &mut Vec<ParsedItem>,
+    faults: &mut Vec<CatalogueError>,
 ) {
     let item = match read {
         Ok(item) => item,
@@ -98,20 +98,20 @@
     for fault in item.check() {
         let line = field_line(text, span.start, fault.field);
         let reason = format!("{}: {}", fault.field, fault.reason);
-        faults.push(FileFault::Field(line, item.object_name().to_string(), reason));
+        faults.push(CatalogueError::Field(line, item.object_name().to_string(), reason));
     }
-    items.push(FileItem { item, line: line_at(text, span.start) });
+    items.push(ParsedItem { item, line: line_at(text, span.start) });
 }
 
 /// Finds names, models, routes and keys that stand twice.
-fn find_clashes(items: &[FileItem], faults: &mut Vec<FileFault>) {
+fn find_clashes(items: &[ParsedItem], faults: &mut Vec<CatalogueError>) {
     let mut first: BTreeMap<String, usize> = BTreeMap::new();
     for row in items {
         for claim in claims(&row.item) {
             if let Some(line) = first.get(&claim) {
                 let reason = format!("{claim} stands on line {line} too");
                 let block = row.item.object_name().to_string();
-                faults.push(FileFault::Field(row.line, block, reason));
+                faults.push(CatalogueError::Field(row.line, block, reason));
             } else {
                 first.insert(claim, row.line);
             }
--- a/toucanrail/src/detours.rs
+++ b/toucanrail/src/endpoints.rs
@@ -42,7 +42,7 @@
 
 /// One way to the store.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
-pub enum StoreWay {
+pub enum StoreEndpoint {
     /// Directly.
     Direct,
     /// Through a relay.
@@ -57,18 +57,18 @@
 
 /// The ways to the store, as one entry knows them.
 #[derive(Debug, Clone, Serialize)]
-pub struct DetourTable {
+pub struct EndpointTable {
     store: SocketAddr,
     data_centre: DataCentre,
     region: Region,
     relays: BTreeMap<RelayName, RelayRow>,
-    way: StoreWay,
+    way: StoreEndpoint,
     probed_at: Duration,
     /// Changes of the way so far.
     pub moves: u64,
 }
 
-impl DetourTable {
+impl EndpointTable {
     /// Makes a table without relays: the direct way is taken.
     pub fn new(store: SocketAddr, data_centre: DataCentre, region: Region) -> Self {
         Self {
@@ -76,14 +76,14 @@
             data_centre,
             region,
             relays: BTreeMap::new(),
-            way: StoreWay::Direct,
+            way: StoreEndpoint::Direct,
             probed_at: Duration::ZERO,
             moves: 0,
         }
     }
 
     /// Takes the relays that stand in the store.
-    pub fn take_relays<Entries>(&mut self, entries: Entries)
+    pub fn set_relays<Entries>(&mut self, entries: Entries)
     where
         Entries: IntoIterator<Item = (RelayName, RelayEntry)>,
     {
@@ -96,7 +96,7 @@
         }
         // A relay that is gone from the list may still be the way in use.
         if self.address_of(&self.way).is_none() {
-            self.way = StoreWay::Direct;
+            self.way = StoreEndpoint::Direct;
             self.moves += 1;
         }
     }
@@ -106,20 +106,20 @@
     /// # Examples
     /// ```
     /// use std::sync::Arc;
-    /// use toucanrail::detours::{DetourTable, StoreWay};
+    /// use toucanrail::endpoints::{EndpointTable, StoreEndpoint};
     /// let store = "10.0.0.1:80".parse().unwrap();
-    /// let table = DetourTable::new(store, Arc::from("a"), Arc::from("r"));
-    /// assert_eq!(table.way(), (StoreWay::Direct, store));
+    /// let table = EndpointTable::new(store, Arc::from("a"), Arc::from("r"));
+    /// assert_eq!(table.current(), (StoreEndpoint::Direct, store));
     /// ```
-    pub fn way(&self) -> (StoreWay, SocketAddr) {
+    pub fn current(&self) -> (StoreEndpoint, SocketAddr) {
         let address = self.address_of(&self.way).unwrap_or(self.store);
         (self.way.clone(), address)
     }
 
-    fn address_of(&self, way: &StoreWay) -> Option<SocketAddr> {
+    fn address_of(&self, way: &StoreEndpoint) -> Option<SocketAddr> {
         match way {
-            StoreWay::Direct => Some(self.store),
-            StoreWay::Relay(name) => self.relays.get(name).map(|row| row.entry.address),
+            StoreEndpoint::Direct => Some(self.store),
+            StoreEndpoint::Relay(name) => self.relays.get(name).map(|row| row.entry.address),
         }
     }
 
@@ -127,20 +127,20 @@
     /// now. `dice` in `0..1` spreads entries over the relays.
     ///
     /// Calls run at the same time, so only a failure of the way in use moves it.
-    pub fn note_failure(&mut self, way: &StoreWay, dice: f64, now: Duration) -> bool {
+    pub fn record_failure(&mut self, way: &StoreEndpoint, dice: f64, now: Duration) -> bool {
         if *way != self.way {
             return false;
         }
         match way {
-            StoreWay::Direct => self.probed_at = now,
-            StoreWay::Relay(name) => {
+            StoreEndpoint::Direct => self.probed_at = now,
+            StoreEndpoint::Relay(name) => {
                 if let Some(row) = self.relays.get_mut(name) {
                     row.failed_at = Some(now);
                 }
             }
         }
         // Where all relays fail as well, the store itself is away, and the direct way is as good.
-        let next = self.pick_relay(dice, now).map_or(StoreWay::Direct, StoreWay::Relay);
+        let next = self.pick_relay(dice, now).map_or(StoreEndpoint::Direct, StoreEndpoint::Relay);
         let moved = next != self.way;
         self.way = next;
         self.moves += u64::from(moved);
@@ -162,12 +162,12 @@
     /// Returns the relays that are used: those on VMs of their own, or where there is none those that
     /// entries host.
     fn ranked_relays(&self) -> impl Iterator<Item = (&RelayName, &RelayRow)> {
-        let hosted = self.is_hosted();
+        let hosted = self.uses_hosted_relays();
         self.relays.iter().filter(move |(_, row)| row.entry.hosted == hosted)
     }
 
     /// Tells whether no relay stands on a VM of its own.
-    pub fn is_hosted(&self) -> bool {
+    pub fn uses_hosted_relays(&self) -> bool {
         self.relays.values().all(|row| row.entry.hosted)
     }
 
@@ -188,7 +188,7 @@
     }
 
     /// Tells whether there is a relay that has not measured its server yet.
-    pub fn lacks_paces(&self) -> bool {
+    pub fn has_unmeasured_server(&self) -> bool {
         self.relays.values().any(|row| row.entry.pace_us.is_none() && !row.entry.hosted)
     }
 
@@ -213,8 +213,9 @@
     }
 
     /// Tells whether the direct way is to be tried now, beside a relay in use.
-    pub fn wants_probe(&mut self, now: Duration) -> bool {
-        let due = self.way != StoreWay::Direct && now.saturating_sub(self.probed_at) > PROBE_PAUSE;
+    pub fn start_due_probe(&mut self, now: Duration) -> bool {
+        let due =
+            self.way != StoreEndpoint::Direct && now.saturating_sub(self.probed_at) > PROBE_PAUSE;
         if due {
             self.probed_at = now;
         }
@@ -222,9 +223,9 @@
     }
 
     /// Notes that the direct way works again.
-    pub fn note_direct(&mut self) {
-        if self.way != StoreWay::Direct {
-            self.way = StoreWay::Direct;
+    pub fn restore_direct(&mut self) {
+        if self.way != StoreEndpoint::Direct {
+            self.way = StoreEndpoint::Direct;
             self.moves += 1;
         }
     }
--- a/toucanrail/src/framing.rs
+++ b/toucanrail/src/framing.rs
@@ -4,7 +4,7 @@
 
 /// Follows one body as its bytes arrive.
 #[derive(Debug, Clone)]
-pub enum BodyFramer {
+pub enum BodyDecoder {
     /// So many bytes are still to come.
     Exact(u64),
     /// Chunks.
@@ -13,9 +13,9 @@
     UntilClose,
 }
 
-impl BodyFramer {
+impl BodyDecoder {
     /// Makes the framer of an answer's body.
-    pub fn of_answer(length: BodyLength) -> Self {
+    pub fn for_response(length: BodyLength) -> Self {
         match length {
             BodyLength::Exact(count) => Self::Exact(count),
             BodyLength::Chunked => Self::Chunked(ChunkScanner::new()),
@@ -27,13 +27,13 @@
     ///
     /// # Examples
     /// ```
-    /// use toucanrail::{framing::BodyFramer, scanners::BodyLength};
-    /// assert!(BodyFramer::of_request(BodyLength::Absent).is_done());
+    /// use toucanrail::{framing::BodyDecoder, scanners::BodyLength};
+    /// assert!(BodyDecoder::for_request(BodyLength::Absent).is_done());
     /// ```
-    pub fn of_request(length: BodyLength) -> Self {
+    pub fn for_request(length: BodyLength) -> Self {
         match length {
             BodyLength::Absent => Self::Exact(0),
-            stated => Self::of_answer(stated),
+            stated => Self::for_response(stated),
         }
     }
 
@@ -69,7 +69,7 @@
     }
 
     /// Tells whether the bytes cannot be a body.
-    pub fn is_broken(&self) -> bool {
-        matches!(self, Self::Chunked(scanner) if scanner.is_broken())
+    pub fn is_malformed(&self) -> bool {
+        matches!(self, Self::Chunked(scanner) if scanner.is_malformed())
     }
 }
--- a/toucanrail/src/matching.rs
+++ b/toucanrail/src/matching.rs
@@ -83,7 +83,7 @@
 impl RouteRule {
     /// Returns how long a caller of a stream waits for an event before it gives up; the whole time for other
     /// requests.
-    pub fn patience(&self) -> Duration {
+    pub fn caller_timeout(&self) -> Duration {
         if !self.kind.is_stream() {
             return self.timeout;
         }
@@ -106,7 +106,7 @@
 
 /// What is known of a model service's engines, the same for all its servers.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
-pub struct EngineFacts {
+pub struct EngineSpec {
     /// Sequences in one batch.
     pub slots: u64,
     /// Tokens of memory.
@@ -125,7 +125,7 @@
     /// Connections that one of its servers accepts from all callers together.
     pub connections: u32,
     /// Its engines, if it is a model service.
-    pub engine: Option<EngineFacts>,
+    pub engine: Option<EngineSpec>,
     /// How its servers start, where they are slow at first.
     pub cold: Option<ColdRule>,
 }
@@ -187,7 +187,7 @@
 
 /// A customer's row as requests see it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
-pub struct CustomerFacts {
+pub struct CustomerProfile {
     /// The customer.
     pub name: CustomerId,
     /// Its rank, which goes before the route's.
@@ -223,8 +223,8 @@
     version: Version,
     routes: BTreeMap<Arc<str>, BTreeMap<Arc<str>, Arc<RouteRule>>>,
     services: BTreeMap<ServiceName, ServiceRule>,
-    keys: BTreeMap<Arc<str>, Arc<CustomerFacts>>,
-    customers: BTreeMap<CustomerId, Arc<CustomerFacts>>,
+    keys: BTreeMap<Arc<str>, Arc<CustomerProfile>>,
+    customers: BTreeMap<CustomerId, Arc<CustomerProfile>>,
     bounds: CallerBounds,
 }
 
@@ -243,11 +243,11 @@
     /// ```
     /// use toucanrail::matching::{FleetConfig, RouteTable};
     /// let mut table = RouteTable::new();
-    /// assert!(table.take_config(FleetConfig { version: 7, ..FleetConfig::default() }));
-    /// assert!(!table.take_config(FleetConfig { version: 3, ..FleetConfig::default() }));
+    /// assert!(table.apply_config(FleetConfig { version: 7, ..FleetConfig::default() }));
+    /// assert!(!table.apply_config(FleetConfig { version: 3, ..FleetConfig::default() }));
     /// assert_eq!(table.version(), 7);
     /// ```
-    pub fn take_config(&mut self, config: FleetConfig) -> bool {
+    pub fn apply_config(&mut self, config: FleetConfig) -> bool {
         if config.version <= self.version {
             return false;
         }
@@ -267,7 +267,7 @@
     }
 
     fn add_customer(&mut self, rule: CustomerRule) {
-        let facts = CustomerFacts {
+        let facts = CustomerProfile {
             name: Arc::clone(&rule.name),
             priority: rule.priority,
             prepaid: rule.prepaid,
@@ -313,17 +313,17 @@
     }
 
     /// Returns the customer that holds a key.
-    pub fn find_customer(&self, key: &str) -> Option<&Arc<CustomerFacts>> {
+    pub fn find_customer(&self, key: &str) -> Option<&Arc<CustomerProfile>> {
         self.keys.get(key)
     }
 
     /// Tells whether the configuration has customers, so that requests need a key.
-    pub fn needs_keys(&self) -> bool {
+    pub fn requires_keys(&self) -> bool {
         !self.customers.is_empty()
     }
 
     /// Returns all customers.
-    pub fn customers(&self) -> impl Iterator<Item = &Arc<CustomerFacts>> {
+    pub fn customers(&self) -> impl Iterator<Item = &Arc<CustomerProfile>> {
         self.customers.values()
     }
 
@@ -333,7 +333,7 @@
     }
 
     /// Returns the tokens in one event of a service's streams.
-    pub fn stride(&self, service: &str) -> u64 {
+    pub fn tokens_per_event(&self, service: &str) -> u64 {
         let engine = self.service(service).and_then(|service| service.engine.as_ref());
         engine.map_or(1, |engine| engine.stride)
     }
--- a/toucanrail/src/paths.rs
+++ b/toucanrail/src/paths.rs
@@ -60,10 +60,10 @@
 /// # Examples
 /// ```
 /// use toucanrail::paths;
-/// assert_eq!(paths::keyed_request("a", "k"), paths::keyed_request("a", "k"));
-/// assert_ne!(paths::keyed_request("a", "k"), paths::keyed_request("b", "k"));
+/// assert_eq!(paths::keyed_request_id("a", "k"), paths::keyed_request_id("a", "k"));
+/// assert_ne!(paths::keyed_request_id("a", "k"), paths::keyed_request_id("b", "k"));
 /// ```
-pub fn keyed_request(customer: &str, key: &str) -> RequestId {
+pub fn keyed_request_id(customer: &str, key: &str) -> RequestId {
     let digits = hash_text(&format!("{}:{customer}:{key}", customer.len()));
     Arc::from(&digits[..REQUEST_DIGITS])
 }
--- a/toucanrail/src/scanners.rs
+++ b/toucanrail/src/scanners.rs
@@ -21,11 +21,11 @@
 
 /// What the scanners found in a head.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct HeadFacts {
+pub struct HeadInfo {
     /// How the body's length is stated.
     pub length: BodyLength,
     /// Whether there is exactly one `Host` field.
-    pub host: bool,
+    pub has_host: bool,
     /// Whether the sender wants the connection closed after this message.
     pub close: bool,
 }
@@ -34,10 +34,10 @@
 ///
 /// # Examples
 /// ```
-/// assert_eq!(toucanrail::scanners::scan_head_end(b"GET / HTTP/1.1\r\n\r\nrest"), Some(18));
-/// assert_eq!(toucanrail::scanners::scan_head_end(b"GET / HTTP/1.1\r\n"), None);
+/// assert_eq!(toucanrail::scanners::find_head_end(b"GET / HTTP/1.1\r\n\r\nrest"), Some(18));
+/// assert_eq!(toucanrail::scanners::find_head_end(b"GET / HTTP/1.1\r\n"), None);
 /// ```
-pub fn scan_head_end(bytes: &[u8]) -> Option<usize> {
+pub fn find_head_end(bytes: &[u8]) -> Option<usize> {
     bytes
         .windows(HEAD_END.len())
         .position(|window| window == HEAD_END)
@@ -57,7 +57,7 @@
 /// assert_eq!(facts.length, scanners::BodyLength::Exact(4));
 /// # Ok::<(), toucanrail::codes::ResultCode>(())
 /// ```
-pub fn scan_head(head: &[u8]) -> Result<HeadFacts, ResultCode> {
+pub fn scan_head(head: &[u8]) -> Result<HeadInfo, ResultCode> {
     let text = std::str::from_utf8(head).map_err(|_| codetable::BAD_REQUEST)?;
     if has_bare_line_end(head) {
         return Err(codetable::BAD_REQUEST);
@@ -82,7 +82,7 @@
             length = stated;
         }
     }
-    Ok(HeadFacts { length, host: hosts == 1, close })
+    Ok(HeadInfo { length, has_host: hosts == 1, close })
 }
 
 /// Finds a carriage return or a line feed that stands alone: another reader may take it for the end
@@ -163,7 +163,7 @@
     }
 
     /// Tells whether the bytes are no chunked body.
-    pub fn is_broken(&self) -> bool {
+    pub fn is_malformed(&self) -> bool {
         self.state == ChunkState::Broken
     }
 
@@ -196,7 +196,7 @@
         Sink: FnMut(&[u8]),
     {
         let mut at = 0;
-        while at < bytes.len() && !self.is_done() && !self.is_broken() {
+        while at < bytes.len() && !self.is_done() && !self.is_malformed() {
             if self.state == ChunkState::Data {
                 let taken = self.pass_data(bytes.len() - at);
                 sink(&bytes[at..at + taken]);
--- a/toucanrail/src/settings.rs
+++ b/toucanrail/src/settings.rs
@@ -10,7 +10,7 @@
 quick_error! {
     /// A fault of the settings.
     #[derive(Debug, Clone, PartialEq, Eq)]
-    pub enum SettingFault {
+    pub enum SettingError {
         /// A flag that the program does not know, or one without its value.
         Usage(reason: String) {
             display("5003: {reason}")
@@ -46,7 +46,7 @@
 
 /// What a program was called with.
 #[derive(Debug, Clone)]
-pub enum SettingsCall {
+pub enum StartAction {
     /// Run with these values.
     Run(SettingValues),
     /// Print this and end well.
@@ -58,9 +58,9 @@
 pub struct SettingValues {
     values: BTreeMap<&'static str, String>,
     /// Words that are no flags.
-    pub words: Vec<String>,
+    pub positionals: Vec<String>,
     /// All faults found so far.
-    pub faults: Vec<SettingFault>,
+    pub errors: Vec<SettingError>,
 }
 
 /// Returns the environment variable of a flag.
@@ -77,10 +77,10 @@
 ///
 /// # Examples
 /// ```
-/// use toucanrail::settings::{self, SettingRow, SettingsCall};
+/// use toucanrail::settings::{self, SettingRow, StartAction};
 /// let rows = [SettingRow { name: "tick", default: Some("1s"), help: "Time between ticks." }];
 /// let call = settings::read("prog", "Does it.", &rows, ["--tick=5s".into()], |_| None);
-/// let SettingsCall::Run(mut values) = call else { panic!() };
+/// let StartAction::Run(mut values) = call else { panic!() };
 /// assert_eq!(values.duration("tick").as_secs(), 5);
 /// ```
 pub fn read<Args, Env>(
@@ -89,26 +89,26 @@
     rows: &[SettingRow],
     args: Args,
     env: Env,
-) -> SettingsCall
+) -> StartAction
 where
     Args: IntoIterator<Item = OsString>,
     Args::IntoIter: 'static,
     Env: Fn(&str) -> Option<String>,
 {
     let mut values =
-        SettingValues { values: BTreeMap::new(), words: Vec::new(), faults: Vec::new() };
+        SettingValues { values: BTreeMap::new(), positionals: Vec::new(), errors: Vec::new() };
     let mut parser = lexopt::Parser::from_args(args);
     loop {
         match parser.next() {
             Ok(None) => break,
             Ok(Some(lexopt::Arg::Long("help") | lexopt::Arg::Short('h'))) => {
-                return SettingsCall::Print(help_text(program, about, rows));
+                return StartAction::Print(help_text(program, about, rows));
             }
             Ok(Some(lexopt::Arg::Long("version") | lexopt::Arg::Short('V'))) => {
-                return SettingsCall::Print(format!("{program} {}\n", env!("CARGO_PKG_VERSION")));
+                return StartAction::Print(format!("{program} {}\n", env!("CARGO_PKG_VERSION")));
             }
             Ok(Some(lexopt::Arg::Value(word))) => {
-                values.words.push(word.to_string_lossy().into_owned());
+                values.positionals.push(word.to_string_lossy().into_owned());
             }
             Ok(Some(lexopt::Arg::Long(name))) => {
                 let row = rows.iter().find(|row| row.name == name).copied();
@@ -116,16 +116,16 @@
                 values.take_flag(row, &name, &mut parser);
             }
             Ok(Some(lexopt::Arg::Short(letter))) => {
-                values.faults.push(SettingFault::Usage(format!("there is no flag -{letter}")));
+                values.errors.push(SettingError::Usage(format!("there is no flag -{letter}")));
             }
             Err(error) => {
-                values.faults.push(SettingFault::Usage(error.to_string()));
+                values.errors.push(SettingError::Usage(error.to_string()));
                 break;
             }
         }
     }
     values.fill(rows, env);
-    SettingsCall::Run(values)
+    StartAction::Run(values)
 }
 
 fn help_text(program: &str, about: &str, rows: &[SettingRow]) -> String {
@@ -145,7 +145,7 @@
 impl SettingValues {
     fn take_flag(&mut self, row: Option<SettingRow>, name: &str, parser: &mut lexopt::Parser) {
         let Some(row) = row else {
-            self.faults.push(SettingFault::Usage(format!("there is no flag --{name}")));
+            self.errors.push(SettingError::Usage(format!("there is no flag --{name}")));
             return;
         };
         if row.is_switch() {
@@ -158,7 +158,7 @@
             Ok(value) => {
                 self.values.insert(row.name, value.to_string_lossy().into_owned());
             }
-            Err(error) => self.faults.push(SettingFault::Usage(error.to_string())),
+            Err(error) => self.errors.push(SettingError::Usage(error.to_string())),
         }
     }
 
@@ -175,7 +175,7 @@
                 Some(value) => {
                     self.values.insert(row.name, value);
                 }
-                None => self.faults.push(SettingFault::Missing(row.name)),
+                None => self.errors.push(SettingError::Missing(row.name)),
             }
         }
     }
@@ -210,12 +210,12 @@
         Value: Default,
         Read: Fn(&str) -> Option<Value>,
     {
-        if self.faults.contains(&SettingFault::Missing(name)) {
+        if self.errors.contains(&SettingError::Missing(name)) {
             return Value::default();
         }
         let text = self.text(name).to_owned();
         read(&text).unwrap_or_else(|| {
-            self.faults.push(SettingFault::Value(name, text, wanted));
+            self.errors.push(SettingError::Value(name, text, wanted));
             Value::default()
         })
     }
--- a/toucanrail/src/events.rs
+++ b/toucanrail/src/sse.rs
@@ -23,7 +23,7 @@
     ///
     /// # Examples
     /// ```
-    /// let mut scanner = toucanrail::events::EventScanner::new();
+    /// let mut scanner = toucanrail::sse::EventScanner::new();
     /// assert_eq!(scanner.scan(b"id: 4\ndata: a\n\nid: 5\nda"), 15);
     /// assert_eq!((scanner.last_id, scanner.count), (Some(4), 1));
     /// ```
--- a/toucanrail/src/traces.rs
+++ b/toucanrail/src/traces.rs
@@ -40,10 +40,10 @@
     /// ```
     /// use toucanrail::traces::TraceTable;
     /// let mut table = TraceTable::new();
-    /// table.keep(&"r".into(), Vec::new());
+    /// table.append(&"r".into(), Vec::new());
     /// assert_eq!(table.get("r"), Some(&[][..]));
     /// ```
-    pub fn keep(&mut self, request: &RequestId, steps: Vec<TraceStep>) {
+    pub fn append(&mut self, request: &RequestId, steps: Vec<TraceStep>) {
         if let Some(row) = self.rows.get_mut(request) {
             return row.extend(steps);
         }
--- a/toucanrail/tests/catalogue_files.rs
+++ b/toucanrail/tests/catalogue_files.rs
@@ -3,14 +3,14 @@
 use std::sync::Arc;
 
 use toucanrail::catalogue::CatalogueTable;
-use toucanrail::files;
+use toucanrail::catalogue_files;
 use toucanrail::messages::MirrorObject;
 
 const GOOD: &str = "[[service]]\nname = \"desk\"\nowner = \"ops\"\nkind = \"plain\"\n\
     route = \"/desk\"\nprice = 5\n";
 
 fn faults(text: &str) -> Vec<String> {
-    let faults = files::read_items(text).expect_err("it has faults");
+    let faults = catalogue_files::parse_items(text).expect_err("it has faults");
     faults.iter().map(ToString::to_string).collect()
 }
 
@@ -52,13 +52,13 @@
 #[test]
 fn bad_object() {
     let mut table = CatalogueTable::new();
-    let item = files::read_items(GOOD).expect("it is good").remove(0).item;
+    let item = catalogue_files::parse_items(GOOD).expect("it is good").remove(0).item;
     let value = serde_json::to_string(&item).expect("it is encoded");
-    table.take(&object(1, &value));
-    table.take(&object(2, "{\"service\":{\"name\":\"desk\"}}"));
+    table.apply(&object(1, &value));
+    table.apply(&object(2, "{\"service\":{\"name\":\"desk\"}}"));
     assert_eq!(table.service("desk").map(|service| service.price), Some(5));
     assert!(table.faults.contains_key("service.desk"));
-    table.take(&object(3, ""));
+    table.apply(&object(3, ""));
     assert!(table.service("desk").is_none() && table.faults.is_empty());
 }
 
@@ -67,11 +67,11 @@
     let mut table = CatalogueTable::new();
     for (name, route) in [("desk", "/desk"), ("inner", "/desk/inner")] {
         let text = GOOD.replace("\"desk\"", &format!("\"{name}\"")).replace("/desk", route);
-        let item = files::read_items(&text).expect("it is good").remove(0).item;
+        let item = catalogue_files::parse_items(&text).expect("it is good").remove(0).item;
         let value = serde_json::to_vec(&item).expect("it is encoded");
-        table.take(&MirrorObject { name: item.object_name(), version: 1, value });
+        table.apply(&MirrorObject { name: item.object_name(), version: 1, value });
     }
-    let found = |path| table.service_of_path(path).map(|service| service.name.to_string());
+    let found = |path| table.service_by_path(path).map(|service| service.name.to_string());
     assert_eq!(found("/desk/inner/x").as_deref(), Some("inner"));
     assert_eq!(found("/desk/innermost").as_deref(), Some("desk"));
     assert_eq!(found("/desks"), None);
--- a/toucanrail/tests/route_matching.rs
+++ b/toucanrail/tests/route_matching.rs
@@ -31,7 +31,7 @@
 
 fn make_table(routes: Vec<RouteRule>) -> RouteTable {
     let mut table = RouteTable::new();
-    table.take_config(FleetConfig { version: 1, routes, ..FleetConfig::default() });
+    table.apply_config(FleetConfig { version: 1, routes, ..FleetConfig::default() });
     table
 }
 
@@ -81,8 +81,8 @@
         ..FleetConfig::default()
     };
     let mut table = RouteTable::new();
-    assert!(table.take_config(config(5, &["new"])));
-    assert!(!table.take_config(config(4, &["new", "old"])));
+    assert!(table.apply_config(config(5, &["new"])));
+    assert!(!table.apply_config(config(4, &["new", "old"])));
     assert!(table.find_customer("old").is_none());
-    assert!(table.needs_keys());
+    assert!(table.requires_keys());
 }
--- a/toucanrail/tests/store_detours.rs
+++ b/toucanrail/tests/store_endpoints.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use toucanrail::detours::{DetourTable, RelayEntry, StoreWay};
+use toucanrail::endpoints::{EndpointTable, RelayEntry, StoreEndpoint};
 use toucanrail::patience::AnswerPatience;
 
 fn store() -> SocketAddr {
@@ -17,10 +17,10 @@
     RelayEntry { address, lending: address, data_centre, region, pace_us: None, hosted: false }
 }
 
-fn make_table() -> DetourTable {
-    let mut table = DetourTable::new(store(), Arc::from("a"), Arc::from("r"));
+fn make_table() -> EndpointTable {
+    let mut table = EndpointTable::new(store(), Arc::from("a"), Arc::from("r"));
     let relays = [("far", relay(1, "b")), ("near-1", relay(2, "a")), ("near-2", relay(3, "a"))];
-    table.take_relays(relays.map(|(name, entry)| (Arc::from(name), entry)));
+    table.set_relays(relays.map(|(name, entry)| (Arc::from(name), entry)));
     table
 }
 
@@ -30,8 +30,8 @@
 #[test]
 fn cut_entry() {
     let mut table = make_table();
-    assert!(table.note_failure(&StoreWay::Direct, 0.0, Duration::from_secs(1)));
-    assert_eq!(table.way().0, StoreWay::Relay(Arc::from("near-1")));
+    assert!(table.record_failure(&StoreEndpoint::Direct, 0.0, Duration::from_secs(1)));
+    assert_eq!(table.current().0, StoreEndpoint::Relay(Arc::from("near-1")));
 }
 
 /// Three calls wait on the direct way when it breaks. Their failures come one after the other, and
@@ -40,9 +40,9 @@
 fn late_failures() {
     let mut table = make_table();
     let now = Duration::from_secs(1);
-    table.note_failure(&StoreWay::Direct, 0.0, now);
-    assert!(!table.note_failure(&StoreWay::Direct, 0.9, now));
-    assert_eq!(table.way().0, StoreWay::Relay(Arc::from("near-1")));
+    table.record_failure(&StoreEndpoint::Direct, 0.0, now);
+    assert!(!table.record_failure(&StoreEndpoint::Direct, 0.9, now));
+    assert_eq!(table.current().0, StoreEndpoint::Relay(Arc::from("near-1")));
 }
 
 /// The store itself is away: each relay fails in turn, and the direct way is as good as any. When
@@ -51,37 +51,37 @@
 fn absent_store() {
     let mut table = make_table();
     let mut now = Duration::from_secs(1);
-    table.note_failure(&StoreWay::Direct, 0.0, now);
+    table.record_failure(&StoreEndpoint::Direct, 0.0, now);
     for _ in 0..3 {
-        let (way, _) = table.way();
-        assert_ne!(way, StoreWay::Direct);
-        table.note_failure(&way, 0.0, now);
+        let (way, _) = table.current();
+        assert_ne!(way, StoreEndpoint::Direct);
+        table.record_failure(&way, 0.0, now);
     }
-    assert_eq!(table.way().0, StoreWay::Direct);
-    assert!(!table.note_failure(&StoreWay::Direct, 0.0, now));
+    assert_eq!(table.current().0, StoreEndpoint::Direct);
+    assert!(!table.record_failure(&StoreEndpoint::Direct, 0.0, now));
     now += Duration::from_secs(6);
-    assert!(table.note_failure(&StoreWay::Direct, 0.0, now));
+    assert!(table.record_failure(&StoreEndpoint::Direct, 0.0, now));
 }
 
 /// The cut heals. The direct way is tried now and then, and taken as soon as it works.
 #[test]
 fn healed_cut() {
     let mut table = make_table();
-    table.note_failure(&StoreWay::Direct, 0.0, Duration::from_secs(1));
-    assert!(!table.wants_probe(Duration::from_secs(2)));
-    assert!(table.wants_probe(Duration::from_secs(4)));
-    assert!(!table.wants_probe(Duration::from_secs(5)));
-    table.note_direct();
-    assert_eq!(table.way(), (StoreWay::Direct, store()));
+    table.record_failure(&StoreEndpoint::Direct, 0.0, Duration::from_secs(1));
+    assert!(!table.start_due_probe(Duration::from_secs(2)));
+    assert!(table.start_due_probe(Duration::from_secs(4)));
+    assert!(!table.start_due_probe(Duration::from_secs(5)));
+    table.restore_direct();
+    assert_eq!(table.current(), (StoreEndpoint::Direct, store()));
 }
 
 /// The VM of the relay in use is taken away, and its entry with it.
 #[test]
 fn removed_relay() {
     let mut table = make_table();
-    table.note_failure(&StoreWay::Direct, 0.0, Duration::from_secs(1));
-    table.take_relays([(Arc::from("far"), relay(1, "b"))]);
-    assert_eq!(table.way().0, StoreWay::Direct);
+    table.record_failure(&StoreEndpoint::Direct, 0.0, Duration::from_secs(1));
+    table.set_relays([(Arc::from("far"), relay(1, "b"))]);
+    assert_eq!(table.current().0, StoreEndpoint::Direct);
 }
 
 /// A customer's grants were spread over a lender in each data centre, and most changes of its account
@@ -91,7 +91,7 @@
     let mut table = make_table();
     let abroad = RelayEntry { region: Arc::from("other"), ..relay(4, "z") };
     let rows = [("far", relay(1, "b")), ("near", relay(2, "a")), ("abroad", abroad)];
-    table.take_relays(rows.map(|(name, entry)| (Arc::from(name), entry)));
+    table.set_relays(rows.map(|(name, entry)| (Arc::from(name), entry)));
     let names: Vec<Arc<str>> = table.lenders().into_iter().map(|(name, _)| name).collect();
     assert_eq!(names, [Arc::from("far"), Arc::from("near")]);
 }
@@ -125,16 +125,16 @@
 fn hosted_relays() {
     let mut table = make_table();
     let hosted = |port| RelayEntry { hosted: true, ..relay(port, "a") };
-    let names = |table: &DetourTable| {
+    let names = |table: &EndpointTable| {
         let lenders = table.lenders();
         lenders.into_iter().map(|(name, _)| name.to_string()).collect::<Vec<_>>()
     };
-    table.take_relays([(Arc::from("front-1"), hosted(8)), (Arc::from("front-2"), hosted(9))]);
-    assert!(table.is_hosted());
+    table.set_relays([(Arc::from("front-1"), hosted(8)), (Arc::from("front-2"), hosted(9))]);
+    assert!(table.uses_hosted_relays());
     assert_eq!(names(&table), ["front-1", "front-2"]);
-    table.take_relays([(Arc::from("front-1"), hosted(8)), (Arc::from("side-1"), relay(1, "b"))]);
-    assert!(!table.is_hosted());
+    table.set_relays([(Arc::from("front-1"), hosted(8)), (Arc::from("side-1"), relay(1, "b"))]);
+    assert!(!table.uses_hosted_relays());
     assert_eq!(names(&table), ["side-1"]);
-    table.note_failure(&StoreWay::Direct, 0.0, Duration::from_secs(1));
-    assert_eq!(table.way().0, StoreWay::Relay(Arc::from("side-1")));
+    table.record_failure(&StoreEndpoint::Direct, 0.0, Duration::from_secs(1));
+    assert_eq!(table.current().0, StoreEndpoint::Relay(Arc::from("side-1")));
 }
--- a/toucanrail/tests/stream_events.rs
+++ b/toucanrail/tests/stream_events.rs
@@ -1,9 +1,9 @@
 //! Events found in the bytes of a stream, however these are cut.
 
 use proptest::prelude::*;
-use toucanrail::events::EventScanner;
-use toucanrail::framing::BodyFramer;
+use toucanrail::framing::BodyDecoder;
 use toucanrail::scanners::BodyLength;
+use toucanrail::sse::EventScanner;
 
 fn make_stream(events: u64) -> Vec<u8> {
     (1..=events).flat_map(|id| format!("id: {id}\ndata: x{id}\n\n").into_bytes()).collect()
@@ -43,7 +43,7 @@
         bytes.extend_from_slice(b"0\r\n\r\n");
         let length = bytes.len();
         bytes.extend_from_slice(b"HTTP/1.1 200 OK");
-        let mut framer = BodyFramer::of_answer(BodyLength::Chunked);
+        let mut framer = BodyDecoder::for_response(BodyLength::Chunked);
         let (mut data, mut taken) = (Vec::new(), 0);
         for piece in bytes.chunks(step) {
             taken += framer.feed(piece, &mut data);
@@ -57,7 +57,7 @@
 /// A server sends bytes that are no chunked body; none of them may pass as an answer.
 #[test]
 fn broken_chunks() {
-    let mut framer = BodyFramer::of_answer(BodyLength::Chunked);
+    let mut framer = BodyDecoder::for_response(BodyLength::Chunked);
     framer.feed(b"zz\r\nabc", &mut Vec::new());
-    assert!(framer.is_broken() && !framer.is_done());
+    assert!(framer.is_malformed() && !framer.is_done());
 }
