--- a/toucanrail/examples/message_sizes.rs
+++ b/toucanrail/examples/message_sizes.rs
@@ -1,5 +1,4 @@
-//! Prints the encoded sizes of the messages that make up a fleet's control traffic, for
-//! `docs/CAPACITY.md`.
+//! Prints the encoded sizes of the messages of a fleet's control traffic, for `docs/CAPACITY.md`.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,10 +9,11 @@
 use toucanrail::servers::{NodeEntry, NodeRole};
 use toucanrail::storecalls;
 
-/// Bytes of an HTTP head between processes, request and answer together, with the seal.
+/// Size of the HTTP heads of a call between processes, request and response together, including the
+/// signature, in bytes.
 const HEADS: usize = 330;
 
-fn packed<Message>(message: &Message) -> usize
+fn encoded_size<Message>(message: &Message) -> usize
 where
     Message: serde::Serialize,
 {
@@ -23,7 +23,7 @@
 fn main() {
     let name = |text: &str| -> Arc<str> { Arc::from(text) };
     let address = SocketAddr::from(([10, 1, 2, 3], 7101));
-    let order = MirrorQuery { address: Some(address), catalogue: 1 << 40, nodes: 1 << 40 };
+    let query = MirrorQuery { address: Some(address), catalogue: 1 << 40, nodes: 1 << 40 };
     let report = LoadReport {
         agent: name("agent-south-a-123.0123abcd"),
         service: name("levy-llm"),
@@ -34,8 +34,11 @@
         leaving: false,
         in_force: 1 << 40,
     };
-    println!("load report, asked and answered: {} bytes", packed(&order) + packed(&report) + HEADS);
-    println!("heartbeat without news: {} bytes", packed(&order) + 160 + HEADS);
+    println!(
+        "load report, query and reply: {} bytes",
+        encoded_size(&query) + encoded_size(&report) + HEADS
+    );
+    println!("heartbeat without changes: {} bytes", encoded_size(&query) + 160 + HEADS);
     let node = NodeEntry {
         id: name("agent-south-a-123.0123abcd"),
         role: NodeRole::Agent,
--- a/toucanrail/src/catalogue.rs
+++ b/toucanrail/src/catalogue.rs
@@ -1,4 +1,4 @@
-//! The catalogue in force: services and customers, found by model, route and key.
+//! The catalogue of services and customers, indexed by model, route and key.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -9,30 +9,30 @@
 use crate::messages::MirrorObject;
 use crate::storecalls;
 
-/// What stands behind a service.
+/// What kind of backend serves a service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ServiceKind {
     /// Model engines.
     Engine,
-    /// A plain service.
+    /// A plain HTTP service.
     Plain,
 }
 
-/// Who is refused first when a service is short of capacity.
+/// Service class of a customer: determines who is refused first when a service lacks capacity.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ServiceClass {
     /// Refused first.
     Batch,
-    /// The usual class.
+    /// Refused after `Batch` and before `Urgent`.
     Standard,
     /// Refused last.
     Urgent,
 }
 
 impl ServiceClass {
-    /// Returns the priority that model engines get.
+    /// Returns the priority that is passed to model engines.
     pub const fn priority(self) -> u8 {
         match self {
             Self::Batch => 0,
@@ -42,39 +42,39 @@
     }
 }
 
-/// One service of the catalogue.
+/// A service in the catalogue.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct ServiceEntry {
-    /// Its name.
+    /// Name of the service.
     pub name: ServiceName,
-    /// Who answers for it.
+    /// Person or team responsible for the service.
     pub owner: Arc<str>,
-    /// What stands behind it.
+    /// Kind of backend.
     pub kind: ServiceKind,
-    /// The model's name towards callers.
+    /// Model name that callers use; required for an engine.
     pub model: Option<Arc<str>>,
-    /// The path prefix of a plain service.
+    /// Path prefix of a plain service.
     pub route: Option<Arc<str>>,
-    /// Calls that may run at most once, as `METHOD /path-prefix` below the route.
+    /// Calls that may run at most once, as `METHOD /path-prefix` relative to the route.
     #[serde(default)]
     pub not_repeatable: Vec<Arc<str>>,
-    /// Price of a call of a plain service.
+    /// Price of one call of a plain service.
     #[serde(default)]
     pub price: Tokens,
-    /// Output limit where the caller gives none, and the most a caller may ask for.
+    /// Default output limit in tokens, and the maximum that a caller may request.
     #[serde(default = "default_output")]
     pub max_output: Tokens,
-    /// The fewest prompt bytes that the engine counts as one token; bounds a prompt's cost.
+    /// Minimum number of prompt bytes per token; bounds the cost of a prompt from above.
     #[serde(default = "default_bytes")]
     pub least_bytes_per_token: u64,
-    /// Whether the engine refuses orders with an old fencing number.
+    /// Whether the engine refuses commands with an outdated fencing number.
     #[serde(default)]
     pub honours_fencing: bool,
-    /// Whether the engine resumes a stream from an offset.
+    /// Whether the engine can resume a stream from an offset.
     #[serde(default)]
     pub resumes: bool,
-    /// The longest a request may take, in seconds.
+    /// Maximum duration of a request, in seconds.
     #[serde(default = "default_deadline")]
     pub deadline_seconds: u64,
 }
@@ -91,25 +91,25 @@
     120
 }
 
-/// One customer of the catalogue.
+/// A customer in the catalogue.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct CustomerEntry {
-    /// Its name.
+    /// Name of the customer.
     pub name: CustomerId,
-    /// Who answers for it.
+    /// Person or team responsible for the customer.
     pub owner: Arc<str>,
-    /// Who is refused first.
+    /// Class that determines who is refused first when a service lacks capacity.
     pub class: ServiceClass,
-    /// SHA-256 digests of its bearer keys, in hexadecimal.
+    /// SHA-256 digests of the customer's bearer keys, in hexadecimal.
     pub key_digests: Vec<Arc<str>>,
-    /// Its share of a service that is short of capacity.
+    /// Relative weight of the customer's share of a service that lacks capacity.
     #[serde(default = "default_weight")]
     pub weight: u64,
-    /// The services it may use; all if empty.
+    /// Services that the customer may use; all if empty.
     #[serde(default)]
     pub services: Vec<ServiceName>,
-    /// What its budget starts with, when its account is made; later changes go through
+    /// Initial budget, set when the account is created; later changes are made with
     /// `toucanrail budget`.
     #[serde(default)]
     pub opening_budget: Tokens,
@@ -119,7 +119,7 @@
     1
 }
 
-/// One entry of the catalogue.
+/// An item of the catalogue.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum CatalogueItem {
@@ -129,17 +129,17 @@
     Customer(CustomerEntry),
 }
 
-/// A fault of one field.
+/// An invalid field of a catalogue item.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct FieldError {
-    /// The field, as the file writes it.
+    /// Name of the field in the catalogue file.
     pub field: &'static str,
-    /// What is wrong.
+    /// Why the field is invalid.
     pub reason: String,
 }
 
 impl CatalogueItem {
-    /// Returns the name of its object in the catalogue kind.
+    /// Returns the name of the item's object within the `catalogue` kind.
     pub fn object_name(&self) -> Arc<str> {
         match self {
             Self::Service(service) => Arc::from(format!("service.{}", service.name)),
@@ -147,7 +147,7 @@
         }
     }
 
-    /// Checks the item by itself.
+    /// Validates the fields of the item; does not look at other items.
     pub fn check(&self) -> Vec<FieldError> {
         match self {
             Self::Service(service) => check_service(service),
@@ -156,72 +156,76 @@
     }
 }
 
-fn fault(faults: &mut Vec<FieldError>, wrong: bool, field: &'static str, reason: &str) {
+fn reject_if(errors: &mut Vec<FieldError>, wrong: bool, field: &'static str, reason: &str) {
     if wrong {
-        faults.push(FieldError { field, reason: reason.to_owned() });
+        errors.push(FieldError { field, reason: reason.to_owned() });
     }
 }
 
-fn is_plain_name(name: &str) -> bool {
-    let plain = |byte: u8| byte.is_ascii_alphanumeric() || byte == b'-' || byte == b'_';
-    !name.is_empty() && name.len() <= 64 && name.bytes().all(plain)
+fn is_valid_name(name: &str) -> bool {
+    let allowed = |byte: u8| byte.is_ascii_alphanumeric() || byte == b'-' || byte == b'_';
+    !name.is_empty() && name.len() <= 64 && name.bytes().all(allowed)
 }
 
 fn check_service(service: &ServiceEntry) -> Vec<FieldError> {
-    let mut faults = Vec::new();
+    let mut errors = Vec::new();
     let engine = service.kind == ServiceKind::Engine;
     let names = "must be 1 to 64 letters, digits, '-' or '_'";
-    fault(&mut faults, !is_plain_name(&service.name), "name", names);
-    fault(&mut faults, service.owner.is_empty(), "owner", "must not be empty");
-    fault(&mut faults, engine && service.model.is_none(), "model", "an engine needs a model");
-    fault(&mut faults, engine && service.route.is_some(), "route", "only for a plain service");
-    fault(&mut faults, !engine && service.model.is_some(), "model", "only for an engine");
-    fault(&mut faults, !engine && service.price == 0, "price", "a plain service needs a price");
+    reject_if(&mut errors, !is_valid_name(&service.name), "name", names);
+    reject_if(&mut errors, service.owner.is_empty(), "owner", "must not be empty");
+    reject_if(&mut errors, engine && service.model.is_none(), "model", "required for engines");
+    reject_if(&mut errors, engine && service.route.is_some(), "route", "not allowed for engines");
+    reject_if(&mut errors, !engine && service.model.is_some(), "model", "only allowed for engines");
+    reject_if(&mut errors, !engine && service.price == 0, "price", "required for plain services");
     let route = service.route.as_deref().unwrap_or_default();
     let rooted = route.starts_with('/') && route.len() > 1 && !route.starts_with("/v1");
-    fault(&mut faults, !engine && !rooted, "route", "must begin with '/' and not with '/v1'");
-    fault(&mut faults, service.max_output == 0, "max-output", "must be at least 1");
+    reject_if(&mut errors, !engine && !rooted, "route", "must begin with '/' and not with '/v1'");
+    reject_if(&mut errors, service.max_output == 0, "max-output", "must be at least 1");
     let bytes = service.least_bytes_per_token;
-    fault(&mut faults, bytes == 0, "least-bytes-per-token", "must be at least 1");
-    fault(&mut faults, service.deadline_seconds == 0, "deadline-seconds", "must be at least 1");
+    reject_if(&mut errors, bytes == 0, "least-bytes-per-token", "must be at least 1");
+    reject_if(&mut errors, service.deadline_seconds == 0, "deadline-seconds", "must be at least 1");
     let calls = service.not_repeatable.iter();
-    let unclear = calls.filter(|call| !call.contains(" /")).count() > 0;
-    fault(&mut faults, unclear, "not-repeatable", "each must be 'METHOD /path'");
-    faults
+    let malformed = calls.filter(|call| !call.contains(" /")).count() > 0;
+    reject_if(&mut errors, malformed, "not-repeatable", "each must be 'METHOD /path'");
+    errors
 }
 
 fn check_customer(customer: &CustomerEntry) -> Vec<FieldError> {
-    let mut faults = Vec::new();
+    let mut errors = Vec::new();
     let names = "must be 1 to 64 letters, digits, '-' or '_'";
-    fault(&mut faults, !is_plain_name(&customer.name), "name", names);
-    fault(&mut faults, customer.owner.is_empty(), "owner", "must not be empty");
-    fault(&mut faults, customer.weight == 0, "weight", "must be at least 1");
-    let digest = |text: &Arc<str>| text.len() == 64 && text.bytes().all(|b| b.is_ascii_hexdigit());
-    let digests = customer.key_digests.iter().all(digest);
-    fault(&mut faults, !digests, "key-digests", "each must be a SHA-256 digest in hexadecimal");
-    faults
+    reject_if(&mut errors, !is_valid_name(&customer.name), "name", names);
+    reject_if(&mut errors, customer.owner.is_empty(), "owner", "must not be empty");
+    reject_if(&mut errors, customer.weight == 0, "weight", "must be at least 1");
+    let is_digest =
+        |text: &Arc<str>| text.len() == 64 && text.bytes().all(|b| b.is_ascii_hexdigit());
+    let valid = customer.key_digests.iter().all(is_digest);
+    reject_if(&mut errors, !valid, "key-digests", "each must be a SHA-256 digest in hexadecimal");
+    errors
 }
 
-/// The catalogue as a node has it in force.
+/// The catalogue in effect at a node.
 #[derive(Debug, Default, Serialize)]
 pub struct CatalogueTable {
     items: BTreeMap<Arc<str>, (Version, CatalogueItem)>,
-    /// Objects refused, with the reason; their last good version stays in force.
-    pub faults: BTreeMap<Arc<str>, String>,
+    /// Invalid objects, with the reason; their last valid version stays in effect.
+    #[serde(rename = "faults")]
+    pub errors: BTreeMap<Arc<str>, String>,
     #[serde(skip)]
     keys: BTreeMap<Arc<str>, CustomerId>,
 }
 
 impl CatalogueTable {
-    /// Makes an empty table.
+    /// Creates an empty table.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes a changed object: a good one comes into force, a bad one is noted and the last good
-    /// one stays, an empty one ends its entry.
+    /// Applies a changed object.
+    ///
+    /// A valid object takes effect. For an invalid one an error is recorded and the last valid
+    /// version stays in effect. An object with an empty value removes the item.
     pub fn apply(&mut self, object: &MirrorObject) {
-        self.faults.remove(&object.name);
+        self.errors.remove(&object.name);
         if object.value.is_empty() {
             self.items.remove(&object.name);
         } else {
@@ -230,7 +234,7 @@
                     self.items.insert(Arc::clone(&object.name), (object.version, item));
                 }
                 Err(reason) => {
-                    self.faults.insert(Arc::clone(&object.name), reason);
+                    self.errors.insert(Arc::clone(&object.name), reason);
                 }
             }
         }
@@ -248,12 +252,12 @@
         }
     }
 
-    /// Returns the customer that a key's digest belongs to.
+    /// Returns the customer that has a key with this digest.
     pub fn customer_by_key_digest(&self, key_digest: &str) -> Option<&CustomerEntry> {
         self.customer(self.keys.get(key_digest)?)
     }
 
-    /// Returns a customer.
+    /// Returns the customer with this name.
     pub fn customer(&self, name: &str) -> Option<&CustomerEntry> {
         match &self.items.get(&*format!("customer.{name}"))?.1 {
             CatalogueItem::Customer(customer) => Some(customer),
@@ -261,7 +265,7 @@
         }
     }
 
-    /// Returns a service.
+    /// Returns the service with this name.
     pub fn service(&self, name: &str) -> Option<&ServiceEntry> {
         match &self.items.get(&*format!("service.{name}"))?.1 {
             CatalogueItem::Service(service) => Some(service),
@@ -285,12 +289,13 @@
         })
     }
 
-    /// Returns the service of a model.
+    /// Returns the service of the model with this name.
     pub fn service_by_model(&self, model: &str) -> Option<&ServiceEntry> {
         self.services().find(|service| service.model.as_deref() == Some(model))
     }
 
-    /// Returns the plain service with the longest route that begins the path.
+    /// Returns the plain service whose route is the longest prefix of the path, matched by whole
+    /// path segments.
     pub fn service_by_path(&self, path: &str) -> Option<&ServiceEntry> {
         let matching = self.services().filter(|service| {
             let rest = service.route.as_deref().and_then(|route| path.strip_prefix(route));
@@ -301,7 +306,7 @@
 }
 
 impl ServiceEntry {
-    /// Tells whether a call may run more than once; `path` is below the route.
+    /// Returns whether a call may run more than once; `path` is relative to the route.
     ///
     /// # Examples
     /// ```
@@ -323,12 +328,12 @@
 
 fn read_item(object: &MirrorObject) -> Result<CatalogueItem, String> {
     let item: CatalogueItem = storecalls::decode_value(&object.value)
-        .ok_or_else(|| "it is no catalogue entry".to_owned())?;
+        .ok_or_else(|| "the object is not a catalogue item".to_owned())?;
     if item.object_name() != object.name {
-        return Err(format!("it names itself {}", item.object_name()));
+        return Err(format!("the item has the object name {}", item.object_name()));
     }
     match item.check().first() {
-        Some(fault) => Err(format!("{}: {}", fault.field, fault.reason)),
+        Some(error) => Err(format!("{}: {}", error.field, error.reason)),
         None => Ok(item),
     }
 }
--- a/toucanrail/src/catalogue_files.rs
+++ b/toucanrail/src/catalogue_files.rs
@@ -1,4 +1,4 @@
-//! The catalogue's file format: TOML, with the line and field of each fault.
+//! Parser of catalogue files, which are TOML; errors state the line and field.
 
 use std::collections::BTreeMap;
 use std::ops::Range;
@@ -11,26 +11,26 @@
 use crate::catalogue::{CatalogueItem, CustomerEntry, ServiceEntry};
 
 quick_error! {
-    /// A fault of a catalogue file.
+    /// An error in a catalogue file.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum CatalogueError {
-        /// The text is no TOML, or a block has an unknown name.
+        /// The text is not valid TOML, or a block has an unknown name.
         Syntax(line: usize, reason: String) {
             display("5001: line {line}: {reason}")
         }
-        /// A field is missing, unknown or wrong.
+        /// A field is missing, unknown or invalid.
         Field(line: usize, block: String, reason: String) {
             display("5001: line {line}: {block}: {reason}")
         }
     }
 }
 
-/// An item and where its block begins.
+/// A catalogue item and the position of its block in the file.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ParsedItem {
     /// The item.
     pub item: CatalogueItem,
-    /// The line of its block, from 1.
+    /// Line on which the block starts, counted from 1.
     pub line: usize,
 }
 
@@ -43,12 +43,18 @@
     customer: Vec<Spanned<toml::Table>>,
 }
 
-/// Reads a catalogue file and checks every block of it.
+/// Parses a catalogue file and validates all of its blocks.
+///
+/// # Errors
+/// A single [`CatalogueError::Syntax`] if the file is not valid TOML or has an unknown kind of
+/// block. Otherwise a [`CatalogueError::Field`] for each block that cannot be decoded, each invalid
+/// field and each duplicate definition.
 ///
 /// # Examples
 /// ```
-/// let faults = toucanrail::catalogue_files::parse_items("[[customer]]\nname = 'a b'\n").unwrap_err();
-/// assert!(faults[0].to_string().starts_with("5001: line 1: customer"));
+/// let errors =
+///     toucanrail::catalogue_files::parse_items("[[customer]]\nname = 'a b'\n").unwrap_err();
+/// assert!(errors[0].to_string().starts_with("5001: line 1: customer"));
 /// ```
 pub fn parse_items(text: &str) -> Result<Vec<ParsedItem>, Vec<CatalogueError>> {
     let blocks: FileBlocks = toml::from_str(text).map_err(|error| {
@@ -56,20 +62,32 @@
         vec![CatalogueError::Syntax(line, error.message().to_owned())]
     })?;
     let mut items = Vec::new();
-    let mut faults = Vec::new();
+    let mut errors = Vec::new();
     for block in blocks.service {
-        let read = read_block::<ServiceEntry>(text, "service", &block);
-        take_block(text, block.span(), read.map(CatalogueItem::Service), &mut items, &mut faults);
+        let parsed = parse_block::<ServiceEntry>(text, "service", &block);
+        collect_block(
+            text,
+            block.span(),
+            parsed.map(CatalogueItem::Service),
+            &mut items,
+            &mut errors,
+        );
     }
     for block in blocks.customer {
-        let read = read_block::<CustomerEntry>(text, "customer", &block);
-        take_block(text, block.span(), read.map(CatalogueItem::Customer), &mut items, &mut faults);
+        let parsed = parse_block::<CustomerEntry>(text, "customer", &block);
+        collect_block(
+            text,
+            block.span(),
+            parsed.map(CatalogueItem::Customer),
+            &mut items,
+            &mut errors,
+        );
     }
-    find_clashes(&items, &mut faults);
-    if faults.is_empty() { Ok(items) } else { Err(faults) }
+    find_duplicates(&items, &mut errors);
+    if errors.is_empty() { Ok(items) } else { Err(errors) }
 }
 
-fn read_block<Entry>(
+fn parse_block<Entry>(
     text: &str,
     kind: &str,
     block: &Spanned<toml::Table>,
@@ -84,60 +102,64 @@
     })
 }
 
-fn take_block(
+/// Validates a parsed block and adds it to the items, and its errors to the errors.
+fn collect_block(
     text: &str,
     span: Range<usize>,
-    read: Result<CatalogueItem, CatalogueError>,
+    parsed: Result<CatalogueItem, CatalogueError>,
     items: &mut Vec<ParsedItem>,
-    faults: &mut Vec<CatalogueError>,
+    errors: &mut Vec<CatalogueError>,
 ) {
-    let item = match read {
+    let item = match parsed {
         Ok(item) => item,
-        Err(fault) => return faults.push(fault),
+        Err(error) => return errors.push(error),
     };
-    for fault in item.check() {
-        let line = field_line(text, span.start, fault.field);
-        let reason = format!("{}: {}", fault.field, fault.reason);
-        faults.push(CatalogueError::Field(line, item.object_name().to_string(), reason));
+    for error in item.check() {
+        let line = field_line(text, span.start, error.field);
+        let reason = format!("{}: {}", error.field, error.reason);
+        errors.push(CatalogueError::Field(line, item.object_name().to_string(), reason));
     }
     items.push(ParsedItem { item, line: line_at(text, span.start) });
 }
 
-/// Finds names, models, routes and keys that stand twice.
-fn find_clashes(items: &[ParsedItem], faults: &mut Vec<CatalogueError>) {
+/// Reports names, models, routes and keys that are defined more than once.
+fn find_duplicates(items: &[ParsedItem], errors: &mut Vec<CatalogueError>) {
     let mut first: BTreeMap<String, usize> = BTreeMap::new();
-    for row in items {
-        for claim in claims(&row.item) {
-            if let Some(line) = first.get(&claim) {
-                let reason = format!("{claim} stands on line {line} too");
-                let block = row.item.object_name().to_string();
-                faults.push(CatalogueError::Field(row.line, block, reason));
+    for parsed in items {
+        for key in unique_keys(&parsed.item) {
+            if let Some(line) = first.get(&key) {
+                let reason = format!("{key} is already defined on line {line}");
+                let block = parsed.item.object_name().to_string();
+                errors.push(CatalogueError::Field(parsed.line, block, reason));
             } else {
-                first.insert(claim, row.line);
+                first.insert(key, parsed.line);
             }
         }
     }
 }
 
-fn claims(item: &CatalogueItem) -> Vec<String> {
-    let mut claims = vec![format!("name {}", item.object_name())];
+/// Returns the names, models, routes and keys of an item, which no other item may have.
+fn unique_keys(item: &CatalogueItem) -> Vec<String> {
+    let mut keys = vec![format!("name {}", item.object_name())];
     match item {
         CatalogueItem::Service(service) => {
-            claims.extend(service.model.iter().map(|model| format!("model {model}")));
-            claims.extend(service.route.iter().map(|route| format!("route {route}")));
+            keys.extend(service.model.iter().map(|model| format!("model {model}")));
+            keys.extend(service.route.iter().map(|route| format!("route {route}")));
         }
         CatalogueItem::Customer(customer) => {
-            claims.extend(customer.key_digests.iter().map(|digest| format!("key {digest}")));
+            keys.extend(customer.key_digests.iter().map(|digest| format!("key {digest}")));
         }
     }
-    claims
+    keys
 }
 
+/// Returns the line, counted from 1, of a byte offset.
 fn line_at(text: &str, offset: usize) -> usize {
     text.bytes().take(offset).filter(|byte| *byte == b'\n').count() + 1
 }
 
-/// Returns the line of a field in the block that begins at `start`, or the block's own line.
+/// Returns the line of a field in the block that starts at byte offset `start`, or the first line
+/// of the block if the field is not in it.
 fn field_line(text: &str, start: usize, field: &str) -> usize {
     let first = line_at(text, start);
     let inside = text.lines().enumerate().skip(first);
--- a/toucanrail/src/codes.rs
+++ b/toucanrail/src/codes.rs
@@ -1,24 +1,24 @@
-//! Numbered result codes and what each one says about the run.
+//! Numbered result codes, each of which states whether the request ran.
 //!
-//! The table itself stands in [`crate::codetable`]; `docs/RESULT-CODES.md` repeats it for people.
+//! The codes are listed in [`crate::codetable`] and documented in `docs/RESULT-CODES.md`.
 
 use serde::{Deserialize, Serialize};
 
 use crate::codetable;
 
-/// Whether a request ran at a backend server.
+/// Whether a request ran on a backend server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RunState {
-    /// Proved: it did not run and never will.
+    /// It provably did not run and never will.
     NotRun,
-    /// It ran, wholly or in part.
+    /// It ran, completely or in part.
     Ran,
     /// It may have run.
     Unknown,
 }
 
 impl RunState {
-    /// Returns the text of the `Toucanrail-Run` header.
+    /// Returns the value of the `Toucanrail-Run` header.
     ///
     /// # Examples
     /// ```
@@ -33,28 +33,28 @@
     }
 }
 
-/// One numbered outcome; the number is stable across releases.
+/// A numbered result; the number is stable across releases.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(into = "u16", try_from = "u16")]
 pub struct ResultCode(u16);
 
-/// A row of the table of result codes.
+/// A row of the result code table.
 #[derive(Debug, Clone, Copy)]
 pub struct CodeRow {
     /// The stable number.
     pub number: u16,
     /// Short name, also the `code` field of a JSON error.
     pub name: &'static str,
-    /// HTTP status of a refusal with this code; 0 where it never reaches a caller.
+    /// HTTP status of a refusal with this code; 0 if the code is never sent to a caller.
     pub status: u16,
-    /// What the code says about the run, unless the refusal knows better.
+    /// Whether the request ran, unless a refusal with this code states otherwise.
     pub run: RunState,
-    /// One sentence for the caller.
+    /// One-sentence explanation sent to the caller.
     pub text: &'static str,
 }
 
 impl ResultCode {
-    /// Makes a code of a number in the table.
+    /// Creates the code of a number in the table.
     pub(crate) const fn new(number: u16) -> Self {
         Self(number)
     }
@@ -64,7 +64,7 @@
         self.0
     }
 
-    /// Returns the code's row of the table.
+    /// Returns the row of the code in the table.
     ///
     /// # Examples
     /// ```
@@ -89,7 +89,7 @@
         if codetable::ROWS.iter().any(|row| row.number == number) {
             Ok(Self(number))
         } else {
-            Err(format!("no result code {number}"))
+            Err(format!("unknown result code {number}"))
         }
     }
 }
--- a/toucanrail/src/codetable.rs
+++ b/toucanrail/src/codetable.rs
@@ -1,22 +1,22 @@
-//! The table of result codes: a constant and a row for each.
+//! The result code table: a constant and a row for each code.
 
 use crate::codes::{CodeRow, ResultCode, RunState};
 
-/// The request ran and its answer is whole.
+/// The request ran and its response is complete.
 pub const OK: ResultCode = ResultCode::new(1000);
-/// The request could not be read.
+/// The request could not be parsed.
 pub const BAD_REQUEST: ResultCode = ResultCode::new(2001);
-/// The request gives its length in more than one way.
+/// The request states its body length more than once, in more than one way or incorrectly.
 pub const AMBIGUOUS_LENGTH: ResultCode = ResultCode::new(2002);
-/// The request's head is larger than the limit.
+/// The request head exceeds the size limit.
 pub const HEAD_TOO_LARGE: ResultCode = ResultCode::new(2003);
-/// The request's body is larger than the limit.
+/// The request body exceeds the size limit.
 pub const BODY_TOO_LARGE: ResultCode = ResultCode::new(2004);
-/// The request did not arrive in time.
+/// The request did not arrive within the time limit.
 pub const SLOW_SENDER: ResultCode = ResultCode::new(2005);
 /// The request ended before its declared length.
 pub const CUT_REQUEST: ResultCode = ResultCode::new(2006);
-/// The request has no Host field.
+/// The request does not have exactly one `Host` field.
 pub const MISSING_HOST: ResultCode = ResultCode::new(2007);
 /// The bearer key belongs to no customer.
 pub const UNKNOWN_KEY: ResultCode = ResultCode::new(2101);
@@ -24,23 +24,23 @@
 pub const NO_SUCH_ROUTE: ResultCode = ResultCode::new(2102);
 /// No service has this model.
 pub const NO_SUCH_MODEL: ResultCode = ResultCode::new(2103);
-/// The message does not carry the fleet's key.
+/// The message is not signed with the fleet's key.
 pub const NOT_AUTHENTIC: ResultCode = ResultCode::new(2104);
-/// A request that may not be repeated needs an Idempotency-Key.
+/// A request that may not be repeated has no `Idempotency-Key` field.
 pub const KEY_REQUIRED: ResultCode = ResultCode::new(2201);
-/// This Idempotency-Key was used with another request.
+/// The `Idempotency-Key` was already used with a different request.
 pub const KEY_REUSED: ResultCode = ResultCode::new(2202);
-/// A request with this Idempotency-Key is still running.
+/// A request with this `Idempotency-Key` is still running.
 pub const IN_FLIGHT: ResultCode = ResultCode::new(2203);
-/// It is not known how the run with this key ended; it is not run again.
+/// The outcome of the run with this `Idempotency-Key` is unknown; it is not run again.
 pub const END_UNKNOWN: ResultCode = ResultCode::new(2204);
 /// The prepaid budget does not cover this request.
 pub const BUDGET_EXHAUSTED: ResultCode = ResultCode::new(3001);
-/// The budget could not be confirmed just now.
+/// The budget cannot be confirmed at present.
 pub const BUDGET_UNCONFIRMED: ResultCode = ResultCode::new(3002);
 /// The service is at its capacity.
 pub const OVERLOADED: ResultCode = ResultCode::new(3101);
-/// The customer is at its share of the service.
+/// The customer has reached its share of the service.
 pub const CUSTOMER_LIMIT: ResultCode = ResultCode::new(3102);
 /// The deadline passed before the request could run.
 pub const DEADLINE_PASSED: ResultCode = ResultCode::new(3103);
@@ -48,44 +48,44 @@
 pub const NO_BACKEND_SERVER: ResultCode = ResultCode::new(3201);
 /// This process is stopping.
 pub const STOPPING: ResultCode = ResultCode::new(3202);
-/// The process is at its limit of connections.
+/// The process has reached its connection limit.
 pub const TOO_MANY_CONNECTIONS: ResultCode = ResultCode::new(3203);
-/// The backend server's answer ended early.
+/// The backend server's response ended early.
 pub const ANSWER_CUT: ResultCode = ResultCode::new(4001);
 /// The connection to the backend server went silent.
 pub const SILENT_CONNECTION: ResultCode = ResultCode::new(4002);
 /// The backend server failed.
 pub const BACKEND_FAILED: ResultCode = ResultCode::new(4003);
-/// The caller went away.
+/// The caller disconnected.
 pub const CANCELLED: ResultCode = ResultCode::new(4004);
-/// An answer to another request was received and dropped.
+/// A response to a different request was received and discarded.
 pub const FOREIGN_ANSWER: ResultCode = ResultCode::new(4005);
 /// The platform's object API does not answer.
 pub const STORE_UNAVAILABLE: ResultCode = ResultCode::new(4101);
 /// The holder's epoch has been fenced.
 pub const FENCED: ResultCode = ResultCode::new(4201);
-/// The order is for another run of this agent.
+/// The command is addressed to another incarnation of this agent.
 pub const WRONG_INCARNATION: ResultCode = ResultCode::new(4202);
-/// The agent has seen this run before.
+/// The agent has already received this run.
 pub const ALREADY_SEEN: ResultCode = ResultCode::new(4203);
 /// The run was voided before it arrived.
 pub const VOIDED: ResultCode = ResultCode::new(4204);
-/// The order carries an old fencing number.
+/// The command carries an outdated fencing number.
 pub const STALE_ORDER: ResultCode = ResultCode::new(4205);
-/// The catalogue has faults.
+/// The catalogue is invalid.
 pub const CATALOGUE_INVALID: ResultCode = ResultCode::new(5001);
-/// The object was changed meanwhile.
+/// The object was changed concurrently.
 pub const EDIT_CONFLICT: ResultCode = ResultCode::new(5002);
-/// The settings have faults.
+/// The settings are invalid.
 pub const SETTINGS_INVALID: ResultCode = ResultCode::new(5003);
 /// The budget cannot go below what is billed, granted or frozen.
 pub const BUDGET_COMMITTED: ResultCode = ResultCode::new(5004);
-/// The change is not in force everywhere yet.
+/// The change has not taken effect everywhere yet.
 pub const NOT_IN_FORCE: ResultCode = ResultCode::new(5005);
-/// A measured run broke a promise.
+/// A load test violated a guarantee.
 pub const PROMISE_BROKEN: ResultCode = ResultCode::new(5006);
 
-/// All rows, by number.
+/// All rows, ordered by number.
 #[rustfmt::skip]
 pub const ROWS: [CodeRow; 41] = [
     CodeRow { number: 1000, name: "ok", status: 200, run: RunState::Ran, text: "The request ran and its answer is whole." },
--- a/toucanrail/src/endpoints.rs
+++ b/toucanrail/src/endpoints.rs
@@ -1,8 +1,10 @@
-//! The way to the platform's store: directly, or through a relay on another VM.
+//! Selection of the endpoint for calls to the platform's store: the store itself, or a relay on
+//! another VM.
 //!
-//! The failure it answers: single VMs are cut off from the store, or turned away by it, while others
-//! reach it. An entry that goes through a relay keeps its grants small, its configuration new and
-//! its servers known; without one it spends only what it held when the cut began.
+//! Handles partial failures in which some VMs cannot reach the store, or are refused by it, while
+//! others can. An entry that uses a relay keeps its grants small and stays up to date on its
+//! configuration and servers; without a relay it can spend only the grants that it held when it
+//! lost the store.
 
 use std::collections::BTreeMap;
 use std::net::{IpAddr, SocketAddr};
@@ -13,39 +15,41 @@
 
 use crate::ids::{DataCentre, Region};
 
-/// Name of a relay, unique in the fleet.
+/// Name of a relay, unique within the fleet.
 pub type RelayName = Arc<str>;
 
-/// Time for which a way that failed is not taken again while others are untried.
-const REST: Duration = Duration::from_secs(5);
-/// Time between tries of the direct way while a relay is used.
-const PROBE_PAUSE: Duration = Duration::from_secs(2);
+/// Time after a failure of a relay during which it is not selected.
+const RETRY_DELAY: Duration = Duration::from_secs(5);
+/// Time between probes of the direct connection while a relay is in use.
+const PROBE_INTERVAL: Duration = Duration::from_secs(2);
 
-/// A relay, as it stands in the store.
+/// A relay's entry in the store.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RelayEntry {
-    /// Where it takes connections for the store.
+    /// Address at which the relay accepts connections to the store.
     pub address: SocketAddr,
-    /// Where it lends budget.
+    /// Address at which the relay serves requests for budget loans.
     pub lending: SocketAddr,
-    /// Its data centre.
+    /// Data centre of the relay.
     pub data_centre: DataCentre,
-    /// Its region.
+    /// Region of the relay.
     pub region: Region,
-    /// Time of one event of a stream at the server on its VM, in microseconds, as it measured.
+    /// Time per stream event of the backend server on the relay's VM, in microseconds, as measured
+    /// by the relay.
     #[serde(default)]
     pub pace_us: Option<u64>,
-    /// Whether it is a part of an entry, in a fleet without VMs for relays; others go before it.
+    /// Whether the relay runs inside an entry, in a fleet without VMs for relays. Hosted relays are
+    /// used only if there is no other.
     #[serde(default)]
     pub hosted: bool,
 }
 
-/// One way to the store.
+/// An endpoint for calls to the store.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub enum StoreEndpoint {
-    /// Directly.
+    /// The store itself.
     Direct,
-    /// Through a relay.
+    /// A relay that forwards connections to the store.
     Relay(RelayName),
 }
 
@@ -55,53 +59,57 @@
     failed_at: Option<Duration>,
 }
 
-/// The ways to the store, as one entry knows them.
+/// The endpoints known to one entry, and the one in use.
 #[derive(Debug, Clone, Serialize)]
 pub struct EndpointTable {
     store: SocketAddr,
     data_centre: DataCentre,
     region: Region,
     relays: BTreeMap<RelayName, RelayRow>,
-    way: StoreEndpoint,
+    #[serde(rename = "way")]
+    current: StoreEndpoint,
     probed_at: Duration,
-    /// Changes of the way so far.
-    pub moves: u64,
+    /// Number of times that the endpoint in use has changed.
+    #[serde(rename = "moves")]
+    pub changes: u64,
 }
 
 impl EndpointTable {
-    /// Makes a table without relays: the direct way is taken.
+    /// Creates a table without relays, in which the store is used directly.
     pub fn new(store: SocketAddr, data_centre: DataCentre, region: Region) -> Self {
         Self {
             store,
             data_centre,
             region,
             relays: BTreeMap::new(),
-            way: StoreEndpoint::Direct,
+            current: StoreEndpoint::Direct,
             probed_at: Duration::ZERO,
-            moves: 0,
+            changes: 0,
         }
     }
 
-    /// Takes the relays that stand in the store.
+    /// Replaces the relays by those listed in the store.
+    ///
+    /// Known relays keep the time of their last failure unless their address changed.
     pub fn set_relays<Entries>(&mut self, entries: Entries)
     where
         Entries: IntoIterator<Item = (RelayName, RelayEntry)>,
     {
         let mut known = std::mem::take(&mut self.relays);
         for (name, entry) in entries {
-            let same = |row: &RelayRow| row.entry.address == entry.address;
-            let old = known.remove(&name).filter(same);
+            let same_address = |row: &RelayRow| row.entry.address == entry.address;
+            let old = known.remove(&name).filter(same_address);
             let failed_at = old.and_then(|row| row.failed_at);
             self.relays.insert(name, RelayRow { entry, failed_at });
         }
-        // A relay that is gone from the list may still be the way in use.
-        if self.address_of(&self.way).is_none() {
-            self.way = StoreEndpoint::Direct;
-            self.moves += 1;
+        // The relay in use may no longer be listed.
+        if self.address_of(&self.current).is_none() {
+            self.current = StoreEndpoint::Direct;
+            self.changes += 1;
         }
     }
 
-    /// Returns the way in use and its address.
+    /// Returns the endpoint in use and its address.
     ///
     /// # Examples
     /// ```
@@ -112,26 +120,27 @@
     /// assert_eq!(table.current(), (StoreEndpoint::Direct, store));
     /// ```
     pub fn current(&self) -> (StoreEndpoint, SocketAddr) {
-        let address = self.address_of(&self.way).unwrap_or(self.store);
-        (self.way.clone(), address)
+        let address = self.address_of(&self.current).unwrap_or(self.store);
+        (self.current.clone(), address)
     }
 
-    fn address_of(&self, way: &StoreEndpoint) -> Option<SocketAddr> {
-        match way {
+    fn address_of(&self, endpoint: &StoreEndpoint) -> Option<SocketAddr> {
+        match endpoint {
             StoreEndpoint::Direct => Some(self.store),
             StoreEndpoint::Relay(name) => self.relays.get(name).map(|row| row.entry.address),
         }
     }
 
-    /// Notes that a call had no answer, or was turned away, on a way; true if another way is taken
-    /// now. `dice` in `0..1` spreads entries over the relays.
+    /// Records that a call through `endpoint` got no response or was refused; returns whether the
+    /// endpoint in use has changed. `random`, uniform in `0..1`, spreads entries over the relays.
     ///
-    /// Calls run at the same time, so only a failure of the way in use moves it.
-    pub fn record_failure(&mut self, way: &StoreEndpoint, dice: f64, now: Duration) -> bool {
-        if *way != self.way {
+    /// Calls run concurrently, so a late failure of an endpoint that is no longer in use is
+    /// ignored.
+    pub fn record_failure(&mut self, endpoint: &StoreEndpoint, random: f64, now: Duration) -> bool {
+        if *endpoint != self.current {
             return false;
         }
-        match way {
+        match endpoint {
             StoreEndpoint::Direct => self.probed_at = now,
             StoreEndpoint::Relay(name) => {
                 if let Some(row) = self.relays.get_mut(name) {
@@ -139,60 +148,64 @@
                 }
             }
         }
-        // Where all relays fail as well, the store itself is away, and the direct way is as good.
-        let next = self.pick_relay(dice, now).map_or(StoreEndpoint::Direct, StoreEndpoint::Relay);
-        let moved = next != self.way;
-        self.way = next;
-        self.moves += u64::from(moved);
-        moved
-    }
-
-    fn pick_relay(&self, dice: f64, now: Duration) -> Option<RelayName> {
-        let rested =
-            |row: &RelayRow| row.failed_at.is_none_or(|failed| now.saturating_sub(failed) > REST);
-        let rested: Vec<_> = self.ranked_relays().filter(|(_, row)| rested(row)).collect();
-        let near = |row: &RelayRow| row.entry.data_centre == self.data_centre;
-        let nearby: Vec<_> = rested.iter().copied().filter(|(_, row)| near(row)).collect();
-        let choice = if nearby.is_empty() { &rested } else { &nearby };
-        let last = choice.len().checked_sub(1)?;
-        let at = ((choice.len() as f64 * dice) as usize).min(last);
-        choice.get(at).map(|(name, _)| Arc::clone(name))
-    }
-
-    /// Returns the relays that are used: those on VMs of their own, or where there is none those that
-    /// entries host.
-    fn ranked_relays(&self) -> impl Iterator<Item = (&RelayName, &RelayRow)> {
+        // If all relays have failed as well, the store itself is down, and the direct connection is
+        // as good as any.
+        let next = self.pick_relay(random, now).map_or(StoreEndpoint::Direct, StoreEndpoint::Relay);
+        let changed = next != self.current;
+        self.current = next;
+        self.changes += u64::from(changed);
+        changed
+    }
+
+    /// Picks a relay without a recent failure, in the entry's own data centre if there is one.
+    fn pick_relay(&self, random: f64, now: Duration) -> Option<RelayName> {
+        let available = |row: &RelayRow| {
+            row.failed_at.is_none_or(|failed| now.saturating_sub(failed) > RETRY_DELAY)
+        };
+        let available: Vec<_> = self.usable_relays().filter(|(_, row)| available(row)).collect();
+        let is_local = |row: &RelayRow| row.entry.data_centre == self.data_centre;
+        let local: Vec<_> = available.iter().copied().filter(|(_, row)| is_local(row)).collect();
+        let candidates = if local.is_empty() { &available } else { &local };
+        let last = candidates.len().checked_sub(1)?;
+        let index = ((candidates.len() as f64 * random) as usize).min(last);
+        candidates.get(index).map(|(name, _)| Arc::clone(name))
+    }
+
+    /// Returns the relays that may be used: those on VMs of their own, or, if there are none, those
+    /// hosted by entries.
+    fn usable_relays(&self) -> impl Iterator<Item = (&RelayName, &RelayRow)> {
         let hosted = self.uses_hosted_relays();
         self.relays.iter().filter(move |(_, row)| row.entry.hosted == hosted)
     }
 
-    /// Tells whether no relay stands on a VM of its own.
+    /// Returns whether no relay has a VM of its own, so that relays hosted by entries are used.
     pub fn uses_hosted_relays(&self) -> bool {
         self.relays.values().all(|row| row.entry.hosted)
     }
 
-    /// Tells whether the store lists a relay of this name.
+    /// Returns whether the store lists a relay with this name.
     pub fn has_relay(&self, name: &str) -> bool {
         self.relays.contains_key(name)
     }
 
-    /// Returns how many relays there are.
+    /// Returns the number of relays, including hosted ones.
     pub fn count_relays(&self) -> usize {
         self.relays.len()
     }
 
-    /// Returns the relay on a VM, and where it answers entries.
+    /// Returns the relay on a VM, and the address at which it serves loans.
     pub fn relay_at(&self, vm: IpAddr) -> Option<(RelayName, SocketAddr)> {
         let found = self.relays.iter().find(|(_, row)| row.entry.address.ip() == vm);
         found.map(|(name, row)| (Arc::clone(name), row.entry.lending))
     }
 
-    /// Tells whether there is a relay that has not measured its server yet.
+    /// Returns whether a relay with a VM of its own has not yet measured its backend server.
     pub fn has_unmeasured_server(&self) -> bool {
         self.relays.values().any(|row| row.entry.pace_us.is_none() && !row.entry.hosted)
     }
 
-    /// Returns the paces of the servers that relays measured, by the address of their VM.
+    /// Returns the times per stream event of the backend servers that relays have measured, by the
+    /// IP address of their VM.
     pub fn paces(&self) -> BTreeMap<IpAddr, Duration> {
         let paces = self.relays.values().filter_map(|row| {
             let pace = Duration::from_micros(row.entry.pace_us?);
@@ -201,32 +214,33 @@
         paces.collect()
     }
 
-    /// Returns the lenders of this region, or all where it has none.
+    /// Returns the relays of this region, or all relays if the region has none, as lenders.
     ///
-    /// A customer has one lender in a region: with one in each data centre, four lenders of a
-    /// customer met in its account, and a third of all calls to the store were lost races.
+    /// A customer has one lender per region. With one per data centre, four lenders of a customer
+    /// contended for its account, and a third of all calls to the store lost the race.
     pub fn lenders(&self) -> Vec<(RelayName, SocketAddr)> {
-        let near = |row: &RelayRow| row.entry.region == self.region;
-        let any = self.ranked_relays().any(|(_, row)| near(row));
-        let rows = self.ranked_relays().filter(|(_, row)| !any || near(row));
+        let is_regional = |row: &RelayRow| row.entry.region == self.region;
+        let any = self.usable_relays().any(|(_, row)| is_regional(row));
+        let rows = self.usable_relays().filter(|(_, row)| !any || is_regional(row));
         rows.map(|(name, row)| (Arc::clone(name), row.entry.lending)).collect()
     }
 
-    /// Tells whether the direct way is to be tried now, beside a relay in use.
+    /// Returns whether the direct connection should be probed now, which is the case at intervals
+    /// while a relay is in use; records the time of the probe.
     pub fn start_due_probe(&mut self, now: Duration) -> bool {
-        let due =
-            self.way != StoreEndpoint::Direct && now.saturating_sub(self.probed_at) > PROBE_PAUSE;
+        let due = self.current != StoreEndpoint::Direct
+            && now.saturating_sub(self.probed_at) > PROBE_INTERVAL;
         if due {
             self.probed_at = now;
         }
         due
     }
 
-    /// Notes that the direct way works again.
+    /// Switches back to the direct connection after a successful probe.
     pub fn restore_direct(&mut self) {
-        if self.way != StoreEndpoint::Direct {
-            self.way = StoreEndpoint::Direct;
-            self.moves += 1;
+        if self.current != StoreEndpoint::Direct {
+            self.current = StoreEndpoint::Direct;
+            self.changes += 1;
         }
     }
 }
--- a/toucanrail/src/framing.rs
+++ b/toucanrail/src/framing.rs
@@ -1,20 +1,20 @@
-//! The data of a message's body, taken out of the bytes of a connection.
+//! Incremental decoding of HTTP/1.1 message bodies from the bytes of a connection.
 
 use crate::scanners::{BodyLength, ChunkScanner};
 
-/// Follows one body as its bytes arrive.
+/// Decoder of one message body, by its framing.
 #[derive(Debug, Clone)]
 pub enum BodyDecoder {
-    /// So many bytes are still to come.
+    /// Body with a stated length; holds the number of remaining bytes.
     Exact(u64),
-    /// Chunks.
+    /// Body with chunked transfer coding.
     Chunked(ChunkScanner),
-    /// An answer without a stated length: it ends with its connection.
+    /// Response body without a stated length, which ends when the connection closes.
     UntilClose,
 }
 
 impl BodyDecoder {
-    /// Makes the framer of an answer's body.
+    /// Creates the decoder of a response body.
     pub fn for_response(length: BodyLength) -> Self {
         match length {
             BodyLength::Exact(count) => Self::Exact(count),
@@ -23,7 +23,7 @@
         }
     }
 
-    /// Makes the framer of a request's body: without a stated length there is none.
+    /// Creates the decoder of a request body; without a stated length the body is empty.
     ///
     /// # Examples
     /// ```
@@ -37,14 +37,15 @@
         }
     }
 
-    /// Takes bytes, adds the data in them to `data`, and returns how many belong to the body.
+    /// Decodes bytes, appends the body data to `data` and returns how many bytes belong to the
+    /// body.
     pub fn feed(&mut self, bytes: &[u8], data: &mut Vec<u8>) -> usize {
         match self {
-            Self::Exact(left) => {
-                let taken = (*left).min(bytes.len() as u64) as usize;
-                *left -= taken as u64;
-                data.extend_from_slice(&bytes[..taken]);
-                taken
+            Self::Exact(remaining) => {
+                let consumed = (*remaining).min(bytes.len() as u64) as usize;
+                *remaining -= consumed as u64;
+                data.extend_from_slice(&bytes[..consumed]);
+                consumed
             }
             Self::Chunked(scanner) => scanner.feed_into(bytes, data),
             Self::UntilClose => {
@@ -54,21 +55,21 @@
         }
     }
 
-    /// Tells whether the body is whole by its own framing.
+    /// Returns whether the body is complete according to its framing.
     pub fn is_done(&self) -> bool {
         match self {
-            Self::Exact(left) => *left == 0,
+            Self::Exact(remaining) => *remaining == 0,
             Self::Chunked(scanner) => scanner.is_done(),
             Self::UntilClose => false,
         }
     }
 
-    /// Tells whether the end of the connection ends the body.
+    /// Returns whether the body ends when the connection closes.
     pub fn ends_with_connection(&self) -> bool {
         matches!(self, Self::UntilClose)
     }
 
-    /// Tells whether the bytes cannot be a body.
+    /// Returns whether the bytes so far violate the framing.
     pub fn is_malformed(&self) -> bool {
         matches!(self, Self::Chunked(scanner) if scanner.is_malformed())
     }
--- a/toucanrail/src/ids.rs
+++ b/toucanrail/src/ids.rs
@@ -1,42 +1,42 @@
-//! Names and plain quantities that every module shares.
+//! Identifier and quantity types shared by all modules.
 
 use std::sync::Arc;
 
-/// A customer, as the catalogue names it.
+/// Name of a customer in the catalogue.
 pub type CustomerId = Arc<str>;
-/// One run of an entry process: its configured name and a random incarnation.
+/// One incarnation of an entry process: its configured name, a dot and a random suffix.
 pub type EntryId = Arc<str>;
-/// One run of an agent process: its configured name and a random incarnation.
+/// One incarnation of an agent process: its configured name, a dot and a random suffix.
 pub type AgentId = Arc<str>;
-/// A service that callers may reach: a model or a plain service.
+/// Name of a service that callers can use: a model or a plain service.
 pub type ServiceName = Arc<str>;
-/// A data centre, as the settings of a process name it.
+/// Name of a data centre, from the settings of a process.
 pub type DataCentre = Arc<str>;
-/// Data centres near one another, as the settings of a process name them.
+/// Name of a region, which groups nearby data centres, from the settings of a process.
 pub type Region = Arc<str>;
-/// A VM, as the platform's VM list names it.
+/// Name of a VM in the platform's VM list.
 pub type VmId = Arc<str>;
-/// One request of a caller; derived from its idempotency key if it has one.
+/// Id of a caller's request; derived from its idempotency key if it has one.
 pub type RequestId = Arc<str>;
-/// One try of a request at one agent: the request's id, a dot and the try's number.
+/// Id of one attempt of a request at one agent: the request id, a dot and the attempt number.
 pub type RunId = Arc<str>;
-/// A budget shard: the name of one object that holds some customers' accounts.
+/// Name of a budget shard, an object that holds the accounts of some customers.
 pub type ShardName = Arc<str>;
-/// Prepaid units; a generated or prompt token costs one.
+/// Prepaid units; each prompt token and each generated token costs one.
 pub type Tokens = u64;
-/// Number of one holder's tenure in a shard; never used twice in that shard.
+/// Number of one holder's tenure in a shard; never reused within that shard.
 pub type Epoch = u64;
-/// Number of a settlement batch within one holder's tenure, from 1.
+/// Number of a settlement batch within one holder's tenure, starting at 1.
 pub type Sequence = u64;
-/// Version of an object; the platform's service raises it with every write to any object.
+/// Version of an object; the platform's object API increases it with every write to any object.
 pub type Version = u64;
 
-/// Returns the name of the VM in the id of a process's run.
+/// Returns the VM name in a process id such as an [`EntryId`] or an [`AgentId`].
 ///
 /// # Examples
 /// ```
 /// assert_eq!(toucanrail::ids::vm_of("side-1.261e3eed"), "side-1");
 /// ```
-pub fn vm_of(run: &str) -> &str {
-    run.rsplit_once('.').map_or(run, |(vm, _)| vm)
+pub fn vm_of(process: &str) -> &str {
+    process.rsplit_once('.').map_or(process, |(vm, _)| vm)
 }
--- a/toucanrail/src/lib.rs
+++ b/toucanrail/src/lib.rs
@@ -1,11 +1,12 @@
-//! Decisions of a router fleet for prepaid token budgets, as plain data and functions.
+//! Routing and budgeting logic of a fleet of routers with prepaid token budgets, as plain data and
+//! functions.
 //!
-//! Nothing here opens a socket, reads a clock or draws a random number: the daemons feed events and
-//! the time in, and carry calls out. Systems that talk to the platform's object API are step
-//! machines, driven by whoever holds them.
+//! The crate does no I/O: it opens no sockets, reads no clocks and generates no random numbers. The
+//! daemons pass in events and the current time, and perform the calls that result. Procedures that
+//! need the platform's object API are state machines, which the caller drives.
 //!
 //! # Examples
-//! A grant is opened by driving a sync against an object API that is a map:
+//! Opens a grant by running a sync against a stub of the object API:
 //! ```
 //! use std::sync::Arc;
 //! use toucanrail::budgets::BudgetShard;
@@ -56,8 +57,6 @@
 pub mod frames;
 pub mod framing;
 pub mod grants;
-pub mod sse;
-
 pub mod ids;
 pub mod ledgers;
 pub mod limits;
@@ -84,6 +83,7 @@
 pub mod servers;
 pub mod settings;
 pub mod silences;
+pub mod sse;
 pub mod storecalls;
 pub mod syncs;
 pub mod tenures;
--- a/toucanrail/src/matching.rs
+++ b/toucanrail/src/matching.rs
@@ -1,5 +1,5 @@
-//! The configuration of a fleet that reaches its backend servers directly, and the match of a
-//! request to its route and customer.
+//! Configuration of a fleet that connects to its backend servers directly, and the matching of
+//! requests to routes and customers.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -10,93 +10,97 @@
 use crate::coldstarts::ColdRule;
 use crate::ids::{CustomerId, Region, ServiceName, Tokens, Version};
 
-/// Gap between events at which callers give a stream up, the first event included: the longest of this time
-/// and of multiples of the route's hoped-for time and accepted pause.
-const EVENT_PATIENCE: Duration = Duration::from_secs(2);
-const AIM_PATIENCE: u32 = 4;
-const GAP_PATIENCE: u32 = 8;
+/// Minimum time without an event, the first event included, after which callers abandon a stream.
+const MIN_EVENT_TIMEOUT: Duration = Duration::from_secs(2);
+/// Multiple of a route's latency target after which callers abandon a stream.
+const AIM_FACTOR: u32 = 4;
+/// Multiple of a route's accepted pause between events after which callers abandon a stream.
+const GAP_FACTOR: u32 = 8;
 
-/// How often a request of a route may run.
+/// Whether a request of a route may run more than once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 pub enum RouteKind {
-    /// Idempotent: may run more than once.
+    /// Idempotent; may run more than once.
     Repeatable,
-    /// Runs at most once for each attempt of a caller.
+    /// May run at most once for each attempt of a caller.
     Once,
-    /// A stream of events; where it may be resumed it may also run again.
+    /// A stream of events; a resumable stream may also run more than once.
     Stream {
-        /// Whether a broken stream may go on at another server behind its last event.
+        /// Whether another server may resume a broken stream after its last event.
         resumable: bool,
     },
 }
 
 impl RouteKind {
-    /// Tells whether a request may be sent again although it may have run.
+    /// Returns whether a request that may have run may be sent again.
     pub const fn is_repeatable(self) -> bool {
         matches!(self, Self::Repeatable | Self::Stream { resumable: true })
     }
 
-    /// Tells whether the answer is a stream of events.
+    /// Returns whether the response is a stream of events.
     pub const fn is_stream(self) -> bool {
         matches!(self, Self::Stream { .. })
     }
 }
 
-/// A service that a route leads to, with its share.
+/// A service to which a route sends a share of its requests.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct RouteTarget {
     /// The service.
     pub service: ServiceName,
-    /// Its share of the route's requests, against the other targets'.
+    /// Weight of the service relative to the other targets of the route.
     pub weight: u32,
 }
 
-/// One route.
+/// A route.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct RouteRule {
-    /// Its name in the configuration.
+    /// Name of the route in the configuration.
     pub name: Arc<str>,
-    /// The host it belongs to, in lower case.
+    /// Host name that requests must have, in lower case.
     pub host: Arc<str>,
-    /// Start of the paths it takes; begins and ends with a slash.
+    /// Path prefix that requests must have; begins and ends with a slash.
     pub prefix: Arc<str>,
-    /// Where its requests go.
+    /// Services that requests are sent to.
     pub targets: Vec<RouteTarget>,
-    /// What may be repeated.
+    /// Whether requests may run more than once.
     pub kind: RouteKind,
-    /// Longest time a caller is kept waiting.
+    /// Maximum duration of a request.
     pub timeout: Duration,
-    /// Time to the answer, or to a stream's first event, that callers hope for.
+    /// Latency target of the response or, for a stream, of its first event.
     pub aim: Duration,
-    /// Longest pause between a stream's events that callers accept.
+    /// Target for the longest pause between the events of a stream.
     pub gap: Duration,
-    /// Rank; 0 goes first.
+    /// Priority; 0 is the highest.
     pub priority: u8,
-    /// Most servers that one attempt of a caller is sent to.
+    /// Maximum number of servers that one attempt of a caller is sent to.
     pub attempts: u32,
-    /// Whether it needs no key.
+    /// Whether requests need no key.
     pub public: bool,
-    /// The only regions whose servers may run its requests; empty for all.
+    /// Regions whose servers may run the requests; all regions if empty.
     pub regions: BTreeSet<Region>,
 }
 
 impl RouteRule {
-    /// Returns how long a caller of a stream waits for an event before it gives up; the whole time for other
-    /// requests.
+    /// Returns how long a caller waits before it abandons a request: for a stream the time without
+    /// an event, for other requests the total time.
+    ///
+    /// For a stream this is the longest of a minimum, a multiple of the latency target and a
+    /// multiple of the accepted pause between events.
     pub fn caller_timeout(&self) -> Duration {
         if !self.kind.is_stream() {
             return self.timeout;
         }
-        EVENT_PATIENCE.max(self.aim * AIM_PATIENCE).max(self.gap * GAP_PATIENCE)
+        MIN_EVENT_TIMEOUT.max(self.aim * AIM_FACTOR).max(self.gap * GAP_FACTOR)
     }
 
-    /// Picks the service of one request; `dice` in `0..1` spreads requests over the shares.
-    pub fn pick_service(&self, dice: f64) -> Option<&ServiceName> {
+    /// Picks the service for a request by weight; `random` is uniform in `0..1`.
+    pub fn pick_service(&self, random: f64) -> Option<&ServiceName> {
         let total: u32 = self.targets.iter().map(|target| target.weight).sum();
-        let mut left = dice * f64::from(total);
+        let mut remaining = random * f64::from(total);
         for target in &self.targets {
-            left -= f64::from(target.weight);
-            if left < 0.0 {
+            remaining -= f64::from(target.weight);
+            if remaining < 0.0 {
                 return Some(&target.service);
             }
         }
@@ -104,58 +108,58 @@
     }
 }
 
-/// What is known of a model service's engines, the same for all its servers.
+/// Engine parameters of a model service, the same for all of its servers.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 pub struct EngineSpec {
-    /// Sequences in one batch.
+    /// Maximum number of sequences in a batch.
     pub slots: u64,
-    /// Tokens of memory.
+    /// Capacity of the KV cache, in tokens.
     pub memory: Tokens,
-    /// Tokens in one event of a stream.
+    /// Number of tokens in one event of a stream.
     pub stride: Tokens,
 }
 
-/// One service.
+/// A service.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct ServiceRule {
-    /// Its name.
+    /// Name of the service.
     pub name: ServiceName,
-    /// Path at which a server tells whether it is healthy.
+    /// Path of the health check of its servers.
     pub health_path: Arc<str>,
-    /// Connections that one of its servers accepts from all callers together.
+    /// Number of connections that one of its servers accepts from all callers together.
     pub connections: u32,
-    /// Its engines, if it is a model service.
+    /// Engine parameters, if it is a model service.
     pub engine: Option<EngineSpec>,
-    /// How its servers start, where they are slow at first.
+    /// Behaviour of its servers after a cold start, if they are slow at first.
     pub cold: Option<ColdRule>,
 }
 
-/// One customer.
+/// A customer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct CustomerRule {
-    /// Its name.
+    /// Name of the customer.
     pub name: CustomerId,
-    /// Keys that its callers may show.
+    /// Keys that its callers may use.
     #[serde(skip)]
     pub keys: BTreeSet<Arc<str>>,
-    /// Its rank, which goes before the route's.
+    /// Priority of its requests, which overrides the route's.
     pub priority: Option<u8>,
-    /// All tokens it may use; none where its use is not limited.
+    /// Total number of tokens that it may use; `None` if its use is not limited.
     pub prepaid: Option<Tokens>,
-    /// The only regions whose servers may run its requests; empty for all.
+    /// Regions whose servers may run its requests; all regions if empty.
     pub regions: BTreeSet<Region>,
 }
 
-/// Bounds on what callers send.
+/// Limits on requests and connections of callers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 pub struct CallerBounds {
-    /// Largest head, in bytes.
+    /// Maximum size of a request head, in bytes.
     pub head: usize,
-    /// Largest body, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub body: usize,
-    /// Longest arrival of a head.
+    /// Maximum time for a request head to arrive.
     pub arrival: Duration,
-    /// Longest idle time of a connection.
+    /// Maximum idle time of a connection.
     pub idle: Duration,
 }
 
@@ -170,10 +174,10 @@
     }
 }
 
-/// One version of the configuration, whole.
+/// One complete version of the configuration.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
 pub struct FleetConfig {
-    /// Its version; a higher one replaces a lower one.
+    /// Version number; a higher version replaces a lower one.
     pub version: Version,
     /// All routes.
     pub routes: Vec<RouteRule>,
@@ -181,24 +185,26 @@
     pub services: Vec<ServiceRule>,
     /// All customers.
     pub customers: Vec<CustomerRule>,
-    /// Bounds on callers.
+    /// Limits on callers.
     pub bounds: CallerBounds,
 }
 
-/// A customer's row as requests see it.
+/// The properties of a customer that apply to its requests: a [`CustomerRule`] without its keys.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct CustomerProfile {
-    /// The customer.
+    /// Name of the customer.
     pub name: CustomerId,
-    /// Its rank, which goes before the route's.
+    /// Priority of its requests, which overrides the route's.
     pub priority: Option<u8>,
-    /// All tokens it may use; none where its use is not limited.
+    /// Total number of tokens that it may use; `None` if its use is not limited.
     pub prepaid: Option<Tokens>,
-    /// The only regions whose servers may run its requests; empty for all.
+    /// Regions whose servers may run its requests; all regions if empty.
     pub regions: BTreeSet<Region>,
 }
 
-/// Tells whether a route and a customer both let a region's servers run a request.
+/// Returns whether the region sets of a route and a customer both allow servers of a region.
+///
+/// An empty set allows all servers, also those without a known region.
 ///
 /// # Examples
 /// ```
@@ -210,14 +216,14 @@
 /// assert!(!matching::allows_region([&anywhere, &north], Some("south")));
 /// assert!(!matching::allows_region([&anywhere, &north], None));
 /// ```
-pub fn allows_region(rules: [&BTreeSet<Region>; 2], region: Option<&str>) -> bool {
-    let allows = |rule: &&BTreeSet<Region>| {
-        rule.is_empty() || region.is_some_and(|region| rule.contains(region))
+pub fn allows_region(sets: [&BTreeSet<Region>; 2], region: Option<&str>) -> bool {
+    let allows = |set: &&BTreeSet<Region>| {
+        set.is_empty() || region.is_some_and(|region| set.contains(region))
     };
-    rules.iter().all(allows)
+    sets.iter().all(allows)
 }
 
-/// The configuration in force, indexed for requests.
+/// The configuration in effect, indexed for request lookups.
 #[derive(Debug, Default)]
 pub struct RouteTable {
     version: Version,
@@ -229,15 +235,16 @@
 }
 
 impl RouteTable {
-    /// Makes an empty table: no configuration is known yet.
+    /// Creates an empty table, for the time before a configuration is known.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes a configuration; false, and no change, if it is not newer than the one in force.
+    /// Puts a configuration into effect if it is newer than the current one; returns whether it
+    /// was.
     ///
-    /// Guards against a configuration that reverts: an answer of the store that was under way for
-    /// long may carry an older version than one already in force.
+    /// A delayed response of the store may carry an older version than the current one, which must
+    /// not be reverted.
     ///
     /// # Examples
     /// ```
@@ -267,30 +274,32 @@
     }
 
     fn add_customer(&mut self, rule: CustomerRule) {
-        let facts = CustomerProfile {
+        let profile = CustomerProfile {
             name: Arc::clone(&rule.name),
             priority: rule.priority,
             prepaid: rule.prepaid,
             regions: rule.regions,
         };
-        let facts = Arc::new(facts);
+        let profile = Arc::new(profile);
         for key in rule.keys {
-            self.keys.insert(key, Arc::clone(&facts));
+            self.keys.insert(key, Arc::clone(&profile));
         }
-        self.customers.insert(rule.name, facts);
+        self.customers.insert(rule.name, profile);
     }
 
-    /// Returns the version in force; 0 while none is known.
+    /// Returns the version in effect; 0 if no configuration is known yet.
     pub fn version(&self) -> Version {
         self.version
     }
 
-    /// Returns the bounds on callers.
+    /// Returns the limits on callers.
     pub fn bounds(&self) -> CallerBounds {
         self.bounds
     }
 
-    /// Returns the route of a request: of those whose prefix begins the path, the longest.
+    /// Returns the route of a request: the one of the host with the longest prefix of the path.
+    ///
+    /// Ignores the case and the port of the host.
     ///
     /// # Examples
     /// ```
@@ -302,22 +311,22 @@
             Some(rules) => rules,
             None => self.routes.get(host.to_ascii_lowercase().as_str())?,
         };
-        let mut rest = path;
-        while let Some(slash) = rest.rfind('/') {
-            if let Some(rule) = rules.get(&rest[..=slash]) {
+        let mut prefix = path;
+        while let Some(slash) = prefix.rfind('/') {
+            if let Some(rule) = rules.get(&prefix[..=slash]) {
                 return Some(rule);
             }
-            rest = &rest[..slash];
+            prefix = &prefix[..slash];
         }
         None
     }
 
-    /// Returns the customer that holds a key.
+    /// Returns the customer that a key belongs to.
     pub fn find_customer(&self, key: &str) -> Option<&Arc<CustomerProfile>> {
         self.keys.get(key)
     }
 
-    /// Tells whether the configuration has customers, so that requests need a key.
+    /// Returns whether requests need a key, which is the case if the configuration has customers.
     pub fn requires_keys(&self) -> bool {
         !self.customers.is_empty()
     }
@@ -327,18 +336,18 @@
         self.customers.values()
     }
 
-    /// Returns a service.
+    /// Returns the service with this name.
     pub fn service(&self, name: &str) -> Option<&ServiceRule> {
         self.services.get(name)
     }
 
-    /// Returns the tokens in one event of a service's streams.
+    /// Returns the number of tokens in one event of a service's streams; 1 if it is not known.
     pub fn tokens_per_event(&self, service: &str) -> u64 {
         let engine = self.service(service).and_then(|service| service.engine.as_ref());
         engine.map_or(1, |engine| engine.stride)
     }
 
-    /// Returns how a service's servers start, where they are slow at first.
+    /// Returns the cold start behaviour of a service's servers, if they are slow at first.
     pub fn cold_rule(&self, service: &str) -> Option<ColdRule> {
         self.service(service).and_then(|service| service.cold)
     }
--- a/toucanrail/src/messages.rs
+++ b/toucanrail/src/messages.rs
@@ -1,4 +1,4 @@
-//! Messages between the system's own processes, encoded with `rmp-serde`.
+//! Messages between the processes of the fleet, encoded with `rmp-serde`.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -11,131 +11,132 @@
 use crate::ids::{AgentId, CustomerId, EntryId, Epoch, RequestId, RunId, ServiceName, ShardName};
 use crate::ids::{Tokens, Version, VmId};
 
-/// One HTTP field.
+/// An HTTP header field.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeaderField {
-    /// Its name, in lower case.
+    /// Field name, in lower case.
     pub name: Arc<str>,
-    /// Its value.
+    /// Field value.
     pub value: Arc<str>,
 }
 
-/// How an answer's usage is counted.
+/// How the token usage of a request is determined.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum UsageRule {
-    /// The model engine reports it in the answer.
+    /// The model engine reports it in the response.
     Reported {
-        /// Whether the usage event was added for us and is kept from the caller.
+        /// Whether the usage event was requested by the entry and must be removed from the
+        /// response.
         hidden: bool,
     },
-    /// A fixed price a call.
+    /// Fixed price per call.
     Fixed(Tokens),
 }
 
-/// Orders an agent to run a request once.
+/// Instructs an agent to run a request once.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunCommand {
     /// The request.
     pub request: RequestId,
-    /// This try; an agent runs it at most once.
+    /// This attempt; an agent runs it at most once.
     pub run: RunId,
-    /// The agent's incarnation; another one refuses.
+    /// Incarnation of the agent that is addressed; any other refuses the command.
     pub agent: AgentId,
-    /// Who orders.
+    /// Entry that sends the command.
     pub entry: EntryId,
-    /// Who pays.
+    /// Customer that pays.
     pub customer: CustomerId,
     /// The service.
     pub service: ServiceName,
-    /// The shard that holds the money.
+    /// Shard with the account that pays.
     pub shard: ShardName,
-    /// The tenure that holds the money; refused once fenced.
+    /// Tenure whose grant pays; the command is refused once the tenure is fenced.
     pub epoch: Epoch,
-    /// The most that this try may use.
+    /// Maximum number of tokens that this attempt may use.
     pub hold: Tokens,
-    /// Whether the caller gave a key.
+    /// Whether the caller gave an idempotency key.
     pub keyed: bool,
-    /// Whether it may run again after an unknown end.
+    /// Whether the request may run again if the outcome of this attempt is unknown.
     pub repeatable: bool,
-    /// Priority at the engine; higher goes first.
+    /// Priority at the engine; higher values go first.
     pub priority: u8,
-    /// Time left, in milliseconds.
+    /// Time until the deadline, in milliseconds.
     pub time_left: u64,
-    /// Tokens that the caller has already, where the engine resumes.
+    /// Number of tokens that the caller has already received, if the engine resumes streams.
     pub resume_from: Tokens,
-    /// How usage is counted.
+    /// How usage is determined.
     pub usage: UsageRule,
-    /// Whether the answer streams as server-sent events.
+    /// Whether the response is streamed as server-sent events.
     pub streamed: bool,
-    /// The method.
+    /// HTTP method.
     pub method: Arc<str>,
     /// Path and query.
     pub path: Arc<str>,
-    /// Fields passed on.
+    /// Header fields to forward.
     pub fields: Vec<HeaderField>,
-    /// The body.
+    /// Request body.
     #[serde(with = "serde_bytes")]
     pub body: Vec<u8>,
 }
 
-/// A frame of the answer to a [`RunCommand`].
+/// A frame of the response to a [`RunCommand`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RunFrame {
-    /// The agent did not run it and never will.
+    /// The agent did not run the attempt and never will.
     Refused {
         /// The request.
         request: RequestId,
-        /// Why.
+        /// Reason.
         code: ResultCode,
-        /// When a server of this kind is expected to have room, in milliseconds.
+        /// Time after which a server of this service is expected to have capacity, in milliseconds.
         retry_after: u64,
     },
-    /// The answer's status and fields.
+    /// Status and header fields of the response.
     Head {
         /// The request.
         request: RequestId,
-        /// The status number.
+        /// HTTP status code.
         status: u16,
-        /// The fields passed on.
+        /// Header fields to forward.
         fields: Vec<HeaderField>,
     },
-    /// Bytes of the body.
+    /// A part of the response body.
     Data {
         /// The request.
         request: RequestId,
-        /// How many bytes came before.
+        /// Offset of the part in the body, in bytes.
         offset: u64,
-        /// Tokens generated so far, for resuming.
+        /// Number of tokens generated so far, from which another attempt may resume.
         tokens: Tokens,
         /// The bytes.
         #[serde(with = "serde_bytes")]
         bytes: Vec<u8>,
     },
-    /// Nothing yet, but the agent lives.
+    /// Keep-alive while there is no data to send.
     Alive {
         /// The request.
         request: RequestId,
     },
-    /// The answer is whole.
+    /// The response is complete.
     End {
         /// The request.
         request: RequestId,
-        /// Bytes of the body in all.
+        /// Total size of the body, in bytes.
         bytes: u64,
-        /// What the try used.
+        /// Tokens used by the attempt.
         used: Tokens,
     },
-    /// The try ended before its answer was whole.
+    /// The attempt ended before its response was complete.
     Failed {
         /// The request.
         request: RequestId,
-        /// Why.
+        /// Reason.
         code: ResultCode,
-        /// Whether it ran.
+        /// Whether the attempt ran.
         run: RunState,
-        /// What it provably used.
+        /// Tokens that the attempt provably used.
         used: Tokens,
-        /// What it may have used besides.
+        /// Further tokens that the attempt may have used.
         unproved: Tokens,
     },
 }
@@ -154,7 +155,7 @@
     }
 }
 
-/// Orders an agent to take no more work of a tenure and to tell what it used.
+/// Instructs an agent to accept no more work from a tenure and to report what the tenure used.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FenceCommand {
     /// The shard.
@@ -163,257 +164,260 @@
     pub epoch: Epoch,
 }
 
-/// What an agent knows of a fenced tenure.
+/// An agent's reply to a [`FenceCommand`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FenceReply {
     /// The agent's incarnation.
     pub agent: AgentId,
-    /// Ended tries that were not acknowledged as settled.
+    /// Usage of attempts of the tenure that have ended but are not acknowledged as settled.
     pub rows: Vec<UsageRow>,
-    /// Tries that still run.
+    /// Number of attempts of the tenure that are still running.
     pub running: u64,
 }
 
-/// What one try used.
+/// Token usage of one attempt.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UsageRow {
-    /// The try.
+    /// The attempt.
     pub run: RunId,
-    /// Its request.
+    /// Request of the attempt.
     pub request: RequestId,
-    /// Who pays.
+    /// Customer that pays.
     pub customer: CustomerId,
     /// The service.
     pub service: ServiceName,
-    /// Whether the caller gave a key.
+    /// Whether the caller gave an idempotency key.
     pub keyed: bool,
-    /// Whether it went on behind what the caller had from an earlier try.
+    /// Whether the attempt resumed a stream after the part that the caller had already received.
     pub resumed: bool,
-    /// Whether its answer was whole.
+    /// Whether the response was complete.
     pub whole: bool,
-    /// What it provably used.
+    /// Tokens that the attempt provably used.
     pub used: Tokens,
-    /// What it may have used besides.
+    /// Further tokens that the attempt may have used.
     pub unproved: Tokens,
 }
 
-/// Tells an agent that runs are settled and may be dropped.
+/// Instructs an agent to drop its records of runs that are settled.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AckCommand {
-    /// The runs.
+    /// The settled runs.
     pub runs: Vec<RunId>,
 }
 
-/// What to do with a try whose end is not known to the asker.
+/// What an agent does with an attempt that it is asked about.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum QueryMode {
-    /// Only tell.
+    /// Reports the state of the attempt without changing it.
     Look,
-    /// If it has not come yet, never let it run.
+    /// Prevents the attempt from running if it has not arrived yet.
     Void,
-    /// As `Void`, and cancel it if it runs.
+    /// Like `Void`, and cancels the attempt if it is running.
     Cancel,
 }
 
-/// Asks what became of a try.
+/// Asks an agent for the state of an attempt.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunQuery {
-    /// The try.
+    /// The attempt.
     pub run: RunId,
-    /// What to do about it.
+    /// What to do with the attempt.
     pub mode: QueryMode,
 }
 
-/// What became of a try.
+/// State of an attempt at an agent.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RunReport {
-    /// It never came; after `Void` or `Cancel` it never will.
+    /// The attempt has not arrived; after `Void` or `Cancel` it will never run.
     NeverCame,
-    /// It runs.
+    /// The attempt is running.
     Running,
-    /// It ended.
+    /// The attempt has ended.
     Ended {
-        /// Whether its answer was whole.
+        /// Whether the response was complete.
         whole: bool,
-        /// What it provably used.
+        /// Tokens that the attempt provably used.
         used: Tokens,
-        /// What it may have used besides.
+        /// Further tokens that the attempt may have used.
         unproved: Tokens,
-        /// The answer, kept for tries that may not be repeated.
+        /// Response of an attempt that may not be repeated, stored for retries.
         answer: Option<StoredResponse>,
     },
 }
 
-/// The reply to [`AckCommand`] and [`RunQuery`].
+/// Reply to [`AckCommand`] and [`RunQuery`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AgentReply {
     /// The agent's incarnation.
     pub agent: AgentId,
-    /// The fate of the try asked about.
+    /// State of the attempt that was asked about.
     pub fate: Option<RunReport>,
 }
 
-/// A whole answer, kept so that a retry gets the same one.
+/// A complete response, stored so that a retry gets the same one.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredResponse {
-    /// The status number.
+    /// HTTP status code.
     pub status: u16,
-    /// The fields.
+    /// Header fields.
     pub fields: Vec<HeaderField>,
-    /// The body.
+    /// Response body.
     #[serde(with = "serde_bytes")]
     pub body: Vec<u8>,
 }
 
-/// An agent's report of its backend server; also its heartbeat.
+/// An agent's load report for its backend server; also serves as the agent's heartbeat.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadReport {
     /// The agent's incarnation.
     pub agent: AgentId,
-    /// The service it serves.
+    /// Service of the backend server.
     pub service: ServiceName,
-    /// Requests the server runs at once.
+    /// Number of requests that the server can run concurrently.
     pub slots: u64,
-    /// Requests that run.
+    /// Number of running requests.
     pub running: u64,
-    /// Requests that wait at the server.
+    /// Number of requests queued at the server.
     pub waiting: u64,
-    /// Whether the backend server answers.
+    /// Whether the backend server responds.
     pub healthy: bool,
-    /// Whether the agent takes no new work.
+    /// Whether the agent accepts no new work because it is stopping.
     pub leaving: bool,
-    /// The catalogue's version in force at the agent.
+    /// Catalogue version in effect at the agent.
     pub in_force: Version,
 }
 
-/// Asks a peer for unused grant before a refusal.
+/// Instructs a peer to return unused grant to the shard, before a request is refused for lack of
+/// budget.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RecallCommand {
-    /// Who asks.
+    /// Entry that sends the command.
     pub from: EntryId,
-    /// The account.
+    /// Customer of the account.
     pub customer: CustomerId,
-    /// How much is wanted.
+    /// Number of tokens needed.
     pub wanted: Tokens,
 }
 
-/// What the peer gave back to the shard.
+/// Reply to [`RecallCommand`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RecallReply {
-    /// How much.
+    /// Number of tokens that the peer returned to the shard.
     pub returned: Tokens,
 }
 
-/// One object of a mirrored kind.
+/// An object of a mirrored kind.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MirrorObject {
-    /// Its name in the kind.
+    /// Name of the object within its kind.
     pub name: Arc<str>,
-    /// Its version.
+    /// Version of the object.
     pub version: Version,
-    /// Its value.
+    /// Encoded value.
     #[serde(with = "serde_bytes")]
     pub value: Vec<u8>,
 }
 
-/// One change of a mirrored kind.
+/// A change of an object of a mirrored kind.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MirrorChange {
-    /// The object as it is, or as it was before it was removed.
+    /// The object after the change, or before it if it was removed.
     pub object: MirrorObject,
-    /// Whether it is gone.
+    /// Whether the object was removed.
     pub removed: bool,
 }
 
-/// Asks a board what changed in a kind of the store.
+/// Asks a board, a relay's copy of one kind of store objects, for the changes of its kind.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChangesQuery {
     /// The kind.
     pub kind: Arc<str>,
-    /// The store's revision up to which the asker knows all; none for a listing.
+    /// Store revision up to which the sender knows all changes; `None` requests a listing.
     pub after: Option<Version>,
-    /// How long to wait for news.
+    /// How long to wait for a change (long polling).
     pub wait: Duration,
 }
 
-/// A board's answer.
+/// A board's reply to a [`ChangesQuery`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ChangesReply {
-    /// All objects, where the asker knows none or is too far behind.
+    /// All objects; sent if the sender of the query knows none or is too far behind.
     Listing {
         /// The objects.
         objects: Vec<MirrorObject>,
-        /// The store's revision.
+        /// Store revision of the listing.
         revision: Version,
     },
-    /// The changes, none if there were none.
+    /// The changes since the revision in the query; empty if there were none.
     Changes {
         /// The changes in order.
         changes: Vec<MirrorChange>,
-        /// The store's revision.
+        /// Store revision after the changes.
         revision: Version,
     },
-    /// The board has not heard of the store lately.
+    /// The board is out of date, as it has not heard from the store recently.
     Stale,
 }
 
-/// What a peer knows beyond a version.
+/// The objects of a kind that are newer than a version.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MirrorDelta {
-    /// Objects newer than what the asker has.
+    /// Objects newer than those that the sender of the query has.
     pub objects: Vec<MirrorObject>,
-    /// The version up to which the peer has seen everything.
+    /// Version up to which the peer has seen all changes.
     pub seen: Version,
 }
 
-/// An order to a model engine, passed on by its agent.
+/// A command for a model engine, forwarded by the engine's agent.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineCommand {
-    /// The fencing number; the agent refuses one lower than it has seen.
+    /// Fencing number; the agent refuses numbers lower than the highest that it has seen.
     pub fence: u64,
     /// `load-model`, `load-adapter` or `set-role`.
     pub action: Arc<str>,
-    /// What to load, or the role.
+    /// The model or adapter to load, or the role to set.
     pub subject: Arc<str>,
 }
 
-/// Asks a peer for its mirrors; also the heartbeat between entries.
+/// Asks a peer for the changes of its mirrored objects; also serves as the heartbeat between
+/// entries.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MirrorQuery {
-    /// Where the asker, an entry, can be asked in turn; none if it is an agent.
+    /// Address at which the sender accepts such queries; `None` if it is an agent.
     pub address: Option<SocketAddr>,
-    /// The version up to which the asker knows the catalogue.
+    /// Version up to which the sender knows the catalogue.
     pub catalogue: Version,
-    /// The version up to which the asker knows the registrations.
+    /// Version up to which the sender knows the registrations.
     pub nodes: Version,
 }
 
-/// A peer's mirrors.
+/// A peer's reply to a [`MirrorQuery`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerUpdate {
     /// The peer's incarnation.
     pub id: EntryId,
     /// Whether the peer is stopping.
     pub leaving: bool,
-    /// News of the catalogue.
+    /// New objects of the catalogue.
     pub catalogue: MirrorDelta,
-    /// News of the registrations.
+    /// New registrations.
     pub nodes: MirrorDelta,
-    /// The platform's VM list as the peer last saw it.
+    /// The most recent VM list that the peer knows.
     pub vms: VmSnapshot,
 }
 
-/// The VM list at one reading.
+/// The platform's VM list at one point in time.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VmSnapshot {
-    /// The VMs, with whether each is about to leave.
+    /// The VMs, each with whether it is about to be removed.
     pub vms: BTreeMap<VmId, bool>,
-    /// Readings of the platform's list so far by the process that read it.
+    /// Number of readings of the platform's list, which is higher in a newer snapshot. A process
+    /// that reads the list increments the number that it knows.
     pub readings: u64,
 }
 
 impl VmSnapshot {
-    /// Takes another reading if it is newer.
+    /// Replaces the snapshot by another one if that is newer.
     ///
     /// # Examples
     /// ```
--- a/toucanrail/src/paths.rs
+++ b/toucanrail/src/paths.rs
@@ -1,4 +1,4 @@
-//! Paths of the object kinds, and the digests that stand in for secrets and long keys in them.
+//! Paths of the stored objects, and the digests that replace secrets and long keys in paths.
 
 use std::fmt::Write;
 use std::sync::Arc;
@@ -9,9 +9,9 @@
 use crate::ids::{CustomerId, EntryId, Epoch, RequestId, Sequence, ShardName};
 use crate::storecalls::ObjectPath;
 
-/// Kind of the catalogue's objects.
+/// Kind of the catalogue objects.
 pub const CATALOGUE: &str = "catalogue";
-/// Kind of the registrations of processes.
+/// Kind of the process registrations.
 pub const NODES: &str = "nodes";
 /// Kind of the budget shards.
 pub const BUDGETS: &str = "budgets";
@@ -19,13 +19,15 @@
 pub const BILLS: &str = "bills";
 /// Kind of the records of runs that may not be repeated.
 pub const RECORDS: &str = "records";
-/// Kind of the archives of keyed requests.
+/// Kind of the archive buckets of keyed requests.
 pub const ARCHIVES: &str = "archives";
 
+/// Length of a keyed request id, in hexadecimal digits.
 const REQUEST_DIGITS: usize = 32;
+/// Number of leading digits of a request id that select its archive bucket.
 const BUCKET_DIGITS: usize = 2;
 
-/// Returns a SHA-256 digest in hexadecimal.
+/// Returns the SHA-256 digest of a text in hexadecimal.
 ///
 /// # Examples
 /// ```
@@ -40,7 +42,7 @@
     hex_digits(&Sha256::digest(bytes))
 }
 
-/// Writes bytes in hexadecimal.
+/// Formats bytes in hexadecimal.
 ///
 /// # Examples
 /// ```
@@ -55,7 +57,8 @@
     digits
 }
 
-/// Derives the id of a keyed request: the same on every entry that sees the key.
+/// Derives the id of a request from its customer and idempotency key, so that every entry that
+/// receives the key uses the same id.
 ///
 /// # Examples
 /// ```
@@ -68,7 +71,7 @@
     Arc::from(&digits[..REQUEST_DIGITS])
 }
 
-/// Returns the shard that holds a customer's account; with `shards` 0, a shard of its own.
+/// Returns the shard that holds a customer's account; if `shards` is 0, each customer has its own.
 pub fn shard_of(customer: &CustomerId, shards: u64) -> ShardName {
     match shards {
         0 => Arc::clone(customer),
@@ -86,9 +89,9 @@
     Arc::from(format!("{BILLS}/{shard}.{epoch:08}.{sequence:08}"))
 }
 
-/// Returns the path of the batch with which `by` reclaims a tenure.
-pub fn reclaim_path(shard: &ShardName, epoch: Epoch, by: &EntryId) -> ObjectPath {
-    Arc::from(format!("{BILLS}/{shard}.{epoch:08}.reclaim.{by}"))
+/// Returns the path of the settlement batch with which an entry reclaims a tenure.
+pub fn reclaim_path(shard: &ShardName, epoch: Epoch, entry: &EntryId) -> ObjectPath {
+    Arc::from(format!("{BILLS}/{shard}.{epoch:08}.reclaim.{entry}"))
 }
 
 /// Returns the path of the record of a run that may not be repeated.
--- a/toucanrail/src/scanners.rs
+++ b/toucanrail/src/scanners.rs
@@ -1,7 +1,7 @@
-//! Pure scanners over HTTP/1.1 bytes.
+//! Scanners for the framing of HTTP/1.1 messages.
 //!
-//! `async-h1` decodes and encodes messages. These scanners only find where a message ends and
-//! whether its length is stated once, which the library does not check (`docs/HTTP-EDGES.md`).
+//! `async-h1` decodes and encodes messages. These scanners only find where a message ends and check
+//! that its length is stated once, which the library does not do (`docs/HTTP-EDGES.md`).
 
 use crate::codes::ResultCode;
 use crate::codetable;
@@ -19,18 +19,19 @@
     Chunked,
 }
 
-/// What the scanners found in a head.
+/// Properties of a message head that determine its framing and validity.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct HeadInfo {
-    /// How the body's length is stated.
+    /// How the body length is stated.
     pub length: BodyLength,
     /// Whether there is exactly one `Host` field.
     pub has_host: bool,
-    /// Whether the sender wants the connection closed after this message.
+    /// Whether the sender asks to close the connection after this message.
     pub close: bool,
 }
 
-/// Returns the length of the head with its empty line, if `bytes` hold all of it.
+/// Returns the length of the head in bytes, including the empty line, if `bytes` contains all of
+/// it.
 ///
 /// # Examples
 /// ```
@@ -44,11 +45,11 @@
         .map(|at| at + HEAD_END.len())
 }
 
-/// Reads the facts of a whole head, request or answer.
+/// Scans the complete head of a request or response.
 ///
 /// # Errors
-/// [`codetable::AMBIGUOUS_LENGTH`] where the length is stated twice or in two ways, and
-/// [`codetable::BAD_REQUEST`] where a line is no field.
+/// [`codetable::AMBIGUOUS_LENGTH`] if the length is invalid or stated more than once, and
+/// [`codetable::BAD_REQUEST`] if the start line, a field or a line ending is malformed.
 ///
 /// # Examples
 /// ```
@@ -59,23 +60,23 @@
 /// ```
 pub fn scan_head(head: &[u8]) -> Result<HeadInfo, ResultCode> {
     let text = std::str::from_utf8(head).map_err(|_| codetable::BAD_REQUEST)?;
-    if has_bare_line_end(head) {
+    if has_bare_cr_or_lf(head) {
         return Err(codetable::BAD_REQUEST);
     }
     let mut lines = text.split("\r\n");
-    scan_first_line(lines.next().unwrap_or_default())?;
+    check_start_line(lines.next().unwrap_or_default())?;
     let mut length = BodyLength::Absent;
     let mut hosts = 0;
     let mut close = false;
     for line in lines.take_while(|line| !line.is_empty()) {
-        let (name, value) = scan_field(line)?;
+        let (name, value) = parse_field(line)?;
         if name.eq_ignore_ascii_case("host") {
             hosts += 1;
         } else if name.eq_ignore_ascii_case("connection") {
             let mut options = value.split(',').map(str::trim);
             close |= options.any(|option| option.eq_ignore_ascii_case("close"));
-        } else if let Some(stated) = scan_length(name, value)? {
-            // RFC 9112, 6.3: a second statement is how one request is smuggled inside another.
+        } else if let Some(stated) = parse_length(name, value)? {
+            // RFC 9112, section 6.3: stating the length twice permits request smuggling.
             if length != BodyLength::Absent {
                 return Err(codetable::AMBIGUOUS_LENGTH);
             }
@@ -85,32 +86,33 @@
     Ok(HeadInfo { length, has_host: hosts == 1, close })
 }
 
-/// Finds a carriage return or a line feed that stands alone: another reader may take it for the end
-/// of a line and see fields that this one does not.
-fn has_bare_line_end(head: &[u8]) -> bool {
-    let mut before = None;
+/// Returns whether there is a carriage return or a line feed outside of a CRLF pair: another parser
+/// may treat it as the end of a line and see fields that this one does not.
+fn has_bare_cr_or_lf(head: &[u8]) -> bool {
+    let mut previous = None;
     for byte in head {
-        if (before == Some(b'\r')) != (*byte == b'\n') {
+        if (previous == Some(b'\r')) != (*byte == b'\n') {
             return true;
         }
-        before = Some(*byte);
+        previous = Some(*byte);
     }
-    before == Some(b'\r')
+    previous == Some(b'\r')
 }
 
-fn scan_first_line(line: &str) -> Result<(), ResultCode> {
-    let versioned = line.split(' ').any(|word| word == "HTTP/1.1" || word == "HTTP/1.0");
-    let spaced = line.split(' ').filter(|word| !word.is_empty()).count() >= 2;
-    if versioned && spaced { Ok(()) } else { Err(codetable::BAD_REQUEST) }
+fn check_start_line(line: &str) -> Result<(), ResultCode> {
+    let has_version = line.split(' ').any(|part| part == "HTTP/1.1" || part == "HTTP/1.0");
+    let has_parts = line.split(' ').filter(|part| !part.is_empty()).count() >= 2;
+    if has_version && has_parts { Ok(()) } else { Err(codetable::BAD_REQUEST) }
 }
 
-fn scan_field(line: &str) -> Result<(&str, &str), ResultCode> {
+fn parse_field(line: &str) -> Result<(&str, &str), ResultCode> {
     let (name, value) = line.split_once(':').ok_or(codetable::BAD_REQUEST)?;
-    let plain = !name.is_empty() && name.bytes().all(|byte| byte.is_ascii_graphic());
-    if plain { Ok((name, value.trim())) } else { Err(codetable::BAD_REQUEST) }
+    let valid = !name.is_empty() && name.bytes().all(|byte| byte.is_ascii_graphic());
+    if valid { Ok((name, value.trim())) } else { Err(codetable::BAD_REQUEST) }
 }
 
-fn scan_length(name: &str, value: &str) -> Result<Option<BodyLength>, ResultCode> {
+/// Returns the body length that a field states, or `None` for any other field.
+fn parse_length(name: &str, value: &str) -> Result<Option<BodyLength>, ResultCode> {
     if name.eq_ignore_ascii_case("content-length") {
         let digits = !value.is_empty() && value.bytes().all(|byte| byte.is_ascii_digit());
         let count = value.parse().ok().filter(|_| digits);
@@ -128,10 +130,10 @@
     Ok(None)
 }
 
-/// Follows a chunked body as its bytes pass and finds where it ends.
+/// Incremental scanner for a body with chunked transfer coding, which finds the end of the body.
 ///
-/// The decoder of `async-h1` reads ahead and drops what follows the body, so only a scanner of
-/// the raw bytes can tell that a connection holds bytes of another answer.
+/// The decoder of `async-h1` reads ahead and discards what follows the body, so only a scanner of
+/// the raw bytes can detect that a connection holds bytes of another response.
 #[derive(Debug, Clone)]
 pub struct ChunkScanner {
     state: ChunkState,
@@ -148,26 +150,26 @@
     Trailer { line: u32 },
     TrailerEnd { line: u32 },
     Done,
-    Broken,
+    Malformed,
 }
 
 impl ChunkScanner {
-    /// Makes a scanner that stands before the first chunk.
+    /// Creates a scanner positioned before the first chunk.
     pub const fn new() -> Self {
         Self { state: ChunkState::Size, size: 0 }
     }
 
-    /// Tells whether the last chunk has passed.
+    /// Returns whether the last chunk and the trailers have been scanned.
     pub fn is_done(&self) -> bool {
         self.state == ChunkState::Done
     }
 
-    /// Tells whether the bytes are no chunked body.
+    /// Returns whether the bytes so far are not a valid chunked body.
     pub fn is_malformed(&self) -> bool {
-        self.state == ChunkState::Broken
+        self.state == ChunkState::Malformed
     }
 
-    /// Takes the next bytes and returns how many of them belong to the body.
+    /// Scans the next bytes and returns how many of them belong to the body.
     ///
     /// # Examples
     /// ```
@@ -176,10 +178,10 @@
     /// assert!(scanner.is_done());
     /// ```
     pub fn feed(&mut self, bytes: &[u8]) -> usize {
-        self.follow_body(bytes, |_| ())
+        self.scan_body(bytes, |_| ())
     }
 
-    /// Takes the next bytes like [`ChunkScanner::feed`] and adds the data in them to `data`.
+    /// Scans the next bytes like [`ChunkScanner::feed`] and appends the chunk data to `data`.
     ///
     /// # Examples
     /// ```
@@ -188,37 +190,39 @@
     /// assert_eq!(data, b"abc");
     /// ```
     pub fn feed_into(&mut self, bytes: &[u8], data: &mut Vec<u8>) -> usize {
-        self.follow_body(bytes, |part| data.extend_from_slice(part))
+        self.scan_body(bytes, |part| data.extend_from_slice(part))
     }
 
-    fn follow_body<Sink>(&mut self, bytes: &[u8], mut sink: Sink) -> usize
+    fn scan_body<Sink>(&mut self, bytes: &[u8], mut sink: Sink) -> usize
     where
         Sink: FnMut(&[u8]),
     {
-        let mut at = 0;
-        while at < bytes.len() && !self.is_done() && !self.is_malformed() {
+        let mut position = 0;
+        while position < bytes.len() && !self.is_done() && !self.is_malformed() {
             if self.state == ChunkState::Data {
-                let taken = self.pass_data(bytes.len() - at);
-                sink(&bytes[at..at + taken]);
-                at += taken;
+                let consumed = self.consume_data(bytes.len() - position);
+                sink(&bytes[position..position + consumed]);
+                position += consumed;
             } else {
-                self.state = self.follow(bytes[at]);
-                at += 1;
+                self.state = self.next_state(bytes[position]);
+                position += 1;
             }
         }
-        at
+        position
     }
 
-    fn pass_data(&mut self, room: usize) -> usize {
-        let taken = self.size.min(room as u64);
-        self.size -= taken;
+    /// Consumes up to `available` bytes of chunk data and returns how many.
+    fn consume_data(&mut self, available: usize) -> usize {
+        let consumed = self.size.min(available as u64);
+        self.size -= consumed;
         if self.size == 0 {
             self.state = ChunkState::DataEnd;
         }
-        taken as usize
+        consumed as usize
     }
 
-    fn follow(&mut self, byte: u8) -> ChunkState {
+    /// Returns the state after a byte that is not chunk data.
+    fn next_state(&mut self, byte: u8) -> ChunkState {
         match (self.state, byte) {
             (ChunkState::Size | ChunkState::Extension, b'\r') => ChunkState::SizeEnd,
             (ChunkState::Size, b';') => ChunkState::Extension,
@@ -227,7 +231,7 @@
                     self.size = self.size.saturating_mul(16).saturating_add(u64::from(digit));
                     ChunkState::Size
                 }
-                None => ChunkState::Broken,
+                None => ChunkState::Malformed,
             },
             (ChunkState::SizeEnd, _) if self.size == 0 => ChunkState::Trailer { line: 0 },
             (ChunkState::SizeEnd, _) => ChunkState::Data,
--- a/toucanrail/src/settings.rs
+++ b/toucanrail/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings in flags and environment variables, with all faults found at once.
+//! Settings from flags and environment variables; all errors are reported at once.
 
 use std::collections::BTreeMap;
 use std::ffi::OsString;
@@ -8,58 +8,58 @@
 use quick_error::quick_error;
 
 quick_error! {
-    /// A fault of the settings.
+    /// An error in the settings.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum SettingError {
-        /// A flag that the program does not know, or one without its value.
+        /// An unknown flag, or a flag without its value.
         Usage(reason: String) {
             display("5003: {reason}")
         }
-        /// A required setting is not given.
+        /// A required setting is missing.
         Missing(name: &'static str) {
             display("5003: --{name} (or {}) is required", env_name(name))
         }
-        /// A value cannot be read.
-        Value(name: &'static str, value: String, wanted: &'static str) {
-            display("5003: --{name}: '{value}' is not {wanted}")
+        /// A value cannot be parsed.
+        Value(name: &'static str, value: String, expected: &'static str) {
+            display("5003: --{name}: '{value}' is not {expected}")
         }
     }
 }
 
-/// One setting of a program.
+/// Declaration of a setting of a program.
 #[derive(Debug, Clone, Copy)]
 pub struct SettingRow {
-    /// The flag without its dashes.
+    /// Name of the flag, without the leading dashes.
     pub name: &'static str,
-    /// The value if it is not given; none if it is required.
+    /// Default value; `None` if the setting is required.
     pub default: Option<&'static str>,
-    /// What it does, in a line.
+    /// One-line description for `--help`.
     pub help: &'static str,
 }
 
 impl SettingRow {
-    /// Tells whether the flag alone switches something on.
+    /// Returns whether the setting is a boolean flag, which needs no value.
     pub fn is_switch(&self) -> bool {
         self.default == Some("false")
     }
 }
 
-/// What a program was called with.
+/// What a program does, according to its arguments.
 #[derive(Debug, Clone)]
 pub enum StartAction {
-    /// Run with these values.
+    /// Run with these settings.
     Run(SettingValues),
-    /// Print this and end well.
+    /// Print this text and exit successfully.
     Print(String),
 }
 
-/// The values given, with a list of faults that grows as they are read.
+/// The values of the settings, and the errors found while they are read and parsed.
 #[derive(Debug, Clone)]
 pub struct SettingValues {
     values: BTreeMap<&'static str, String>,
-    /// Words that are no flags.
+    /// Positional arguments.
     pub positionals: Vec<String>,
-    /// All faults found so far.
+    /// All errors found so far.
     pub errors: Vec<SettingError>,
 }
 
@@ -73,14 +73,16 @@
     format!("TOUCANRAIL_{}", name.to_uppercase().replace('-', "_"))
 }
 
-/// Reads flags first, then the environment, then the defaults.
+/// Reads the settings of a program from its arguments and environment.
+///
+/// Flags take precedence over environment variables, and these over defaults.
 ///
 /// # Examples
 /// ```
 /// use toucanrail::settings::{self, SettingRow, StartAction};
 /// let rows = [SettingRow { name: "tick", default: Some("1s"), help: "Time between ticks." }];
-/// let call = settings::read("prog", "Does it.", &rows, ["--tick=5s".into()], |_| None);
-/// let StartAction::Run(mut values) = call else { panic!() };
+/// let action = settings::read("prog", "Does it.", &rows, ["--tick=5s".into()], |_| None);
+/// let StartAction::Run(mut values) = action else { panic!() };
 /// assert_eq!(values.duration("tick").as_secs(), 5);
 /// ```
 pub fn read<Args, Env>(
@@ -107,16 +109,16 @@
             Ok(Some(lexopt::Arg::Long("version") | lexopt::Arg::Short('V'))) => {
                 return StartAction::Print(format!("{program} {}\n", env!("CARGO_PKG_VERSION")));
             }
-            Ok(Some(lexopt::Arg::Value(word))) => {
-                values.positionals.push(word.to_string_lossy().into_owned());
+            Ok(Some(lexopt::Arg::Value(value))) => {
+                values.positionals.push(value.to_string_lossy().into_owned());
             }
             Ok(Some(lexopt::Arg::Long(name))) => {
                 let row = rows.iter().find(|row| row.name == name).copied();
                 let name = name.to_owned();
-                values.take_flag(row, &name, &mut parser);
+                values.parse_flag(row, &name, &mut parser);
             }
             Ok(Some(lexopt::Arg::Short(letter))) => {
-                values.errors.push(SettingError::Usage(format!("there is no flag -{letter}")));
+                values.errors.push(SettingError::Usage(format!("unknown flag -{letter}")));
             }
             Err(error) => {
                 values.errors.push(SettingError::Usage(error.to_string()));
@@ -124,7 +126,7 @@
             }
         }
     }
-    values.fill(rows, env);
+    values.fill_missing(rows, env);
     StartAction::Run(values)
 }
 
@@ -143,9 +145,9 @@
 }
 
 impl SettingValues {
-    fn take_flag(&mut self, row: Option<SettingRow>, name: &str, parser: &mut lexopt::Parser) {
+    fn parse_flag(&mut self, row: Option<SettingRow>, name: &str, parser: &mut lexopt::Parser) {
         let Some(row) = row else {
-            self.errors.push(SettingError::Usage(format!("there is no flag --{name}")));
+            self.errors.push(SettingError::Usage(format!("unknown flag --{name}")));
             return;
         };
         if row.is_switch() {
@@ -162,7 +164,8 @@
         }
     }
 
-    fn fill<Env>(&mut self, rows: &[SettingRow], env: Env)
+    /// Sets the settings that have no flag from the environment or their defaults.
+    fn fill_missing<Env>(&mut self, rows: &[SettingRow], env: Env)
     where
         Env: Fn(&str) -> Option<String>,
     {
@@ -180,53 +183,56 @@
         }
     }
 
-    /// Returns a setting's text; empty if it is not set.
+    /// Returns the text of a setting; empty if it is not set.
     pub fn text(&self, name: &str) -> &str {
         self.values.get(name).map_or("", String::as_str)
     }
 
-    /// Returns a setting's items, which commas separate.
+    /// Returns the items of a setting that is a comma-separated list.
     pub fn list(&self, name: &str) -> Vec<String> {
         let items = self.text(name).split(',').map(str::trim).filter(|item| !item.is_empty());
         items.map(str::to_owned).collect()
     }
 
-    /// Reads a setting, or notes a fault and gives the type's default.
-    pub fn parse<Value>(&mut self, name: &'static str, wanted: &'static str) -> Value
+    /// Parses a setting; on failure records an error and returns the default of the type.
+    ///
+    /// `expected` describes a valid value, as in "a port number".
+    pub fn parse<Value>(&mut self, name: &'static str, expected: &'static str) -> Value
     where
         Value: FromStr + Default,
     {
-        self.parse_with(name, wanted, |text| text.parse().ok())
+        self.parse_with(name, expected, |text| text.parse().ok())
     }
 
-    /// Reads a setting with a function, or notes a fault and gives the type's default.
-    pub fn parse_with<Value, Read>(
+    /// Parses a setting with a function; on failure records an error and returns the default of the
+    /// type.
+    pub fn parse_with<Value, Parser>(
         &mut self,
         name: &'static str,
-        wanted: &'static str,
-        read: Read,
+        expected: &'static str,
+        parser: Parser,
     ) -> Value
     where
         Value: Default,
-        Read: Fn(&str) -> Option<Value>,
+        Parser: Fn(&str) -> Option<Value>,
     {
         if self.errors.contains(&SettingError::Missing(name)) {
             return Value::default();
         }
         let text = self.text(name).to_owned();
-        read(&text).unwrap_or_else(|| {
-            self.errors.push(SettingError::Value(name, text, wanted));
+        parser(&text).unwrap_or_else(|| {
+            self.errors.push(SettingError::Value(name, text, expected));
             Value::default()
         })
     }
 
-    /// Reads a time: a number with `ms`, `s` or `m`.
+    /// Parses a setting that is a duration, as [`parse_duration`] does.
     pub fn duration(&mut self, name: &'static str) -> Duration {
         self.parse_with(name, "a time like 250ms, 10s or 2m", parse_duration)
     }
 }
 
-/// Reads a time: a number with `ms`, `s` or `m`.
+/// Parses a duration: a number with the unit `ms`, `s` or `m`.
 ///
 /// # Examples
 /// ```
@@ -235,9 +241,9 @@
 /// assert_eq!(toucanrail::settings::parse_duration("soon"), None);
 /// ```
 pub fn parse_duration(text: &str) -> Option<Duration> {
-    let digits = text.trim_end_matches(|letter: char| letter.is_ascii_alphabetic());
-    let number: f64 = digits.parse().ok().filter(|number| *number >= 0.0 && *number < 1e9)?;
-    let seconds = match &text[digits.len()..] {
+    let number_text = text.trim_end_matches(|letter: char| letter.is_ascii_alphabetic());
+    let number: f64 = number_text.parse().ok().filter(|number| *number >= 0.0 && *number < 1e9)?;
+    let seconds = match &text[number_text.len()..] {
         "ms" => number / 1000.0,
         "s" => number,
         "m" => number * 60.0,
--- a/toucanrail/src/sse.rs
+++ b/toucanrail/src/sse.rs
@@ -1,25 +1,27 @@
-//! Events of a stream (`text/event-stream`), found in the bytes as they arrive.
+//! Incremental scanner for server-sent events (`text/event-stream`).
 
-/// Follows the events of one stream.
+/// Finds the complete events of one stream.
 ///
-/// Guards against a stream that is joined in the middle of an event: a server may break off there,
-/// and only whole events may reach the caller if another server is to go on behind them.
+/// A server may fail in the middle of an event. Only complete events may be forwarded to the
+/// caller, so that another server can resume the stream after the last one.
 #[derive(Debug, Default, Clone)]
 pub struct EventScanner {
-    /// Id of the last whole event that had one.
+    /// Id of the last complete event that had a numeric id.
     pub last_id: Option<u64>,
-    /// Whole events so far.
+    /// Number of complete events so far.
     pub count: u64,
 }
 
 impl EventScanner {
-    /// Makes a scanner that stands before the first event.
+    /// Creates a scanner positioned before the first event.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Scans `pending`, which holds all bytes behind the last whole event taken, and returns the
-    /// length of the whole events at its start; the caller takes these out.
+    /// Scans `pending` and returns the total length in bytes of the complete events at its start.
+    ///
+    /// `pending` must hold all bytes received after the last complete event; the caller removes the
+    /// complete events from it before the next call.
     ///
     /// # Examples
     /// ```
@@ -28,25 +30,25 @@
     /// assert_eq!((scanner.last_id, scanner.count), (Some(4), 1));
     /// ```
     pub fn scan(&mut self, pending: &[u8]) -> usize {
-        let mut whole = 0;
+        let mut complete = 0;
         let mut start = 0;
         let mut id = None;
-        while let Some(feed) = pending[start..].iter().position(|byte| *byte == b'\n') {
-            let line = pending[start..start + feed].trim_ascii_end();
-            start += feed + 1;
+        while let Some(length) = pending[start..].iter().position(|byte| *byte == b'\n') {
+            let line = pending[start..start + length].trim_ascii_end();
+            start += length + 1;
             if !line.is_empty() {
-                id = read_id(line).or(id);
+                id = parse_id(line).or(id);
                 continue;
             }
-            whole = start;
+            complete = start;
             self.count += 1;
             self.last_id = id.take().or(self.last_id);
         }
-        whole
+        complete
     }
 }
 
-fn read_id(line: &[u8]) -> Option<u64> {
+fn parse_id(line: &[u8]) -> Option<u64> {
     let value = line.strip_prefix(b"id:")?;
     std::str::from_utf8(value).ok()?.trim().parse().ok()
 }
--- a/toucanrail/src/traces.rs
+++ b/toucanrail/src/traces.rs
@@ -1,4 +1,4 @@
-//! What happened to recent requests, step by step, for `toucanrail explain`.
+//! Traces of recent requests, for `toucanrail explain`.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -8,10 +8,10 @@
 
 use crate::ids::RequestId;
 
-/// Requests that an entry remembers.
+/// Maximum number of requests whose traces an entry keeps.
 const TRACE_LIMIT: usize = 4_000;
 
-/// One step of a request.
+/// One step in the processing of a request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TraceStep {
     /// Time since the request arrived.
@@ -20,7 +20,7 @@
     pub event: Arc<str>,
 }
 
-/// The steps of recent requests.
+/// Traces of recent requests; the oldest request is dropped when the table is full.
 #[derive(Debug, Default, Serialize)]
 pub struct TraceTable {
     rows: BTreeMap<RequestId, Vec<TraceStep>>,
@@ -29,12 +29,12 @@
 }
 
 impl TraceTable {
-    /// Makes an empty table.
+    /// Creates an empty table.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Keeps a request's steps; the steps of a retry with the same key go behind the first ones.
+    /// Appends steps to the trace of a request; a retry with the same key extends the first trace.
     ///
     /// # Examples
     /// ```
@@ -50,13 +50,13 @@
         self.rows.insert(Arc::clone(request), steps);
         self.order.push_back(Arc::clone(request));
         if self.order.len() > TRACE_LIMIT
-            && let Some(old) = self.order.pop_front()
+            && let Some(oldest) = self.order.pop_front()
         {
-            self.rows.remove(&old);
+            self.rows.remove(&oldest);
         }
     }
 
-    /// Returns a request's steps.
+    /// Returns the steps of a request.
     pub fn get(&self, request: &str) -> Option<&[TraceStep]> {
         self.rows.get(request).map(Vec::as_slice)
     }
--- a/toucanrail/tests/catalogue_files.rs
+++ b/toucanrail/tests/catalogue_files.rs
@@ -1,4 +1,4 @@
-//! The catalogue's file format and its table.
+//! Catalogue files and the catalogue table.
 
 use std::sync::Arc;
 
@@ -6,69 +6,75 @@
 use toucanrail::catalogue_files;
 use toucanrail::messages::MirrorObject;
 
-const GOOD: &str = "[[service]]\nname = \"desk\"\nowner = \"ops\"\nkind = \"plain\"\n\
+const VALID_SERVICE: &str = "[[service]]\nname = \"desk\"\nowner = \"ops\"\nkind = \"plain\"\n\
     route = \"/desk\"\nprice = 5\n";
 
-fn faults(text: &str) -> Vec<String> {
-    let faults = catalogue_files::parse_items(text).expect_err("it has faults");
-    faults.iter().map(ToString::to_string).collect()
+fn parse_errors(text: &str) -> Vec<String> {
+    let errors = catalogue_files::parse_items(text).expect_err("the file is invalid");
+    errors.iter().map(ToString::to_string).collect()
 }
 
+/// All errors of a file are reported at once, each with its line.
 #[test]
-fn every_fault() {
+fn every_error() {
     let text = "[[service]]\nname = \"a b\"\nowner = \"\"\nkind = \"plain\"\nroute = \"desk\"\n\
         price = 0\n\n[[customer]]\nname = \"c\"\nowner = \"o\"\nclass = \"standard\"\n\
         key-digests = [\"short\"]\nweight = 0\n";
-    let found = faults(text);
+    let found = parse_errors(text);
     for (line, field) in
         [(2, "name"), (3, "owner"), (5, "route"), (6, "price"), (12, "key-digests")]
     {
-        let wanted = format!("line {line}: ");
-        let fits = |fault: &String| fault.contains(&wanted) && fault.contains(field);
-        assert!(found.iter().any(fits), "{line} {field}: {found:?}");
+        let position = format!("line {line}: ");
+        let matches = |error: &String| error.contains(&position) && error.contains(field);
+        assert!(found.iter().any(matches), "{line} {field}: {found:?}");
     }
     assert_eq!(found.len(), 6, "{found:?}");
 }
 
 #[test]
 fn unknown_field() {
-    let found = faults(&format!("{GOOD}colour = \"red\"\n"));
+    let found = parse_errors(&format!("{VALID_SERVICE}colour = \"red\"\n"));
     assert!(found[0].contains("line 1") && found[0].contains("colour"), "{found:?}");
-    let found = faults("[[service]\n");
+    let found = parse_errors("[[service]\n");
     assert!(found[0].contains("line 1"), "{found:?}");
 }
 
 #[test]
-fn clashing_names() {
-    let found = faults(&format!("{GOOD}{GOOD}"));
-    assert!(found.iter().any(|fault| fault.contains("route /desk stands on line 1")), "{found:?}");
+fn duplicate_names() {
+    let found = parse_errors(&format!("{VALID_SERVICE}{VALID_SERVICE}"));
+    assert!(
+        found.iter().any(|error| error.contains("route /desk is already defined on line 1")),
+        "{found:?}"
+    );
 }
 
 fn object(version: u64, text: &str) -> MirrorObject {
     MirrorObject { name: Arc::from("service.desk"), version, value: text.as_bytes().to_vec() }
 }
 
-/// A broken entry is written past the check: the last good one must stay in force.
+/// An invalid item reaches the store without validation: the last valid one must stay in effect.
 #[test]
-fn bad_object() {
+fn invalid_object() {
     let mut table = CatalogueTable::new();
-    let item = catalogue_files::parse_items(GOOD).expect("it is good").remove(0).item;
-    let value = serde_json::to_string(&item).expect("it is encoded");
+    let item = catalogue_files::parse_items(VALID_SERVICE).expect("it is valid").remove(0).item;
+    let value = serde_json::to_string(&item).expect("it can be encoded");
     table.apply(&object(1, &value));
     table.apply(&object(2, "{\"service\":{\"name\":\"desk\"}}"));
     assert_eq!(table.service("desk").map(|service| service.price), Some(5));
-    assert!(table.faults.contains_key("service.desk"));
+    assert!(table.errors.contains_key("service.desk"));
     table.apply(&object(3, ""));
-    assert!(table.service("desk").is_none() && table.faults.is_empty());
+    assert!(table.service("desk").is_none() && table.errors.is_empty());
 }
 
+/// A path belongs to the service with the longest route, matched by whole path segments.
 #[test]
 fn longest_route() {
     let mut table = CatalogueTable::new();
     for (name, route) in [("desk", "/desk"), ("inner", "/desk/inner")] {
-        let text = GOOD.replace("\"desk\"", &format!("\"{name}\"")).replace("/desk", route);
-        let item = catalogue_files::parse_items(&text).expect("it is good").remove(0).item;
-        let value = serde_json::to_vec(&item).expect("it is encoded");
+        let text =
+            VALID_SERVICE.replace("\"desk\"", &format!("\"{name}\"")).replace("/desk", route);
+        let item = catalogue_files::parse_items(&text).expect("it is valid").remove(0).item;
+        let value = serde_json::to_vec(&item).expect("it can be encoded");
         table.apply(&MirrorObject { name: item.object_name(), version: 1, value });
     }
     let found = |path| table.service_by_path(path).map(|service| service.name.to_string());
--- a/toucanrail/tests/route_matching.rs
+++ b/toucanrail/tests/route_matching.rs
@@ -1,4 +1,4 @@
-//! Requests matched to routes, services and customers.
+//! Matching of requests to routes, services and customers.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -36,38 +36,38 @@
 }
 
 proptest! {
-    /// The route found is the one that a search through all of them finds: the longest prefix.
+    /// The lookup finds the same route as a linear search for the longest prefix.
     #[test]
     fn longest_prefix(prefixes in prop::collection::btree_set("(/[ab]{1,2}){0,3}/", 0..8), path in "(/[ab]{0,2}){1,5}") {
         let routes = prefixes.iter().map(|prefix| route("h", prefix)).collect();
         let table = make_table(routes);
-        let fits = prefixes.iter().filter(|prefix| path.starts_with(prefix.as_str()));
-        let naive = fits.max_by_key(|prefix| prefix.len());
+        let matching = prefixes.iter().filter(|prefix| path.starts_with(prefix.as_str()));
+        let expected = matching.max_by_key(|prefix| prefix.len());
         let found = table.find_route("h", &path).map(|route| route.prefix.to_string());
-        prop_assert_eq!(found, naive.cloned());
+        prop_assert_eq!(found, expected.cloned());
     }
 }
 
-/// Callers write a host in any case and with a port.
+/// Callers may write the host in any case and with a port.
 #[test]
-fn written_host() {
+fn host_with_case_and_port() {
     let table = make_table(vec![route("shop.example", "/a/")]);
     assert!(table.find_route("Shop.Example:8080", "/a/b").is_some());
     assert!(table.find_route("other.example", "/a/b").is_none());
 }
 
-/// A split sends each service its share.
+/// A route with several targets sends each service its share.
 #[test]
-fn split_shares() {
+fn weighted_targets() {
     let rule = route("h", "/");
     let picks = (0..100).filter_map(|step| rule.pick_service(f64::from(step) / 100.0));
     assert_eq!(picks.filter(|service| ***service == *"two").count(), 10);
 }
 
-/// An old configuration that was long under way arrives behind a newer one, which took a key away:
-/// the key must not come back into force.
+/// A delayed old configuration arrives after a newer one that revoked a key: the key must stay
+/// revoked.
 #[test]
-fn late_config() {
+fn delayed_config() {
     let customer = |keys: &[&str]| CustomerRule {
         name: Arc::from("acme"),
         keys: keys.iter().map(|key| Arc::from(*key)).collect::<BTreeSet<_>>(),
--- a/toucanrail/tests/store_endpoints.rs
+++ b/toucanrail/tests/store_endpoints.rs
@@ -1,4 +1,4 @@
-//! The way to the store while an entry's own VM is cut off from it.
+//! Selection of the store endpoint when an entry cannot reach the store directly.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -24,20 +24,20 @@
     table
 }
 
-/// A caller's customer is refused for want of a grant although its budget lasts: the entry's VM is
-/// cut off from the store, while VMs beside it reach the store well. The entry goes through one of
-/// these, in its own data centre.
+/// An entry whose VM cannot reach the store refused customers with budget left, for lack of a
+/// grant, while other VMs could reach the store. It must use a relay, preferably in its own data
+/// centre.
 #[test]
-fn cut_entry() {
+fn unreachable_store() {
     let mut table = make_table();
     assert!(table.record_failure(&StoreEndpoint::Direct, 0.0, Duration::from_secs(1)));
     assert_eq!(table.current().0, StoreEndpoint::Relay(Arc::from("near-1")));
 }
 
-/// Three calls wait on the direct way when it breaks. Their failures come one after the other, and
-/// the second and third must not take the relay away again that the first chose.
+/// Several calls are pending on the direct connection when it breaks. Their failures arrive one
+/// after the other; the later ones must not replace the relay that was selected after the first.
 #[test]
-fn late_failures() {
+fn concurrent_failures() {
     let mut table = make_table();
     let now = Duration::from_secs(1);
     table.record_failure(&StoreEndpoint::Direct, 0.0, now);
@@ -45,17 +45,17 @@
     assert_eq!(table.current().0, StoreEndpoint::Relay(Arc::from("near-1")));
 }
 
-/// The store itself is away: each relay fails in turn, and the direct way is as good as any. When
-/// the relays have rested they are tried again.
+/// The store itself is down: each relay fails in turn, and the direct connection is used. The
+/// relays are tried again after the retry delay.
 #[test]
-fn absent_store() {
+fn store_outage() {
     let mut table = make_table();
     let mut now = Duration::from_secs(1);
     table.record_failure(&StoreEndpoint::Direct, 0.0, now);
     for _ in 0..3 {
-        let (way, _) = table.current();
-        assert_ne!(way, StoreEndpoint::Direct);
-        table.record_failure(&way, 0.0, now);
+        let (endpoint, _) = table.current();
+        assert_ne!(endpoint, StoreEndpoint::Direct);
+        table.record_failure(&endpoint, 0.0, now);
     }
     assert_eq!(table.current().0, StoreEndpoint::Direct);
     assert!(!table.record_failure(&StoreEndpoint::Direct, 0.0, now));
@@ -63,9 +63,10 @@
     assert!(table.record_failure(&StoreEndpoint::Direct, 0.0, now));
 }
 
-/// The cut heals. The direct way is tried now and then, and taken as soon as it works.
+/// While a relay is in use the direct connection is probed at intervals, and used as soon as a
+/// probe succeeds.
 #[test]
-fn healed_cut() {
+fn direct_connection_restored() {
     let mut table = make_table();
     table.record_failure(&StoreEndpoint::Direct, 0.0, Duration::from_secs(1));
     assert!(!table.start_due_probe(Duration::from_secs(2)));
@@ -75,7 +76,7 @@
     assert_eq!(table.current(), (StoreEndpoint::Direct, store()));
 }
 
-/// The VM of the relay in use is taken away, and its entry with it.
+/// The VM of the relay in use is removed, and the relay is no longer listed.
 #[test]
 fn removed_relay() {
     let mut table = make_table();
@@ -84,8 +85,8 @@
     assert_eq!(table.current().0, StoreEndpoint::Direct);
 }
 
-/// A customer's grants were spread over a lender in each data centre, and most changes of its account
-/// lost a race against the other three. Entries of one region agree on its lenders, near or far.
+/// With a lender per data centre, most writes to a customer's account lost the race against the
+/// other lenders. All entries of a region must use the same lenders, whatever their data centre.
 #[test]
 fn regional_lenders() {
     let mut table = make_table();
@@ -96,31 +97,31 @@
     assert_eq!(names, [Arc::from("far"), Arc::from("near")]);
 }
 
-/// The store takes 356 ms an answer for some seconds. It was given up after 300 ms, waited for, and given
-/// up again three answers later; each time callers were refused for want of grants that it would have
-/// given. Once it was waited for, it is not given up again.
+/// For some seconds the store takes 356 ms per response, more than the initial timeout of 300 ms.
+/// The timeout was raised after the first failure but lowered again three responses later, and each
+/// timed-out call led to refusals for lack of a grant. Only the first call may time out.
 #[test]
 fn slow_store() {
     let mut patience = AnswerPatience::new();
-    let answer = Duration::from_millis(356);
-    let given_up = (0..40).filter(|_| {
-        let silent = patience.wait() < answer;
-        if silent {
+    let response_time = Duration::from_millis(356);
+    let timeouts = (0..40).filter(|_| {
+        let timed_out = patience.wait() < response_time;
+        if timed_out {
             patience.note_silence(patience.wait());
         } else {
-            patience.note_answer(answer);
+            patience.note_answer(response_time);
         }
-        silent
+        timed_out
     });
-    assert_eq!(given_up.count(), 1);
+    assert_eq!(timeouts.count(), 1);
     for _ in 0..12 {
         patience.note_answer(Duration::from_millis(4));
     }
     assert_eq!(patience.wait(), Duration::from_millis(300));
 }
 
-/// Entries host relays in a fleet that has no others; once there are some, budgets and the way to the store
-/// go through those.
+/// In a fleet without relays on VMs of their own, entries host relays. As soon as there are relays
+/// on VMs of their own, these alone lend budget and forward connections to the store.
 #[test]
 fn hosted_relays() {
     let mut table = make_table();
--- a/toucanrail/tests/stream_events.rs
+++ b/toucanrail/tests/stream_events.rs
@@ -1,4 +1,4 @@
-//! Events found in the bytes of a stream, however these are cut.
+//! Scanning of event streams and chunked bodies, however their bytes are split.
 
 use proptest::prelude::*;
 use toucanrail::framing::BodyDecoder;
@@ -10,28 +10,28 @@
 }
 
 proptest! {
-    /// A server breaks off in the middle of an event and another goes on behind the last whole one:
-    /// what was passed on must end with a whole event, wherever the reads were cut.
+    /// A server may fail in the middle of an event, and another one resumes after the last complete
+    /// event: the forwarded bytes must end with a complete event, however the reads are split.
     #[test]
-    fn whole_events(events in 0_u64..20, cuts in prop::collection::vec(1_usize..40, 0..40), end in 0_usize..400) {
+    fn complete_events(events in 0_u64..20, splits in prop::collection::vec(1_usize..40, 0..40), end in 0_usize..400) {
         let stream = make_stream(events);
         let stream = &stream[..end.min(stream.len())];
         let mut scanner = EventScanner::new();
-        let (mut pending, mut passed) = (Vec::new(), Vec::new());
+        let (mut pending, mut forwarded) = (Vec::new(), Vec::new());
         let mut rest = stream;
-        for cut in cuts.into_iter().chain([usize::MAX]) {
-            let (part, left) = rest.split_at(cut.min(rest.len()));
-            rest = left;
+        for split in splits.into_iter().chain([usize::MAX]) {
+            let (part, remaining) = rest.split_at(split.min(rest.len()));
+            rest = remaining;
             pending.extend_from_slice(part);
-            let whole = scanner.scan(&pending);
-            passed.extend(pending.drain(..whole));
+            let complete = scanner.scan(&pending);
+            forwarded.extend(pending.drain(..complete));
         }
-        prop_assert_eq!(&passed[..], &make_stream(scanner.count)[..]);
+        prop_assert_eq!(&forwarded[..], &make_stream(scanner.count)[..]);
         prop_assert_eq!(scanner.last_id.unwrap_or(0), scanner.count);
     }
 
-    /// The data of a chunked body is the same however its bytes arrive, and bytes behind it are
-    /// left alone.
+    /// A chunked body is decoded to the same data however its bytes are split, and the bytes after
+    /// it are not consumed.
     #[test]
     fn chunked_data(parts in prop::collection::vec(prop::collection::vec(any::<u8>(), 1..30), 0..10), step in 1_usize..50) {
         let mut bytes = Vec::new();
@@ -43,21 +43,21 @@
         bytes.extend_from_slice(b"0\r\n\r\n");
         let length = bytes.len();
         bytes.extend_from_slice(b"HTTP/1.1 200 OK");
-        let mut framer = BodyDecoder::for_response(BodyLength::Chunked);
-        let (mut data, mut taken) = (Vec::new(), 0);
+        let mut decoder = BodyDecoder::for_response(BodyLength::Chunked);
+        let (mut data, mut consumed) = (Vec::new(), 0);
         for piece in bytes.chunks(step) {
-            taken += framer.feed(piece, &mut data);
+            consumed += decoder.feed(piece, &mut data);
         }
-        prop_assert!(framer.is_done());
-        prop_assert_eq!(taken, length);
+        prop_assert!(decoder.is_done());
+        prop_assert_eq!(consumed, length);
         prop_assert_eq!(data, parts.concat());
     }
 }
 
-/// A server sends bytes that are no chunked body; none of them may pass as an answer.
+/// Bytes that are not a valid chunked body must not be accepted as a response.
 #[test]
-fn broken_chunks() {
-    let mut framer = BodyDecoder::for_response(BodyLength::Chunked);
-    framer.feed(b"zz\r\nabc", &mut Vec::new());
-    assert!(framer.is_malformed() && !framer.is_done());
+fn malformed_chunks() {
+    let mut decoder = BodyDecoder::for_response(BodyLength::Chunked);
+    decoder.feed(b"zz\r\nabc", &mut Vec::new());
+    assert!(decoder.is_malformed() && !decoder.is_done());
 }
