--- a/toucanrail-daemons/src/agents.rs
+++ b/toucanrail-daemons/src/agents.rs
@@ -265,7 +265,7 @@
             Ok(order) => order,
             Err(refusal) => return *refusal,
         };
-        let fate = self.lock_ledger().ask(&order.run, order.mode);
+        let fate = self.lock_ledger().query(&order.run, order.mode);
         if fate == toucanrail::messages::RunReport::Running && order.mode == QueryMode::Cancel {
             let call = OutboundCall::get(format!("/engine/cancel/{}", order.run)).on_fresh();
             // The run's own task sees its stream end and notes what was used.
