--- a/toucanrail-gateway/src/admitting.rs
+++ b/toucanrail-gateway/src/admitting.rs
@@ -8,7 +8,7 @@
 use toucanrail::admissions::AdmissionQuery;
 use toucanrail::codes::{ResultCode, RunState};
 use toucanrail::codetable;
-use toucanrail::matching::{CustomerFacts, RouteRule};
+use toucanrail::matching::{CustomerProfile, RouteRule};
 use toucanrail::retry_delays::{self, RefusalCause};
 use toucanrail_platform::requests::{self, RequestFacts};
 use toucanrail_wire::heads::RequestHead;
@@ -144,7 +144,7 @@
     gateway: &Gateway,
     head: &RequestHead,
     facts: &RequestFacts,
-) -> Result<(Arc<RouteRule>, Option<Arc<CustomerFacts>>), AdmissionRefusal> {
+) -> Result<(Arc<RouteRule>, Option<Arc<CustomerProfile>>), AdmissionRefusal> {
     let tables = gateway.tables.borrow();
     let left = facts.timeout.unwrap_or(Duration::MAX);
     let wait = Some(retry_delays::pick_delay(RefusalCause::Uninformed, left, fastrand::f64()));
@@ -159,7 +159,7 @@
     };
     let route = tables.routes.find_route(head.host(), head.path());
     let route = route.ok_or_else(|| unknown(codetable::NO_SUCH_ROUTE))?;
-    if route.public || !tables.routes.needs_keys() {
+    if route.public || !tables.routes.requires_keys() {
         return Ok((Arc::clone(route), None));
     }
     let key = facts.key.as_deref().ok_or(codetable::UNKNOWN_KEY)?;
--- a/toucanrail-gateway/src/request_context.rs
+++ b/toucanrail-gateway/src/request_context.rs
@@ -8,10 +8,10 @@
 
 use toucanrail::attempts::AttemptOutcome;
 use toucanrail::backends::BackendEntry;
-use toucanrail::events::EventScanner;
-use toucanrail::framing::BodyFramer;
+use toucanrail::framing::BodyDecoder;
 use toucanrail::ids::ServiceName;
-use toucanrail::matching::{CustomerFacts, RouteRule};
+use toucanrail::matching::{CustomerProfile, RouteRule};
+use toucanrail::sse::EventScanner;
 use toucanrail_platform::requests::RequestFacts;
 use toucanrail_wire::channels::BufferedChannel;
 use toucanrail_wire::heads::{AnswerHead, RequestHead};
@@ -38,7 +38,7 @@
     /// Matched route.
     pub route: Arc<RouteRule>,
     /// Customer that pays; `None` on a public route.
-    pub customer: Option<Arc<CustomerFacts>>,
+    pub customer: Option<Arc<CustomerProfile>>,
     /// Service chosen among the route's targets.
     pub service: ServiceName,
     /// Time at which the request arrived.
@@ -61,7 +61,7 @@
     /// the response does not start.
     pub fn time_left_to_first_byte(&self) -> Duration {
         let first_byte_deadline =
-            self.arrived + self.route.patience().saturating_sub(DEADLINE_MARGIN);
+            self.arrived + self.route.caller_timeout().saturating_sub(DEADLINE_MARGIN);
         self.time_left().min(first_byte_deadline.saturating_duration_since(Instant::now()))
     }
 }
@@ -113,7 +113,7 @@
     /// Response head.
     pub head: AnswerHead,
     /// Finds the end of the response body.
-    pub framer: BodyFramer,
+    pub framer: BodyDecoder,
     /// Whether the whole request was written.
     pub request_sent: bool,
 }
--- a/toucanrail-gateway/src/sending.rs
+++ b/toucanrail-gateway/src/sending.rs
@@ -9,7 +9,7 @@
 use toucanrail::admissions::PendingRow;
 use toucanrail::attempts::AttemptOutcome;
 use toucanrail::backends::{BackendEntry, FlightRow};
-use toucanrail::framing::BodyFramer;
+use toucanrail::framing::BodyDecoder;
 use toucanrail::matching::RouteKind;
 use toucanrail_platform::requests::{self, OrderFacts};
 use toucanrail_wire::channels::BufferedChannel;
@@ -142,7 +142,7 @@
             return Err(AttemptOutcome::Lost);
         }
     };
-    let framer = BodyFramer::of_answer(head.length);
+    let framer = BodyDecoder::for_response(head.length);
     Ok(OpenExchange { channel, head, framer, request_sent })
 }
 
@@ -211,7 +211,7 @@
 }
 
 async fn skip_body(channel: &mut BufferedChannel, head: &AnswerHead) -> io::Result<()> {
-    let mut framer = BodyFramer::of_answer(head.length);
+    let mut framer = BodyDecoder::for_response(head.length);
     let mut body = Vec::new();
     loop {
         let consumed = framer.feed(&channel.buffer, &mut body);
@@ -220,7 +220,7 @@
         if framer.is_done() {
             return Ok(());
         }
-        if framer.is_broken() || channel.fill().await? == 0 {
+        if framer.is_malformed() || channel.fill().await? == 0 {
             return Err(io::ErrorKind::InvalidData.into());
         }
     }
--- a/toucanrail/src/boards.rs
+++ b/toucanrail/src/boards.rs
@@ -12,10 +12,10 @@
 
 use serde::Serialize;
 
-use crate::detours::RelayName;
+use crate::endpoints::RelayName;
 use crate::ids::Version;
 use crate::loans;
-use crate::messages::{MirrorChange, MirrorObject, NewsReply};
+use crate::messages::{ChangesReply, MirrorChange, MirrorObject};
 
 /// Default time since the store's last answer after which a board is stale and returns no objects.
 /// Entries then ask the store themselves, well within the two seconds in which a change must be
@@ -124,39 +124,39 @@
     /// # Examples
     /// ```
     /// use std::time::Duration;
-    /// use toucanrail::{boards::BoardTable, messages::NewsReply};
+    /// use toucanrail::{boards::BoardTable, messages::ChangesReply};
     /// let mut table = BoardTable::new();
     /// assert_eq!(table.updates_since(Some(7), Duration::ZERO), None);
     /// table.apply_listing(Vec::new(), 7, Duration::ZERO);
     /// assert_eq!(table.updates_since(Some(7), Duration::ZERO), None);
     /// assert!(matches!(
     ///     table.updates_since(None, Duration::ZERO),
-    ///     Some(NewsReply::Listing { .. })
+    ///     Some(ChangesReply::Listing { .. })
     /// ));
     /// ```
-    pub fn updates_since(&self, after: Option<Version>, now: Duration) -> Option<NewsReply> {
+    pub fn updates_since(&self, after: Option<Version>, now: Duration) -> Option<ChangesReply> {
         if self.heard_at.is_none() && !self.is_silent {
             return None;
         }
         if self.is_stale(now) {
-            return Some(NewsReply::Stale);
+            return Some(ChangesReply::Stale);
         }
         // Changes with the same revision as the last dropped one may have been dropped as well.
         let Some(after) = after.filter(|after| *after >= self.complete_after) else {
             let objects = self.objects.values().cloned().collect();
-            return Some(NewsReply::Listing { objects, revision: self.revision });
+            return Some(ChangesReply::Listing { objects, revision: self.revision });
         };
         let newer = self.changes.iter().filter(|(revision, _)| *revision > after);
         let changes: Vec<MirrorChange> = newer.map(|(_, change)| change.clone()).collect();
-        (!changes.is_empty()).then_some(NewsReply::Changes { changes, revision: self.revision })
+        (!changes.is_empty()).then_some(ChangesReply::Changes { changes, revision: self.revision })
     }
 
     /// Returns the reply to an entry that waited without any update.
-    pub fn empty_update(&self, after: Version, now: Duration) -> NewsReply {
+    pub fn empty_update(&self, after: Version, now: Duration) -> ChangesReply {
         if self.is_stale(now) {
-            return NewsReply::Stale;
+            return ChangesReply::Stale;
         }
-        NewsReply::Changes { changes: Vec::new(), revision: after }
+        ChangesReply::Changes { changes: Vec::new(), revision: after }
     }
 }
 
--- a/toucanrail/tests/run_records.rs
+++ b/toucanrail/tests/run_records.rs
@@ -12,7 +12,7 @@
 use toucanrail::codetable;
 use toucanrail::ids::{AgentId, EntryId, RequestId, Version};
 use toucanrail::ledgers::UsageLedger;
-use toucanrail::messages::{KeptAnswer, RunOrder};
+use toucanrail::messages::{RunCommand, StoredResponse};
 use toucanrail::paths;
 use toucanrail::records::RunRecord;
 use toucanrail::records::{
@@ -39,7 +39,7 @@
 struct RecordSim {
     store: FakeStore,
     agents: Vec<UsageLedger>,
-    running: Vec<RunOrder>,
+    running: Vec<RunCommand>,
     callers: Vec<CallerState>,
     /// Number of times that the service ran.
     runs: u64,
@@ -152,7 +152,7 @@
             return;
         };
         let body = format!("filed {}", self.runs).into_bytes();
-        let response = KeptAnswer { status: 200, fields: Vec::new(), body };
+        let response = StoredResponse { status: 200, fields: Vec::new(), body };
         if let Some(agent) = self.agent(&order.agent) {
             self.agents[agent].finish(&order.run, true, 5, 0, Some(response.clone()));
         }
@@ -205,8 +205,8 @@
     }
 }
 
-fn run_order(record: &RunRecord) -> RunOrder {
-    RunOrder {
+fn run_order(record: &RunRecord) -> RunCommand {
+    RunCommand {
         request: Arc::clone(&record.request),
         entry: Arc::clone(&record.writer),
         hold: 5,
