--- a/toucanrail-gateway/src/admitting.rs
+++ b/toucanrail-gateway/src/admitting.rs
@@ -13,9 +13,9 @@
 use toucanrail_platform::requests::{self, RequestFacts};
 use toucanrail_wire::heads::RequestHead;
 
-use crate::borrowing::{self, BudgetGuard, BudgetNeed};
-use crate::budgeting::HoldFailure;
 use crate::dispatching;
+use crate::grant_manager::HoldFailure;
+use crate::loan_client::{self, BudgetGuard, BudgetNeed};
 use crate::request_context::{DEADLINE_MARGIN, RequestPlan};
 use crate::responding::{self, ResponseWriter};
 use crate::state::Gateway;
@@ -67,7 +67,7 @@
         Err(refusal) => {
             let facts = requests::read_request(head);
             let version = gateway.tables.borrow().routes.version();
-            let age = gateway.store.age();
+            let age = gateway.store.time_since_answer();
             tracing::info!(
                 event = "refused", request = %facts.id, code = refusal.code.number(),
                 reason = refusal.code.row().name, path = head.path(), config = version,
@@ -152,7 +152,7 @@
         return Err(AdmissionRefusal { code: codetable::STORE_UNAVAILABLE, retry_after: wait });
     }
     let unknown = |code: ResultCode| {
-        if gateway.store.age() > STALE_STORE_AGE {
+        if gateway.store.time_since_answer() > STALE_STORE_AGE {
             return AdmissionRefusal { code: codetable::STORE_UNAVAILABLE, retry_after: wait };
         }
         AdmissionRefusal::from(code)
@@ -184,23 +184,23 @@
         stated,
         request: &plan.facts.id,
         service: &plan.service,
-        prompt: prompt.prompt,
-        output: prompt.output,
+        prompt_tokens: prompt.prompt,
+        max_output: prompt.output,
         rank: plan.urgency,
-        left: plan.time_left(),
+        time_left: plan.time_left(),
     };
-    let reserved = borrowing::take_budget(gateway, &need).await;
+    let reserved = loan_client::reserve_budget(gateway, &need).await;
     if let Err(failure) = &reserved {
         tracing::info!(
             event = "budget_refused", request = %need.request, customer = %need.customer,
-            prompt = need.prompt, output = need.output, stated = need.stated, failure = ?failure,
+            prompt = need.prompt_tokens, output = need.max_output, stated = need.stated, failure = ?failure,
         );
     }
     reserved.map(Some).map_err(|failure| match failure {
         HoldFailure::Uncovered => codetable::BUDGET_EXHAUSTED.into(),
         HoldFailure::Short => {
-            let is_outage =
-                gateway.store.age() > OUTAGE_THRESHOLD && !gateway.desk.unanswered.get();
+            let is_outage = gateway.store.time_since_answer() > OUTAGE_THRESHOLD
+                && !gateway.loan_client.lenders_unreachable.get();
             let cause = if is_outage { RefusalCause::Outage } else { RefusalCause::Unconfirmed };
             let wait = retry_delays::pick_delay(cause, plan.time_left(), fastrand::f64());
             AdmissionRefusal { code: codetable::BUDGET_UNCONFIRMED, retry_after: Some(wait) }
--- a/toucanrail-gateway/src/dispatching.rs
+++ b/toucanrail-gateway/src/dispatching.rs
@@ -16,9 +16,9 @@
 use toucanrail::retry_delays::{self, RefusalCause};
 use toucanrail_wire::clocks;
 
-use crate::borrowing::BudgetGuard;
 use crate::liveness;
-use crate::permitting::{self, SendPermit};
+use crate::loan_client::BudgetGuard;
+use crate::permits::{self, SendPermit};
 use crate::request_context::{
     AttemptContext, AttemptResult, FailedResponse, RequestPlan, StreamState,
 };
@@ -94,7 +94,7 @@
                 let step = self.tally.final_step(self.last_fate());
                 return self.finish(step, writer).await;
             }
-            let permit = permitting::take_permit(self.gateway, &target).await;
+            let permit = permits::request_permit(self.gateway, &target).await;
             if permit == SendPermit::Denied {
                 continue;
             }
@@ -267,7 +267,7 @@
         let now = self.gateway.now();
         self.tally.record(fate);
         if let Some(budget) = &self.plan.budget {
-            budget.note_sent(self.tally.may_have_run);
+            budget.set_may_have_run(self.tally.may_have_run);
         }
         let mut tables = self.gateway.tables.borrow_mut();
         match fate {
--- a/toucanrail-gateway/src/forwarding.rs
+++ b/toucanrail-gateway/src/forwarding.rs
@@ -102,7 +102,7 @@
             last_event_at = Instant::now();
             flight.record_response_start();
             if let Some(budget) = &plan.budget {
-                budget.add_output((stream.scanner.count - events_known) * tokens_per_event);
+                budget.add_output_tokens((stream.scanner.count - events_known) * tokens_per_event);
             }
         }
         if exchange.framer.is_done() {
--- a/toucanrail-gateway/src/liveness.rs
+++ b/toucanrail-gateway/src/liveness.rs
@@ -11,8 +11,8 @@
 use toucanrail::paces::BackendReport;
 use toucanrail::silences::{RunStatus, SilenceDetector, SilenceVerdict};
 
-use crate::lending::REPORT_PATH;
-use crate::peering;
+use crate::relay_api::REPORT_PATH;
+use crate::relay_client;
 use crate::request_context::AttemptContext;
 use crate::state::Gateway;
 
@@ -71,7 +71,7 @@
 async fn request_report(gateway: &Gateway, server: &BackendEntry) -> Option<BackendReport> {
     let (relay, address) = gateway.store.relay_at(server.address.ip())?;
     let bound = REPORT_TIMEOUT;
-    let reply = peering::call_peer(gateway, &relay, address, REPORT_PATH, &(), bound).await;
+    let reply = relay_client::call_relay(gateway, &relay, address, REPORT_PATH, &(), bound).await;
     reply.unwrap_or_else(|error| {
         tracing::debug!(event = "look_failed", server = %server.id, %error);
         None
--- /dev/null
+++ b/toucanrail-gateway/src/relay_api.rs
@@ -0,0 +1,168 @@
+//! The calls that a relay answers for entries.
+//!
+//! A relay is a lender, which holds grants of customers' budgets and lends them to entries request by request.
+//! It also serves the change feed, load reports and permits for cold servers.
+
+use std::cell::{Cell, RefCell};
+use std::io;
+use std::net::{TcpListener, TcpStream};
+use std::rc::Rc;
+use std::time::Duration;
+
+use smol::{Async, LocalExecutor};
+use toucanrail::coldstarts::{PermitReply, PermitRequest, PermitTable};
+use toucanrail::loans::{LoanEnd, LoanReply, LoanRequest, LoanTable};
+use toucanrail_wire::calling;
+use toucanrail_wire::channels::BufferedChannel;
+use toucanrail_wire::clocks;
+
+use crate::change_feed::{CHANGES_PATH, ChangeFeed};
+use crate::grant_manager::{self, GrantManager, HoldFailure};
+use crate::listening;
+use crate::report_client::ReportClient;
+
+/// Path of a call that takes a [`LoanRequest`] and returns a [`LoanReply`].
+pub const LOAN_PATH: &str = "/loans/draw";
+/// Path of a call that takes a list of [`LoanEnd`]s and returns `true`.
+pub const LOAN_END_PATH: &str = "/loans/end";
+
+/// Path of a call without arguments that returns the [`BackendReport`](toucanrail::paces::BackendReport) of the
+/// backend server beside the relay, if there is one.
+pub const REPORT_PATH: &str = "/report";
+
+/// Path of a call that takes a [`PermitRequest`] and returns a [`PermitReply`].
+pub const PERMIT_PATH: &str = "/permit";
+
+/// Path of a call without arguments that returns `true` immediately.
+pub const ALIVE_PATH: &str = "/alive";
+
+/// Time given to a loan request; [`GrantManager::acquire_hold`] waits for at most a quarter of it.
+const LOAN_TIME: Duration = Duration::from_millis(1_400);
+/// Interval at which a stopping lender checks whether its loans have ended.
+const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(50);
+
+/// State behind the calls of one relay.
+#[derive(Debug)]
+pub struct RelayApi {
+    /// The grants that it lends from.
+    pub grant_manager: Rc<GrantManager>,
+    /// The open loans.
+    pub loans: RefCell<LoanTable>,
+    /// Whether the relay is stopping and lends no more.
+    pub leaving: Cell<bool>,
+    /// Changes of store objects, for entries that query them.
+    pub change_feed: ChangeFeed,
+    /// The permits granted for cold servers.
+    pub permits: RefCell<PermitTable>,
+    /// Reads the load of the backend server beside the relay, if there is one.
+    pub report_client: Option<Rc<ReportClient>>,
+}
+
+/// Serves the connections of entries. A connection that fails is dropped; the entry opens another one.
+pub async fn serve_entries(
+    executor: Rc<LocalExecutor<'static>>,
+    api: Rc<RelayApi>,
+    listener: Async<TcpListener>,
+) {
+    let serve = |socket| {
+        let api = Rc::clone(&api);
+        async move { serve_entry(&api, socket).await }
+    };
+    listening::serve_connections(&executor, listener, usize::MAX, serve, || ()).await;
+}
+
+async fn serve_entry(api: &RelayApi, socket: Async<TcpStream>) -> io::Result<()> {
+    let mut channel = BufferedChannel::new(socket)?;
+    while let Some((head, body)) = calling::read_call(&mut channel).await? {
+        match head.path() {
+            LOAN_PATH => {
+                let request = calling::decode(&body)?;
+                calling::reply(&channel, &open_loan(api, &request).await).await?;
+            }
+            LOAN_END_PATH => {
+                end_loans(api, calling::decode(&body)?);
+                calling::reply(&channel, &true).await?;
+            }
+            CHANGES_PATH => {
+                let query = calling::decode(&body)?;
+                calling::reply(&channel, &api.change_feed.answer(&query).await).await?;
+            }
+            ALIVE_PATH => calling::reply(&channel, &true).await?,
+            PERMIT_PATH => {
+                let request = calling::decode(&body)?;
+                calling::reply(&channel, &grant_permit(api, &request)).await?;
+            }
+            REPORT_PATH => {
+                let report = match &api.report_client {
+                    Some(report_client) => report_client.try_fetch().await,
+                    None => None,
+                };
+                calling::reply(&channel, &report).await?;
+            }
+            _ => return Err(io::ErrorKind::InvalidData.into()),
+        }
+    }
+    Ok(())
+}
+
+/// Opens a loan if the grants cover it. Repeating the call for an open loan has no further effect.
+async fn open_loan(api: &RelayApi, request: &LoanRequest) -> LoanReply {
+    if api.loans.borrow().is_open(&request.loan) {
+        return LoanReply::Held;
+    }
+    if api.leaving.get() {
+        return LoanReply::Leaving;
+    }
+    let LoanRequest { customer, amount, rank, .. } = request;
+    api.grant_manager.raise_prepaid(customer, request.stated);
+    match api.grant_manager.acquire_hold(customer, *amount, *rank, LOAN_TIME).await {
+        Ok(hold) if api.leaving.get() => {
+            api.grant_manager.grants.borrow_mut().end_hold(&hold, None);
+            LoanReply::Leaving
+        }
+        Ok(hold) if api.loans.borrow().can_open(&request.loan) => {
+            api.loans.borrow_mut().open(&request.loan, hold);
+            LoanReply::Held
+        }
+        Ok(hold) => {
+            // The entry gave the loan up and ended it while this call waited.
+            api.grant_manager.grants.borrow_mut().end_hold(&hold, None);
+            LoanReply::Short
+        }
+        Err(HoldFailure::Short) => LoanReply::Short,
+        Err(HoldFailure::Uncovered) => LoanReply::Uncovered,
+    }
+}
+
+fn grant_permit(api: &RelayApi, request: &PermitRequest) -> PermitReply {
+    let reply = api.permits.borrow_mut().grant(request, api.change_feed.now());
+    tracing::info!(event = "permit", server = %request.server, limit = request.limit, reply = ?reply);
+    reply
+}
+
+fn end_loans(api: &RelayApi, ends: Vec<LoanEnd>) {
+    for end in ends {
+        let hold = api.loans.borrow_mut().end(&end.loan);
+        if let Some(hold) = hold {
+            api.grant_manager.end_hold(&hold, end.request, end.service, end.used);
+        }
+    }
+}
+
+/// Stops lending and waits until the open loans have ended, for at most `timeout`.
+///
+/// The budget of loans that are open when the process exits is lost to their customers, since nobody can tell
+/// any more how much of it was used.
+pub async fn drain(api: &RelayApi, timeout: Duration) {
+    api.leaving.set(true);
+    tracing::info!(event = "stop", role = "relay", loans = api.loans.borrow().len());
+    grant_manager::release_unused(&api.grant_manager).await;
+    let ending = async {
+        while !api.loans.borrow().is_empty() {
+            smol::Timer::after(DRAIN_CHECK_INTERVAL).await;
+        }
+    };
+    if clocks::bounded(timeout, ending).await.is_none() {
+        tracing::warn!(event = "loans_left", loans = api.loans.borrow().len());
+    }
+}
--- /dev/null
+++ b/toucanrail-gateway/src/relay_client.rs
@@ -0,0 +1,96 @@
+//! An entry's calls to relays, and the backoff of relays that failed.
+
+use std::cell::RefCell;
+use std::collections::BTreeMap;
+use std::io;
+use std::net::SocketAddr;
+use std::sync::Arc;
+use std::time::Duration;
+
+use serde::Serialize;
+use serde::de::DeserializeOwned;
+use toucanrail_wire::calling;
+use toucanrail_wire::channels::BufferedChannel;
+use toucanrail_wire::clocks;
+
+use crate::relay_api::ALIVE_PATH;
+use crate::state::Gateway;
+
+/// Connect timeout. Relays are a few milliseconds away; a dead one does not answer at all.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(120);
+/// Longest idle time of a pooled connection.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
+/// Backoff of a relay that did not answer or is stopping. It doubles with each consecutive failure, up to the
+/// maximum, since a relay whose VM was removed never answers again.
+const INITIAL_BACKOFF: Duration = Duration::from_secs(3);
+const MAX_BACKOFF: Duration = Duration::from_secs(12);
+
+#[derive(Debug, Clone, Copy)]
+struct BackoffRow {
+    until: Duration,
+    length: Duration,
+}
+
+/// Relays in backoff after failures.
+#[derive(Debug, Default)]
+pub struct RelayBackoff {
+    rows: RefCell<BTreeMap<Arc<str>, BackoffRow>>,
+}
+
+impl RelayBackoff {
+    /// Tells whether a relay is in backoff and is not to be called now.
+    pub fn is_active(&self, relay: &Arc<str>, now: Duration) -> bool {
+        self.rows.borrow().get(relay).is_some_and(|row| now < row.until)
+    }
+
+    /// Notes a failure of a relay: starts its backoff, twice as long as after the failure before.
+    pub fn note_failure(&self, relay: &Arc<str>, now: Duration) {
+        let mut rows = self.rows.borrow_mut();
+        let length = rows.get(relay).map_or(INITIAL_BACKOFF, |row| row.length * 2).min(MAX_BACKOFF);
+        rows.insert(Arc::clone(relay), BackoffRow { until: now + length, length });
+    }
+
+    /// Starts a backoff of a given length.
+    pub fn back_off_for(&self, relay: &Arc<str>, now: Duration, length: Duration) {
+        self.rows
+            .borrow_mut()
+            .insert(Arc::clone(relay), BackoffRow { until: now + length, length });
+    }
+
+    /// Ends a relay's backoff after a successful call.
+    pub fn reset(&self, relay: &Arc<str>) {
+        self.rows.borrow_mut().remove(relay);
+    }
+}
+
+/// Probes a relay on a new connection, independent of the state of the pooled ones.
+pub async fn is_alive(address: SocketAddr, timeout: Duration) -> bool {
+    let probing = async {
+        let mut channel = BufferedChannel::connect(address).await?;
+        calling::call::<_, bool>(&mut channel, ALIVE_PATH, &()).await
+    };
+    clocks::within(timeout, probing).await.unwrap_or(false)
+}
+
+/// Calls a relay, on a pooled connection if there is one.
+pub async fn call_relay<Message, Reply>(
+    gateway: &Gateway,
+    relay: &Arc<str>,
+    address: SocketAddr,
+    path: &str,
+    message: &Message,
+    timeout: Duration,
+) -> io::Result<Reply>
+where
+    Message: Serialize,
+    Reply: DeserializeOwned,
+{
+    let pooled = gateway.channels.take(relay, IDLE_TIMEOUT);
+    let mut channel = match pooled {
+        Some(channel) => channel,
+        None => clocks::within(CONNECT_TIMEOUT, BufferedChannel::connect(address)).await?,
+    };
+    let reply = clocks::within(timeout, calling::call(&mut channel, path, message)).await?;
+    gateway.channels.keep(relay, channel, Some(IDLE_TIMEOUT));
+    Ok(reply)
+}
--- a/toucanrail-gateway/src/request_context.rs
+++ b/toucanrail-gateway/src/request_context.rs
@@ -17,8 +17,8 @@
 use toucanrail_wire::heads::{AnswerHead, RequestHead};
 use toucanrail_wire::keeping;
 
-use crate::borrowing::BudgetGuard;
-use crate::permitting::SendPermit;
+use crate::loan_client::BudgetGuard;
+use crate::permits::SendPermit;
 use crate::state::Gateway;
 
 /// Subtracted from the time that a caller waits, so that it has its response before it gives up on
--- a/toucanrail-gateway/src/sending.rs
+++ b/toucanrail-gateway/src/sending.rs
@@ -121,7 +121,7 @@
     }
     if let Some(budget) = &plan.budget {
         // From here on the server may process the prompt, even if the caller disconnects.
-        budget.note_sent(true);
+        budget.set_may_have_run(true);
     }
     let mut bytes = requests::write_order(plan.head, &order);
     bytes.extend_from_slice(plan.body);
--- a/toucanrail-gateway/src/stopping.rs
+++ b/toucanrail-gateway/src/stopping.rs
@@ -8,9 +8,9 @@
 use toucanrail_platform::settings;
 use toucanrail_wire::clocks;
 
-use crate::borrowing;
-use crate::budgeting;
-use crate::lending::{self, LoanOffice};
+use crate::grant_manager;
+use crate::loan_client;
+use crate::relay_api::{self, RelayApi};
 use crate::state::Gateway;
 
 /// Time after SIGTERM for which idle connections stay open. In this time the balancer learns that
@@ -72,11 +72,11 @@
     // Set before the following waits: a request admitted during one of them would be cut off when
     // the process exits.
     gateway.admission_closed.set(true);
-    clocks::bounded(LOAN_ENDS_TIMEOUT, borrowing::flush_ends(gateway)).await;
+    clocks::bounded(LOAN_ENDS_TIMEOUT, loan_client::flush_loan_ends(gateway)).await;
     if let Some(lending) = lending {
         lending.await;
     }
-    budgeting::leave(&gateway.keeper).await;
+    grant_manager::settle_all(&gateway.grant_manager).await;
     wait_until_idle(gateway, stop_requested, grace.saturating_sub(EXIT_MARGIN)).await;
     tracing::info!(
         event = "stopped",
@@ -85,8 +85,8 @@
     );
 }
 
-async fn drain_loans(office: Rc<LoanOffice>, bound: Duration) {
-    lending::drain(&office, bound).await;
+async fn drain_loans(office: Rc<RelayApi>, bound: Duration) {
+    relay_api::drain(&office, bound).await;
 }
 
 /// Waits until no request is in flight, at most until `limit` after the stop signal.
--- a/toucanrail-gateway/tests/fault_soak.rs
+++ b/toucanrail-gateway/tests/fault_soak.rs
@@ -15,8 +15,8 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use platform::proxies::{Harm, Proxy};
-use platform::{Act, Backend, Message, Process, Store, request};
+use platform::proxies::{Proxy, ProxyFault};
+use platform::{Action, Backend, Message, Process, Store, request};
 
 /// Seeds of every CI run.
 const SEEDS: [u64; 2] = [1, 2];
@@ -49,30 +49,32 @@
         let roll = rng.lock().expect("unpoisoned lock").u32(0..100);
         if roll < 6 {
             let text = "HTTP/1.1 503 Full\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n";
-            return Act::Answer(text.to_owned());
+            return Action::Respond(text.to_owned());
         }
         let attempt = message.field("x-attempt-id").unwrap_or_default().to_owned();
         *record.lock().expect("unpoisoned lock").runs.entry(attempt.clone()).or_default() += 1;
         if roll < 10 {
-            return Act::Break(String::new());
+            return Action::Disconnect(String::new());
         }
         let text = make_response(message, &attempt);
         match roll {
-            10..14 => Act::Break(text[..text.len() * 2 / 3].to_owned()),
-            14..17 => Act::Answer(text.clone() + &platform::signed("late").replace("ID", "other")),
-            _ => Act::Answer(text),
+            10..14 => Action::Disconnect(text[..text.len() * 2 / 3].to_owned()),
+            14..17 => Action::Respond(
+                text.clone() + &platform::signed_response("late").replace("ID", "other"),
+            ),
+            _ => Action::Respond(text),
         }
     })
 }
 
 fn make_response(message: &Message, attempt: &str) -> String {
     if message.field("x-token-usage").is_none() {
-        return platform::signed(attempt);
+        return platform::signed_response(attempt);
     }
     let last: u64 = message.field("last-event-id").map_or(0, |text| text.parse().unwrap_or(0));
     let events = (last + 1..=EVENTS_PER_STREAM)
         .map(|id| platform::chunk(&format!("id: {id}\ndata: {attempt}\n\n")));
-    [platform::STREAM, &events.collect::<Vec<_>>().join("PAUSE"), "0\r\n\r\n"].concat()
+    [platform::STREAM_HEAD, &events.collect::<Vec<_>>().join("PAUSE"), "0\r\n\r\n"].concat()
 }
 
 fn run_caller(
@@ -89,7 +91,7 @@
         let route = ROUTES[rng.usize(0..ROUTES.len())];
         let attempt = format!("{route}-{number}-{count}");
         let streams = matches!(route, "stream" | "resume");
-        let headers = if streams { platform::PROMPT } else { "" };
+        let headers = if streams { platform::PROMPT_HEADERS } else { "" };
         let headers = format!("{headers}Connection: close\r\n");
         let (method, body) = if route == "safe" { ("GET", "") } else { ("POST", "b") };
         let text = request(method, &format!("/{route}/a"), &attempt, &headers, body);
@@ -153,9 +155,9 @@
             processes[at].restart();
         }
         4 => {
-            store.cut(true);
+            store.set_cut_off(true);
             thread::sleep(Duration::from_millis(rng.u64(300..1_500)));
-            store.cut(false);
+            store.set_cut_off(false);
         }
         _ => thread::sleep(Duration::from_millis(rng.u64(100..500))),
     }
@@ -188,14 +190,14 @@
     let proxy = &proxies[rng.usize(0..proxies.len())];
     let time = Duration::from_millis(rng.u64(200..1_500));
     match rng.u32(0..5) {
-        0 => proxy.reset(),
-        1 => proxy.silence(),
-        2 => proxy.set(Harm::Delay(Duration::from_millis(rng.u64(20..400)))),
-        3 => proxy.set(Harm::LoseAnswers),
-        _ => proxy.set(Harm::LoseRequests),
+        0 => proxy.reset_connections(),
+        1 => proxy.stall_connections(),
+        2 => proxy.set_fault(ProxyFault::Delay(Duration::from_millis(rng.u64(20..400)))),
+        3 => proxy.set_fault(ProxyFault::DropResponses),
+        _ => proxy.set_fault(ProxyFault::DropRequests),
     }
     thread::sleep(time);
-    proxy.set(Harm::None);
+    proxy.set_fault(ProxyFault::None);
 }
 
 fn run_seed(seed: u64, with_proxies: bool) -> SoakRecord {
@@ -206,7 +208,7 @@
     let mut proxies = Vec::new();
     let mut store = store;
     if with_proxies {
-        proxies = vec![Proxy::start(store.address), Proxy::start(store.inner)];
+        proxies = vec![Proxy::start(store.address), Proxy::start(store.relay_address)];
         store = store.behind(&proxies[0], &proxies[1]);
         let servers = backends.each_ref().map(|backend| Proxy::start(backend.address));
         for (backend, proxy) in backends.iter_mut().zip(&servers) {
@@ -214,7 +216,7 @@
         }
         proxies.extend(servers);
     }
-    platform::configure_total(&store, 1, &backends.each_ref(), BUDGET_TOKENS);
+    platform::configure_prepaid(&store, 1, &backends.each_ref(), BUDGET_TOKENS);
     let relays = ["side-1", "side-2"].map(|vm| Process::start_relay(&store, vm));
     let gateways = [Process::start_gateway(&store), Process::start_gateway(&store)];
     let entries: Vec<SocketAddr> = gateways.iter().map(|gateway| gateway.callers).collect();
