--- a/toucanrail-daemons/src/agents.rs
+++ b/toucanrail-daemons/src/agents.rs
@@ -17,10 +17,10 @@
 use toucanrail::servers::{NodeEntry, NodeRole};
 use toucanrail::settings::{SettingRow, SettingValues};
 use toucanrail::storecalls;
-use toucanrail_wire::clients::{ClientLimits, ConnectionPool, OutboundCall};
-use toucanrail_wire::listeners::{self, ReceivedCall, ServerLimits};
+use toucanrail_wire::clients::{ClientLimits, ConnectionPool, OutboundRequest};
+use toucanrail_wire::listeners::{self, ReceivedRequest, ServerLimits};
 use toucanrail_wire::pipes;
-use toucanrail_wire::replies::{self, RefusalNote};
+use toucanrail_wire::responses::{self, ErrorDetails};
 use toucanrail_wire::stores::HttpStore;
 
 use crate::fleets::{FleetClient, routes};
@@ -127,7 +127,7 @@
     /// If its metrics cannot be set up.
     pub fn new(settings: AgentSettings, address: SocketAddr) -> io::Result<Self> {
         let id = starting::new_incarnation(&settings.common.name);
-        let limits = ClientLimits { connect: PROBE_BOUND, ..ClientLimits::default() };
+        let limits = ClientLimits { connect_timeout: PROBE_BOUND, ..ClientLimits::default() };
         Ok(Self {
             ledger: Mutex::new(UsageLedger::new(Arc::clone(&id))),
             id,
@@ -156,7 +156,7 @@
         self.lock_view().failures < PROBE_FAILURES
     }
 
-    async fn answer(self: Arc<Self>, call: ReceivedCall) -> Response {
+    async fn answer(self: Arc<Self>, call: ReceivedRequest) -> Response {
         match call.path() {
             "/health" => self.answer_health(),
             "/metrics" => self.board.answer(),
@@ -164,23 +164,23 @@
             routes::RUN => self.take_run(&call),
             routes::LOAD => self.sealed(&call, |order: MirrorOrder| {
                 self.mirrors.note_asker(&order);
-                replies::message(&self.report())
+                responses::msgpack(&self.report())
             }),
             routes::FENCE => self.sealed(&call, |order: FenceOrder| {
                 self.board.count_event("fences");
-                replies::message(&self.lock_ledger().fence(&order.shard, order.epoch))
+                responses::msgpack(&self.lock_ledger().fence(&order.shard, order.epoch))
             }),
             routes::ACK => self.sealed(&call, |order: AckOrder| {
                 self.lock_ledger().acknowledge(&order.runs);
-                replies::message(&AgentReply { agent: Arc::clone(&self.id), fate: None })
+                responses::msgpack(&AgentReply { agent: Arc::clone(&self.id), fate: None })
             }),
             routes::ASK => self.answer_ask(&call).await,
             routes::ORDER => self.answer_order(&call).await,
-            _ => replies::refusal(&RefusalNote::new(codetable::NO_SUCH_ROUTE)),
+            _ => responses::error(&ErrorDetails::new(codetable::NO_SUCH_ROUTE)),
         }
     }
 
-    fn sealed<Message, Answer>(&self, call: &ReceivedCall, answer: Answer) -> Response
+    fn sealed<Message, Answer>(&self, call: &ReceivedRequest, answer: Answer) -> Response
     where
         Message: serde::de::DeserializeOwned,
         Answer: FnOnce(Message) -> Response,
@@ -193,9 +193,9 @@
 
     fn answer_health(&self) -> Response {
         if self.lock_ledger().leaving || !self.is_backend_healthy() {
-            replies::text(503, "not taking work\n")
+            responses::text(503, "not taking work\n")
         } else {
-            replies::text(200, "ok\n")
+            responses::text(200, "ok\n")
         }
     }
 
@@ -211,7 +211,7 @@
             "catalogue_version": mirrors.objects.seen(),
             "ledger": *self.lock_ledger(),
         });
-        replies::json(200, &dump)
+        responses::json(200, &dump)
     }
 
     fn report(&self) -> LoadReport {
@@ -240,7 +240,7 @@
         }
     }
 
-    fn take_run(self: &Arc<Self>, call: &ReceivedCall) -> Response {
+    fn take_run(self: &Arc<Self>, call: &ReceivedRequest) -> Response {
         let order: RunOrder = match self.client.read(call) {
             Ok(order) => order,
             Err(refusal) => return *refusal,
@@ -249,34 +249,35 @@
             self.board.count_result(code);
             let request = Arc::clone(&order.request);
             let frame = RunFrame::Refused { request, code, retry_after: 1_000 };
-            return replies::bytes(200, frames::encode_frame(&frame));
+            return responses::bytes(200, frames::encode_frame(&frame));
         }
         self.board.count_result(codetable::OK);
         self.board.in_flight.inc();
         let (writer, body) = pipes::make_pipe();
         smol::spawn(running::run_order(Arc::clone(self), order, writer)).detach();
-        replies::stream(200, body)
+        responses::stream(200, body)
     }
 
-    async fn answer_ask(&self, call: &ReceivedCall) -> Response {
+    async fn answer_ask(&self, call: &ReceivedRequest) -> Response {
         let order: AskOrder = match self.client.read(call) {
             Ok(order) => order,
             Err(refusal) => return *refusal,
         };
         let fate = self.lock_ledger().query(&order.run, order.mode);
         if fate == toucanrail::messages::RunFate::Running && order.mode == AskMode::Cancel {
-            let call = OutboundCall::get(format!("/engine/cancel/{}", order.run)).on_fresh();
+            let call =
+                OutboundRequest::get(format!("/engine/cancel/{}", order.run)).on_new_connection();
             // The run's own task sees its stream end and notes what was used.
             self.pool.fetch(self.settings.backend, call, PROBE_BOUND).await.ok();
         }
-        replies::message(&AgentReply { agent: Arc::clone(&self.id), fate: Some(fate) })
+        responses::msgpack(&AgentReply { agent: Arc::clone(&self.id), fate: Some(fate) })
     }
 
     /// Passes an order on to the model engine unless its fencing number is old.
     ///
     /// Guards against an order of a holder that was replaced while paused: some engines take any
     /// order, so the agent, their only way in, refuses numbers lower than it has seen.
-    async fn answer_order(&self, call: &ReceivedCall) -> Response {
+    async fn answer_order(&self, call: &ReceivedRequest) -> Response {
         let order: EngineOrder = match self.client.read(call) {
             Ok(order) => order,
             Err(refusal) => return *refusal,
@@ -284,17 +285,17 @@
         {
             let mut view = self.lock_view();
             if order.fence < view.fence {
-                return replies::refusal(&RefusalNote::new(codetable::STALE_ORDER));
+                return responses::error(&ErrorDetails::new(codetable::STALE_ORDER));
             }
             view.fence = order.fence;
         }
         let body = serde_json::json!({ "action": order.action, "subject": order.subject });
-        let call = OutboundCall::post("/engine/order", body.to_string().into_bytes())
+        let call = OutboundRequest::post("/engine/order", body.to_string().into_bytes())
             .field("engine-fence", order.fence.to_string());
         match self.pool.fetch(self.settings.backend, call, PROBE_BOUND).await {
-            Ok(answer) if answer.status == 200 => replies::message(&true),
-            Ok(_) => replies::refusal(&RefusalNote::new(codetable::STALE_ORDER)),
-            Err(_) => replies::refusal(&RefusalNote::new(codetable::BACKEND_FAILED)),
+            Ok(answer) if answer.status == 200 => responses::msgpack(&true),
+            Ok(_) => responses::error(&ErrorDetails::new(codetable::STALE_ORDER)),
+            Err(_) => responses::error(&ErrorDetails::new(codetable::BACKEND_FAILED)),
         }
     }
 
@@ -307,7 +308,7 @@
     }
 
     async fn probe_once(&self) {
-        let call = OutboundCall::get(self.settings.probe_path.as_str());
+        let call = OutboundRequest::get(self.settings.probe_path.as_str());
         let answer = self.pool.fetch(self.settings.backend, call, PROBE_BOUND).await;
         let mut view = self.lock_view();
         let was_healthy = view.failures < PROBE_FAILURES;
@@ -319,7 +320,7 @@
             }
             _ => {
                 view.failures += 1;
-                self.pool.forget(self.settings.backend);
+                self.pool.evict(self.settings.backend);
             }
         }
         let healthy = view.failures < PROBE_FAILURES;
@@ -415,7 +416,7 @@
 }
 
 async fn serve(agent: Arc<Agent>, listener: TcpListener) {
-    let limits = ServerLimits { body: ORDER_LIMIT, ..ServerLimits::default() };
+    let limits = ServerLimits { max_body: ORDER_LIMIT, ..ServerLimits::default() };
     let handler = move |call| Arc::clone(&agent).answer(call);
     listeners::serve(listener, limits, handler).await;
 }
--- a/toucanrail-daemons/src/answering.rs
+++ b/toucanrail-daemons/src/answering.rs
@@ -6,7 +6,7 @@
 use toucanrail::ids::Tokens;
 use toucanrail::messages::HeaderField;
 use toucanrail_wire::pipes::{self, PipeWriter};
-use toucanrail_wire::replies;
+use toucanrail_wire::responses;
 
 use crate::attempts::AnswerSink;
 use crate::callers::CallPlan;
@@ -58,7 +58,7 @@
     async fn begin(&mut self) {
         let (status, fields) = self.head.clone().unwrap_or((200, Vec::new()));
         let (writer, body) = pipes::make_pipe();
-        let mut response = replies::stream(status, body);
+        let mut response = responses::stream(status, body);
         dress(&mut response, &fields);
         self.writer = Some(writer);
         self.reply.send(response).await.ok();
@@ -77,7 +77,7 @@
     pub async fn finish(&mut self) {
         if self.writer.is_none() && self.held.len() <= HELD_BYTES {
             let (status, fields) = self.head.clone().unwrap_or((200, Vec::new()));
-            let mut response = replies::bytes(status, std::mem::take(&mut self.held));
+            let mut response = responses::bytes(status, std::mem::take(&mut self.held));
             dress(&mut response, &fields);
             self.reply.send(response).await.ok();
             return;
@@ -101,8 +101,8 @@
     for field in fields {
         response.insert_header(&*field.name, &*field.value);
     }
-    response.insert_header(replies::RESULT_HEADER, codetable::OK.number().to_string());
-    response.insert_header(replies::RUN_HEADER, RunState::Ran.as_str());
+    response.insert_header(responses::RESULT_HEADER, codetable::OK.number().to_string());
+    response.insert_header(responses::RUN_HEADER, RunState::Ran.as_str());
 }
 
 impl AnswerSink for CallerSide {
--- a/toucanrail-daemons/src/attempts.rs
+++ b/toucanrail-daemons/src/attempts.rs
@@ -12,8 +12,8 @@
 use toucanrail::ids::{AgentId, RunId, Tokens};
 use toucanrail::messages::{AgentReply, AskMode, AskOrder, HeaderField, KeptAnswer, RunFate};
 use toucanrail::messages::{RunFrame, RunOrder};
-use toucanrail_wire::clients::{OpenAnswer, OpenFailure};
-use toucanrail_wire::clocks;
+use toucanrail_wire::clients::{RequestError, StreamingResponse};
+use toucanrail_wire::time_limits;
 
 use crate::fleets::routes;
 use crate::reclaiming;
@@ -125,20 +125,21 @@
             Ok(end) => return end,
             Err(fault) => fault,
         },
-        Some(Err(OpenFailure::NotSent(error))) => {
+        Some(Err(RequestError::NotSent(error))) => {
             tracing::debug!(%error, agent = %target.agent, "agent not reached");
             let code = codetable::NO_BACKEND_SERVER;
             return AttemptEnd::NotRun { code, retry_after: Duration::from_secs(1) };
         }
-        Some(Err(OpenFailure::Sent(error))) if error.kind() == io::ErrorKind::TimedOut => {
+        Some(Err(RequestError::MaybeSent(error))) if error.kind() == io::ErrorKind::TimedOut => {
             FrameFault::Silent
         }
-        Some(Err(OpenFailure::Sent(_))) => FrameFault::Cut,
+        Some(Err(RequestError::MaybeSent(_))) => FrameFault::Cut,
         None => FrameFault::Gone,
     };
     // One lost connection speaks for those that idle beside it.
     entry.client.forget(target.address);
-    let waited = clocks::bounded(FATE_WAIT, find_fate(entry, target, &order.run, order.hold)).await;
+    let waited =
+        time_limits::timeout(FATE_WAIT, find_fate(entry, target, &order.run, order.hold)).await;
     match waited {
         Some(AttemptEnd::Lost { used, unproved, answer, .. }) => {
             AttemptEnd::Lost { code: fault.code(), used, unproved, answer }
@@ -153,7 +154,7 @@
     entry: &Arc<Entry>,
     target: &AttemptTarget,
     order: &RunOrder,
-    mut answer: OpenAnswer,
+    mut answer: StreamingResponse,
     sink: &mut Sink,
     started: Instant,
 ) -> Result<AttemptEnd, FrameFault>
@@ -224,9 +225,9 @@
 }
 
 /// Reads the end of the last chunk, so that the connection can be used again.
-async fn finish_reading(mut answer: OpenAnswer) {
+async fn finish_reading(mut answer: StreamingResponse) {
     if answer.read_chunk(ASK_BOUND).await.is_ok_and(|bytes| bytes.is_empty()) {
-        answer.close_whole();
+        answer.release();
     }
 }
 
--- a/toucanrail-daemons/src/callers.rs
+++ b/toucanrail-daemons/src/callers.rs
@@ -11,8 +11,8 @@
 use toucanrail::messages::{HeaderField, UsageRule};
 use toucanrail::paths;
 use toucanrail::routing;
-use toucanrail_wire::listeners::ReceivedCall;
-use toucanrail_wire::replies::RefusalNote;
+use toucanrail_wire::listeners::ReceivedRequest;
+use toucanrail_wire::responses::ErrorDetails;
 
 use crate::running;
 
@@ -95,20 +95,20 @@
     }
 }
 
-type PlanResult<Value> = Result<Value, Box<RefusalNote>>;
+type PlanResult<Value> = Result<Value, Box<ErrorDetails>>;
 
 fn refuse<Value>(code: ResultCode, detail: &str) -> PlanResult<Value> {
-    Err(Box::new(RefusalNote::new(code).detail(detail)))
+    Err(Box::new(ErrorDetails::new(code).detail(detail)))
 }
 
 fn refuse_field<Value>(field: &'static str, detail: &str) -> PlanResult<Value> {
-    Err(Box::new(RefusalNote::new(codetable::BAD_REQUEST).field(field).detail(detail)))
+    Err(Box::new(ErrorDetails::new(codetable::BAD_REQUEST).field(field).detail(detail)))
 }
 
 /// Finds the customer of a call's bearer key.
 pub fn read_customer<'table>(
     table: &'table CatalogueTable,
-    call: &ReceivedCall,
+    call: &ReceivedRequest,
 ) -> PlanResult<&'table CustomerEntry> {
     let bearer = call.field("authorization").and_then(|value| value.strip_prefix("Bearer "));
     let customer = bearer.and_then(|key| table.customer_of(&paths::hash_text(key.trim())));
@@ -116,7 +116,7 @@
 }
 
 /// Reads a call into a plan.
-pub fn read_plan(table: &CatalogueTable, call: &ReceivedCall) -> PlanResult<CallPlan> {
+pub fn read_plan(table: &CatalogueTable, call: &ReceivedRequest) -> PlanResult<CallPlan> {
     let customer = read_customer(table, call)?.clone();
     match call.path() {
         "/v1/chat/completions" | "/v1/completions" => read_completion(table, customer, call),
@@ -127,7 +127,7 @@
 fn read_completion(
     table: &CatalogueTable,
     customer: CustomerEntry,
-    call: &ReceivedCall,
+    call: &ReceivedRequest,
 ) -> PlanResult<CallPlan> {
     let fields: Result<Map<String, Value>, _> = serde_json::from_slice(&call.body);
     let Ok(mut fields) = fields else {
@@ -210,7 +210,7 @@
 fn read_plain(
     table: &CatalogueTable,
     customer: CustomerEntry,
-    call: &ReceivedCall,
+    call: &ReceivedRequest,
 ) -> PlanResult<CallPlan> {
     let found = table.service_of_path(call.path()).filter(|found| may_use(&customer, found));
     let Some(service) = found.filter(|found| found.kind == ServiceKind::Plain) else {
@@ -236,7 +236,7 @@
 fn base_plan(
     customer: CustomerEntry,
     service: ServiceEntry,
-    call: &ReceivedCall,
+    call: &ReceivedRequest,
     path: &str,
     body: CallBody,
 ) -> PlanResult<CallPlan> {
@@ -275,7 +275,7 @@
     })
 }
 
-fn passed_fields(call: &ReceivedCall) -> Vec<HeaderField> {
+fn passed_fields(call: &ReceivedRequest) -> Vec<HeaderField> {
     let fields = call.request.iter().filter(|(name, _)| {
         let name = name.as_str();
         running::is_passed(name) && !OWN_FIELDS.contains(&name) && !name.starts_with("engine-")
--- a/toucanrail-daemons/src/demos.rs
+++ b/toucanrail-daemons/src/demos.rs
@@ -9,7 +9,7 @@
 use toucanrail::settings::{self, SettingsCall};
 use toucanrail_standins::engines::{self, EngineSpeed};
 use toucanrail_standins::{plains, platforms};
-use toucanrail_wire::clients::{ClientLimits, ConnectionPool, OutboundCall};
+use toucanrail_wire::clients::{ClientLimits, ConnectionPool, OutboundRequest};
 
 use crate::agents::{self, AgentSettings};
 use crate::entries;
@@ -141,7 +141,7 @@
 async fn wait_ready(fleet: &DemoFleet) -> io::Result<()> {
     let pool = ConnectionPool::new(ClientLimits::default());
     for _ in 0..READY_TRIES {
-        let call = OutboundCall::get("/filing/ready")
+        let call = OutboundRequest::get("/filing/ready")
             .field("authorization", format!("Bearer {CALLER_KEY}"));
         let answer = pool.fetch(fleet.entry, call, CALL_BOUND).await?;
         if answer.status == 200 {
@@ -185,7 +185,7 @@
         "model": "levy-llm", "stream": true, "max_tokens": 24, "standin_tokens": 24,
         "messages": [{"role": "user", "content": "Draft the sugar levy return for May."}],
     });
-    let call = OutboundCall::post("/v1/chat/completions", body.to_string().into_bytes())
+    let call = OutboundRequest::post("/v1/chat/completions", body.to_string().into_bytes())
         .field("content-type", "application/json")
         .field("authorization", format!("Bearer {CALLER_KEY}"));
     let mut answer = pool.open(fleet.entry, call, CALL_BOUND).await?;
--- a/toucanrail-daemons/src/editing.rs
+++ b/toucanrail-daemons/src/editing.rs
@@ -12,7 +12,7 @@
 use toucanrail::messages::MirrorObject;
 use toucanrail::paths;
 use toucanrail::storecalls::{self, StoreCall, StoreReply, WriteExpectation};
-use toucanrail_wire::clients::OutboundCall;
+use toucanrail_wire::clients::OutboundRequest;
 use toucanrail_wire::stores::ObjectStore;
 
 use crate::inspecting;
@@ -233,7 +233,7 @@
     let asked = nodes.into_iter().map(|node| {
         let pool = tools.pool.clone();
         smol::spawn(async move {
-            let call = OutboundCall::get("/state");
+            let call = OutboundRequest::get("/state");
             let bound = std::time::Duration::from_secs(1);
             let answer = pool.fetch(node.address, call, bound).await.ok();
             let state: Option<Value> =
--- a/toucanrail-daemons/src/entries.rs
+++ b/toucanrail-daemons/src/entries.rs
@@ -10,8 +10,8 @@
 use toucanrail::codetable;
 use toucanrail::ids::EntryId;
 use toucanrail::messages::{MirrorOrder, RecallOrder, RecallReply};
-use toucanrail_wire::listeners::{self, ReceivedCall, ServerLimits};
-use toucanrail_wire::replies::{self, RefusalNote};
+use toucanrail_wire::listeners::{self, ReceivedRequest, ServerLimits};
+use toucanrail_wire::responses::{self, ErrorDetails};
 
 use crate::callers;
 use crate::fleets::routes;
@@ -28,68 +28,70 @@
 const STOP_NOTICE: Duration = Duration::from_millis(300);
 
 impl Entry {
-    async fn answer_caller(self: Arc<Self>, call: ReceivedCall) -> Response {
+    async fn answer_caller(self: Arc<Self>, call: ReceivedRequest) -> Response {
         let ready = self.is_ready();
         if call.path() == "/health" {
             return match (self.is_leaving(), ready) {
-                (true, _) => replies::text(503, "stopping\n"),
-                (_, false) => replies::text(503, "starting\n"),
-                _ => replies::text(200, "ok\n"),
+                (true, _) => responses::text(503, "stopping\n"),
+                (_, false) => responses::text(503, "starting\n"),
+                _ => responses::text(200, "ok\n"),
             };
         }
         if self.is_leaving() {
-            let note = RefusalNote::new(codetable::STOPPING).retry_after(STOP_RETRY);
+            let note = ErrorDetails::new(codetable::STOPPING).retry_after(STOP_RETRY);
             return self.refuse(&note);
         }
         if !ready {
-            let note = RefusalNote::new(codetable::NO_BACKEND_SERVER).retry_after(STOP_RETRY);
+            let note = ErrorDetails::new(codetable::NO_BACKEND_SERVER).retry_after(STOP_RETRY);
             return self.refuse(&note.detail("This entry is starting."));
         }
         match (call.path(), call.request.method()) {
             ("/v1/models", Method::Get) => self.answer_models(&call),
             ("/v1/chat/completions" | "/v1/completions", method) if method != Method::Post => {
-                self.refuse(&RefusalNote::new(codetable::NO_SUCH_ROUTE).detail("Use POST."))
+                self.refuse(&ErrorDetails::new(codetable::NO_SUCH_ROUTE).detail("Use POST."))
             }
             _ => serving::serve(self, call).await,
         }
     }
 
-    fn answer_models(&self, call: &ReceivedCall) -> Response {
+    fn answer_models(&self, call: &ReceivedRequest) -> Response {
         let state = self.mirrors.lock();
         let customer: Result<CustomerEntry, _> =
             callers::read_customer(&state.catalogue, call).cloned();
         match customer {
-            Ok(customer) => replies::json(200, &callers::list_models(&state.catalogue, &customer)),
+            Ok(customer) => {
+                responses::json(200, &callers::list_models(&state.catalogue, &customer))
+            }
             Err(note) => self.refuse(&note),
         }
     }
 
-    async fn answer_inner(self: Arc<Self>, call: ReceivedCall) -> Response {
+    async fn answer_inner(self: Arc<Self>, call: ReceivedRequest) -> Response {
         if let Some(request) = call.path().strip_prefix("/state/requests/") {
             return match self.lock().traces.get(request) {
-                Some(steps) => replies::json(200, &steps),
-                None => replies::text(404, "not seen here lately"),
+                Some(steps) => responses::json(200, &steps),
+                None => responses::text(404, "not seen here lately"),
             };
         }
         match call.path() {
-            "/health" => replies::text(200, "ok\n"),
+            "/health" => responses::text(200, "ok\n"),
             "/metrics" => self.board.answer(),
             "/state" => self.answer_state(),
             routes::MIRROR => match self.client.read::<MirrorOrder>(&call) {
                 Ok(order) => {
                     self.mirrors.note_asker(&order);
-                    replies::message(&self.mirrors.news(&self.id, self.is_leaving(), &order))
+                    responses::msgpack(&self.mirrors.news(&self.id, self.is_leaving(), &order))
                 }
                 Err(refusal) => *refusal,
             },
             routes::RECALL => match self.client.read::<RecallOrder>(&call) {
                 Ok(order) => {
                     let returned = settling::give_back(&self, &order).await;
-                    replies::message(&RecallReply { returned })
+                    responses::msgpack(&RecallReply { returned })
                 }
                 Err(refusal) => *refusal,
             },
-            _ => replies::refusal(&RefusalNote::new(codetable::NO_SUCH_ROUTE)),
+            _ => responses::error(&ErrorDetails::new(codetable::NO_SUCH_ROUTE)),
         }
     }
 
@@ -111,7 +113,7 @@
             "retries": tables.retries,
             "members": tables.members,
         });
-        replies::json(200, &dump)
+        responses::json(200, &dump)
     }
 
     /// Takes no new requests, finishes those in flight, settles, gives its grants back.
--- a/toucanrail-daemons/src/fleets.rs
+++ b/toucanrail-daemons/src/fleets.rs
@@ -9,10 +9,10 @@
 use serde::de::DeserializeOwned;
 use toucanrail::codetable;
 use toucanrail::signatures::{self, FleetKey};
-use toucanrail_wire::clients::OutboundCall;
-use toucanrail_wire::clients::{ClientLimits, ConnectionPool, OpenAnswer, OpenFailure};
-use toucanrail_wire::listeners::ReceivedCall;
-use toucanrail_wire::replies::{self, RefusalNote};
+use toucanrail_wire::clients::OutboundRequest;
+use toucanrail_wire::clients::{ClientLimits, ConnectionPool, RequestError, StreamingResponse};
+use toucanrail_wire::listeners::ReceivedRequest;
+use toucanrail_wire::responses::{self, ErrorDetails};
 
 /// The paths of the system's own calls.
 pub mod routes {
@@ -45,17 +45,17 @@
     /// Makes a client with the fleet's secret.
     pub fn new(secret: &str) -> Self {
         let limits =
-            ClientLimits { connect: Duration::from_millis(500), ..ClientLimits::default() };
+            ClientLimits { connect_timeout: Duration::from_millis(500), ..ClientLimits::default() };
         Self { pool: ConnectionPool::new(limits), key: FleetKey::new(secret) }
     }
 
-    fn call<Message>(&self, path: &str, message: &Message) -> io::Result<OutboundCall>
+    fn call<Message>(&self, path: &str, message: &Message) -> io::Result<OutboundRequest>
     where
         Message: Serialize,
     {
         let body = rmp_serde_vec(message)?;
         let seal = self.key.sign(path, &body);
-        Ok(OutboundCall::post(path, body).field(signatures::SIGNATURE_HEADER, seal))
+        Ok(OutboundRequest::post(path, body).field(signatures::SIGNATURE_HEADER, seal))
     }
 
     /// Sends a message and reads its reply, all within `bound`.
@@ -74,7 +74,7 @@
     {
         let call = self.call(path, message)?;
         let answer = self.pool.fetch(address, call, bound).await;
-        let answer = answer.inspect_err(|_| self.pool.forget(address))?;
+        let answer = answer.inspect_err(|_| self.pool.evict(address))?;
         if answer.status != 200 {
             return Err(io::Error::other(format!("status {}", answer.status)));
         }
@@ -89,21 +89,21 @@
         path: &str,
         message: &Message,
         bound: Duration,
-    ) -> Result<OpenAnswer, OpenFailure>
+    ) -> Result<StreamingResponse, RequestError>
     where
         Message: Serialize,
     {
-        let call = self.call(path, message).map_err(OpenFailure::NotSent)?;
+        let call = self.call(path, message).map_err(RequestError::NotSent)?;
         self.pool.open(address, call, bound).await
     }
 
     /// Drops the idle connections to an address.
     pub fn forget(&self, address: SocketAddr) {
-        self.pool.forget(address);
+        self.pool.evict(address);
     }
 
     /// Reads a sealed message, or gives the refusal.
-    pub fn read<Message>(&self, call: &ReceivedCall) -> Result<Message, Box<Response>>
+    pub fn read<Message>(&self, call: &ReceivedRequest) -> Result<Message, Box<Response>>
     where
         Message: DeserializeOwned,
     {
@@ -116,7 +116,7 @@
 }
 
 fn refuse(code: toucanrail::codes::ResultCode) -> Box<Response> {
-    Box::new(replies::refusal(&RefusalNote::new(code)))
+    Box::new(responses::error(&ErrorDetails::new(code)))
 }
 
 fn rmp_serde_vec<Message>(message: &Message) -> io::Result<Vec<u8>>
--- a/toucanrail-daemons/src/inspecting.rs
+++ b/toucanrail-daemons/src/inspecting.rs
@@ -13,7 +13,7 @@
 use toucanrail::servers::{NodeEntry, NodeRole};
 use toucanrail::storecalls;
 use toucanrail::traces::TraceStep;
-use toucanrail_wire::clients::OutboundCall;
+use toucanrail_wire::clients::OutboundRequest;
 use toucanrail_wire::stores::ObjectStore;
 
 use crate::editing;
@@ -126,7 +126,7 @@
 }
 
 async fn fetch_json(tools: &OperatorTools, address: SocketAddr, path: &str) -> Option<Value> {
-    let answer = tools.pool.fetch(address, OutboundCall::get(path), CALL_BOUND).await.ok()?;
+    let answer = tools.pool.fetch(address, OutboundRequest::get(path), CALL_BOUND).await.ok()?;
     serde_json::from_slice(&answer.body).ok().filter(|_| answer.status == 200)
 }
 
--- a/toucanrail-daemons/src/observing.rs
+++ b/toucanrail-daemons/src/observing.rs
@@ -4,7 +4,7 @@
 use prometheus::TextEncoder;
 use prometheus::{Encoder, Histogram, HistogramOpts, IntCounterVec, IntGauge, Opts, Registry};
 use toucanrail::codes::ResultCode;
-use toucanrail_wire::replies;
+use toucanrail_wire::responses;
 
 /// Bounds of the latency histograms, in seconds.
 const LATENCY_BOUNDS: [f64; 11] = [0.001, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 10.0];
@@ -79,11 +79,11 @@
     pub fn answer(&self) -> Response {
         match self.encode() {
             Ok(text) => {
-                let mut response = replies::bytes(200, text);
+                let mut response = responses::bytes(200, text);
                 response.insert_header("content-type", "text/plain; version=0.0.4");
                 response
             }
-            Err(error) => replies::text(500, error.to_string()),
+            Err(error) => responses::text(500, error.to_string()),
         }
     }
 }
--- a/toucanrail-daemons/src/running.rs
+++ b/toucanrail-daemons/src/running.rs
@@ -13,7 +13,7 @@
 use toucanrail::ids::Tokens;
 use toucanrail::messages::{HeaderField, KeptAnswer, RunFrame, RunOrder, UsageRule};
 use toucanrail::meters::RunMeter;
-use toucanrail_wire::clients::{OpenFailure, OutboundCall};
+use toucanrail_wire::clients::{OutboundRequest, RequestError};
 use toucanrail_wire::pipes::PipeWriter;
 
 use crate::agents::Agent;
@@ -149,11 +149,11 @@
     let call = backend_call(&order);
     let mut answer = match agent.pool.open(agent.settings.backend, call, bound).await {
         Ok(answer) => answer,
-        Err(OpenFailure::NotSent(error)) => {
+        Err(RequestError::NotSent(error)) => {
             events.send(ReadEvent::NotSent(error)).await.ok();
             return;
         }
-        Err(OpenFailure::Sent(error)) => {
+        Err(RequestError::MaybeSent(error)) => {
             events.send(ReadEvent::Broken(error)).await.ok();
             return;
         }
@@ -176,7 +176,7 @@
         };
         let last = !matches!(event, ReadEvent::Bytes(_));
         if matches!(event, ReadEvent::End) {
-            answer.close_whole();
+            answer.release();
             events.send(event).await.ok();
             return;
         }
@@ -186,9 +186,9 @@
     }
 }
 
-fn backend_call(order: &RunOrder) -> OutboundCall {
+fn backend_call(order: &RunOrder) -> OutboundRequest {
     let method = order.method.parse().unwrap_or(Method::Post);
-    let mut call = OutboundCall::new(method, &*order.path);
+    let mut call = OutboundRequest::new(method, &*order.path);
     for field in &order.fields {
         call = call.field(&field.name, &*field.value);
     }
@@ -201,7 +201,7 @@
     }
     call.body.clone_from(&order.body);
     // A kept connection that dies under a call leaves its end unknown; not worth it here.
-    if order.repeatable { call } else { call.on_fresh() }
+    if order.repeatable { call } else { call.on_new_connection() }
 }
 
 fn passed_fields(response: &http_types::Response) -> Vec<HeaderField> {
@@ -309,7 +309,7 @@
 
     async fn ask_server(&self, question: &str) -> ServerReply {
         let path = format!("/engine/{question}/{}", self.order.run);
-        let call = OutboundCall::get(path).on_fresh();
+        let call = OutboundRequest::get(path).on_new_connection();
         let answer = self.agent.pool.fetch(self.agent.settings.backend, call, WORD_BOUND).await;
         match answer {
             Ok(answer) if answer.status == UNKNOWN_STATUS => ServerReply::Unknown,
--- a/toucanrail-daemons/src/serving.rs
+++ b/toucanrail-daemons/src/serving.rs
@@ -16,8 +16,8 @@
 use toucanrail::retries;
 use toucanrail::routing::{self, RouteQuery};
 use toucanrail::traces::TraceStep;
-use toucanrail_wire::listeners::ReceivedCall;
-use toucanrail_wire::replies::{self, RefusalNote};
+use toucanrail_wire::listeners::ReceivedRequest;
+use toucanrail_wire::responses::{self, ErrorDetails};
 
 use crate::answering::{self, CallerSide};
 use crate::attempts::{self, AttemptEnd, AttemptTarget};
@@ -35,7 +35,7 @@
 const RECORD_BYTES: usize = 512 * 1024;
 
 /// Serves one call.
-pub async fn serve(entry: Arc<Entry>, call: ReceivedCall) -> Response {
+pub async fn serve(entry: Arc<Entry>, call: ReceivedRequest) -> Response {
     let plan = callers::read_plan(&entry.mirrors.lock().catalogue, &call);
     let plan = match plan {
         Ok(plan) => plan,
@@ -48,9 +48,9 @@
     smol::spawn(task.run()).detach();
     let mut response = match replied.recv().await {
         Ok(response) => response,
-        Err(_) => entry.refuse(&RefusalNote::new(codetable::BACKEND_FAILED)),
+        Err(_) => entry.refuse(&ErrorDetails::new(codetable::BACKEND_FAILED)),
     };
-    response.insert_header(replies::REQUEST_HEADER, &*request);
+    response.insert_header(responses::REQUEST_HEADER, &*request);
     response
 }
 
@@ -78,7 +78,7 @@
 #[derive(Debug)]
 enum RequestEnd {
     Whole,
-    Refused(RefusalNote),
+    Refused(ErrorDetails),
     Replayed(KeptAnswer),
     CallerGone,
 }
@@ -123,8 +123,8 @@
         self.steps.push(TraceStep { after, event: Arc::from(event) });
     }
 
-    fn refusal(&self, code: ResultCode) -> RefusalNote {
-        let note = RefusalNote::new(code);
+    fn refusal(&self, code: ResultCode) -> ErrorDetails {
+        let note = ErrorDetails::new(code);
         let later = [
             codetable::IN_FLIGHT,
             codetable::BUDGET_UNCONFIRMED,
@@ -172,7 +172,7 @@
         self.entry.lock().replays.end(&self.plan.request, answer);
     }
 
-    async fn admit(&mut self) -> Result<(), Box<RefusalNote>> {
+    async fn admit(&mut self) -> Result<(), Box<ErrorDetails>> {
         let service = Arc::clone(&self.plan.service.name);
         let customer = self.plan.customer.clone();
         let admitted = {
@@ -189,7 +189,7 @@
             tables.limits.admit(&service, &customer.name, class, weight, known)
         };
         admitted.map_err(|refusal| {
-            let note = RefusalNote::new(refusal.code).retry_after(refusal.retry_after);
+            let note = ErrorDetails::new(refusal.code).retry_after(refusal.retry_after);
             Box::new(note)
         })?;
         match self.take_hold(self.plan.hold).await {
@@ -548,7 +548,7 @@
             RequestEnd::Replayed(answer) => {
                 self.note("answered as the first time".to_owned());
                 self.entry.board.count_event("answers_replayed");
-                let mut response = replies::bytes(answer.status, answer.body);
+                let mut response = responses::bytes(answer.status, answer.body);
                 answering::dress(&mut response, &answer.fields);
                 self.caller.reply.send(response).await.ok();
             }
--- a/toucanrail-daemons/src/settling.rs
+++ b/toucanrail-daemons/src/settling.rs
@@ -13,8 +13,8 @@
 use toucanrail::ids::{AgentId, CustomerId, RunId, ShardName, Tokens};
 use toucanrail::messages::{AckOrder, AgentReply, RecallOrder, RecallReply};
 use toucanrail::syncs::{SyncMachine, SyncOutcome};
-use toucanrail_wire::clocks;
 use toucanrail_wire::stores::ObjectStore;
+use toucanrail_wire::time_limits;
 
 use crate::fleets::routes;
 use crate::reclaiming;
@@ -172,7 +172,8 @@
         return Err(codetable::BUDGET_EXHAUSTED);
     }
     entry.lock().grants.add_shortage(customer, amount);
-    let waited = clocks::bounded(entry.settings.budget_wait, wait_hold(entry, customer, amount));
+    let waited =
+        time_limits::timeout(entry.settings.budget_wait, wait_hold(entry, customer, amount));
     let waited = waited.await.unwrap_or(Err(codetable::BUDGET_UNCONFIRMED));
     let mut tables = entry.lock();
     tables.grants.drop_shortage(customer, amount);
@@ -246,7 +247,7 @@
     let given = entry.lock().grants.recall(&order.customer, order.wanted, &order.from);
     if given > 0 {
         entry.wanted.notify(usize::MAX);
-        clocks::bounded(GIVE_BACK_BOUND, synced).await;
+        time_limits::timeout(GIVE_BACK_BOUND, synced).await;
     }
     given
 }
@@ -270,7 +271,7 @@
             }
         }
     };
-    if clocks::bounded(LEAVE_BOUND, settling).await.is_none() {
+    if time_limits::timeout(LEAVE_BOUND, settling).await.is_none() {
         tracing::warn!(id = %entry.id, "stopped with bills that peers will settle");
     }
 }
--- a/toucanrail-daemons/src/states.rs
+++ b/toucanrail-daemons/src/states.rs
@@ -23,7 +23,7 @@
 use toucanrail::storecalls;
 use toucanrail::traces::TraceTable;
 use toucanrail_wire::listeners::ServerLimits;
-use toucanrail_wire::replies::{self, RefusalNote};
+use toucanrail_wire::responses::{self, ErrorDetails};
 use toucanrail_wire::stores::HttpStore;
 
 use crate::fleets::FleetClient;
@@ -89,11 +89,11 @@
             flush: values.duration("flush"),
             budget_wait: values.duration("budget-wait"),
             limits: ServerLimits {
-                head: values.parse("max-head", "a number of bytes"),
-                body: values.parse("max-body", "a number of bytes"),
-                connections: values.parse("max-connections", "a number"),
-                arrival: values.duration("arrival"),
-                write: values.duration("write-idle"),
+                max_head: values.parse("max-head", "a number of bytes"),
+                max_body: values.parse("max-body", "a number of bytes"),
+                max_connections: values.parse("max-connections", "a number"),
+                request_timeout: values.duration("arrival"),
+                write_timeout: values.duration("write-idle"),
                 ..ServerLimits::default()
             },
         }
@@ -242,8 +242,8 @@
     }
 
     /// Counts a refusal and makes its answer.
-    pub fn refuse(&self, note: &RefusalNote) -> Response {
+    pub fn refuse(&self, note: &ErrorDetails) -> Response {
         self.board.count_result(note.code);
-        replies::refusal(note)
+        responses::error(note)
     }
 }
--- a/toucanrail-daemons/tests/at_most_once.rs
+++ b/toucanrail-daemons/tests/at_most_once.rs
@@ -11,9 +11,9 @@
 use serde_json::json;
 use smol::future::FutureExt;
 use toucanrail_standins::plains::PlainStandin;
-use toucanrail_wire::clients::OutboundCall;
+use toucanrail_wire::clients::OutboundRequest;
 
-fn returns(key: &str) -> OutboundCall {
+fn returns(key: &str) -> OutboundRequest {
     authorized("/filing/returns", &json!({"month": "May"})).field("idempotency-key", key)
 }
 
--- a/toucanrail-daemons/tests/configuration.rs
+++ b/toucanrail-daemons/tests/configuration.rs
@@ -220,7 +220,7 @@
         let answer = fleet.fetch(&entry, fleet.chat("early", 2)).await.unwrap();
         assert_eq!((answer.status, result_of(&answer)), (503, 3201));
         assert_eq!(answer.field("toucanrail-run"), Some("not-run"));
-        let health = || toucanrail_wire::clients::OutboundCall::get("/health");
+        let health = || toucanrail_wire::clients::OutboundRequest::get("/health");
         assert_eq!(fleet.fetch(&entry, health()).await.unwrap().status, 503);
         fleet.platform.faults.change(|plan| plan.down = false);
         fleet.wait_servers(&entry, 1).await;
--- a/toucanrail-daemons/tests/fleet/mod.rs
+++ b/toucanrail-daemons/tests/fleet/mod.rs
@@ -21,7 +21,7 @@
 use toucanrail_standins::plains::{self, PlainStandin};
 use toucanrail_standins::platforms::{self, PlatformStandin};
 use toucanrail_standins::texts;
-use toucanrail_wire::clients::{ClientLimits, ConnectionPool, OutboundCall, WholeAnswer};
+use toucanrail_wire::clients::{ClientLimits, CompleteResponse, ConnectionPool, OutboundRequest};
 
 /// The bearer key of the customer `acme`.
 pub const KEY: &str = "demo-key";
@@ -196,7 +196,7 @@
 
     pub async fn state(&self, process: &Process) -> Value {
         let address = process.inner.unwrap_or(process.address);
-        let answer = self.pool.fetch(address, OutboundCall::get("/state"), BOUND).await;
+        let answer = self.pool.fetch(address, OutboundRequest::get("/state"), BOUND).await;
         answer.map_or(Value::Null, |answer| serde_json::from_slice(&answer.body).unwrap())
     }
 
@@ -209,7 +209,7 @@
         }
     }
 
-    pub fn chat(&self, prompt: &str, tokens: u64) -> OutboundCall {
+    pub fn chat(&self, prompt: &str, tokens: u64) -> OutboundRequest {
         let body = json!({
             "model": "levy-llm", "stream": true, "max_tokens": 200, "standin_tokens": tokens,
             "messages": [{"role": "user", "content": prompt}],
@@ -220,8 +220,8 @@
     pub async fn fetch(
         &self,
         process: &Process,
-        call: OutboundCall,
-    ) -> std::io::Result<WholeAnswer> {
+        call: OutboundRequest,
+    ) -> std::io::Result<CompleteResponse> {
         self.pool.fetch(process.address, call, BOUND).await
     }
 
@@ -256,8 +256,8 @@
 }
 
 /// Makes a call with the key of `acme`.
-pub fn authorized(path: &str, body: &Value) -> OutboundCall {
-    OutboundCall::post(path, body.to_string().into_bytes())
+pub fn authorized(path: &str, body: &Value) -> OutboundRequest {
+    OutboundRequest::post(path, body.to_string().into_bytes())
         .field("content-type", "application/json")
         .field("authorization", format!("Bearer {KEY}"))
 }
@@ -278,7 +278,7 @@
 }
 
 /// Returns the number in the result header.
-pub fn result_of(answer: &WholeAnswer) -> u16 {
+pub fn result_of(answer: &CompleteResponse) -> u16 {
     answer.field("toucanrail-result").unwrap().parse().unwrap()
 }
 
--- a/toucanrail-daemons/tests/whole_path.rs
+++ b/toucanrail-daemons/tests/whole_path.rs
@@ -7,7 +7,7 @@
 
 use fleet::{BOUND, Fleet, authorized, result_of, right_text, stream_text};
 use serde_json::{Value, json};
-use toucanrail_wire::clients::OutboundCall;
+use toucanrail_wire::clients::OutboundRequest;
 
 #[test]
 fn streamed_answer() {
@@ -40,7 +40,7 @@
         assert_eq!(found["choices"][0]["text"], right_text("sugar", 5));
         assert_eq!(found["usage"]["completion_tokens"], 5);
 
-        let models = OutboundCall::get("/v1/models").field("authorization", "Bearer demo-key");
+        let models = OutboundRequest::get("/v1/models").field("authorization", "Bearer demo-key");
         let models = fleet.fetch(&entry, models).await.unwrap();
         let models: Value = serde_json::from_slice(&models.body).unwrap();
         assert_eq!(models["data"][0]["id"], "levy-llm");
@@ -68,7 +68,7 @@
 fn numbered_refusals() {
     smol::block_on(async {
         let (fleet, engine, _agent, entry) = Fleet::start_served(150).await;
-        let nobody = OutboundCall::get("/v1/models");
+        let nobody = OutboundRequest::get("/v1/models");
         let unknown = authorized("/v1/chat/completions", &json!({"model": "none", "messages": []}));
         let no_route = authorized("/elsewhere", &json!({}));
         let returns = authorized("/filing/returns", &json!({}));
--- a/toucanrail-gateway/src/accepting.rs
+++ b/toucanrail-gateway/src/accepting.rs
@@ -12,9 +12,9 @@
 use toucanrail::framing::BodyFramer;
 use toucanrail::matching::CallerBounds;
 use toucanrail_platform::requests;
-use toucanrail_wire::channels::BufferedChannel;
-use toucanrail_wire::clocks;
-use toucanrail_wire::heads::{HeadFault, RequestHead};
+use toucanrail_wire::connections::BufferedConnection;
+use toucanrail_wire::heads::{HeadError, RequestHead};
+use toucanrail_wire::time_limits;
 
 use crate::admitting;
 use crate::listening;
@@ -53,8 +53,8 @@
     }
 }
 
-impl From<HeadFault> for ReadError {
-    fn from(HeadFault::Malformed(code): HeadFault) -> Self {
+impl From<HeadError> for ReadError {
+    fn from(HeadError::Malformed(code): HeadError) -> Self {
         Self::Refused(code)
     }
 }
@@ -71,7 +71,7 @@
 }
 
 async fn serve_connection(gateway: &Rc<Gateway>, socket: Async<TcpStream>) -> io::Result<()> {
-    let mut channel = BufferedChannel::new(socket)?;
+    let mut channel = BufferedConnection::new(socket)?;
     let mut served = false;
     loop {
         let bounds = gateway.tables.borrow().routes.bounds();
@@ -100,7 +100,7 @@
         if !completed {
             gateway.metrics.count_result(codetable::CANCELLED);
             tracing::info!(
-                event = "caller_gone", request = %requests::read_request(&head).id,
+                event = "caller_gone", request = %requests::parse_request(&head).id,
                 begun = writer.started, took_ms = arrived.elapsed().as_millis() as u64,
             );
             return Ok(());
@@ -118,13 +118,13 @@
 /// once, repeatedly, although the request could have been served here.
 async fn wait_for_request(
     gateway: &Gateway,
-    channel: &mut BufferedChannel,
+    channel: &mut BufferedConnection,
     idle: Duration,
     served: bool,
 ) -> io::Result<bool> {
     let close_idle = gateway.close_idle_event.listen();
     if !served && gateway.close_idle.get() {
-        return Ok(clocks::within(FIRST_REQUEST_TIMEOUT, channel.fill()).await? > 0);
+        return Ok(time_limits::io_timeout(FIRST_REQUEST_TIMEOUT, channel.fill()).await? > 0);
     }
     if gateway.close_idle.get() {
         return Ok(false);
@@ -133,14 +133,14 @@
         close_idle.await;
         Ok(0)
     };
-    Ok(clocks::within(idle, channel.fill().or(closed)).await? > 0)
+    Ok(time_limits::io_timeout(idle, channel.fill().or(closed)).await? > 0)
 }
 
 async fn read_request(
-    channel: &mut BufferedChannel,
+    channel: &mut BufferedConnection,
     bounds: CallerBounds,
 ) -> Result<(RequestHead, Vec<u8>), ReadError> {
-    let bytes = clocks::within(bounds.arrival, channel.read_head(bounds.head)).await?;
+    let bytes = time_limits::io_timeout(bounds.arrival, channel.read_head(bounds.head)).await?;
     let head = RequestHead::parse(&bytes.ok_or(ReadError::Disconnected)?)?;
     let mut framer = BodyFramer::of_request(head.length);
     let mut body = Vec::new();
@@ -165,13 +165,17 @@
             }
         }
     };
-    match clocks::bounded(BODY_TIMEOUT, reading).await {
+    match time_limits::timeout(BODY_TIMEOUT, reading).await {
         Some(read) => read.map(|()| (head, body)),
         None => Err(ReadError::Refused(codetable::SLOW_SENDER)),
     }
 }
 
-async fn refuse(gateway: &Gateway, channel: BufferedChannel, code: ResultCode) -> io::Result<()> {
+async fn refuse(
+    gateway: &Gateway,
+    channel: BufferedConnection,
+    code: ResultCode,
+) -> io::Result<()> {
     gateway.metrics.count_result(code);
     tracing::info!(event = "refused_unread", code = code.number());
     let note = responding::make_refusal(code, RunState::NotRun, None);
@@ -181,7 +185,7 @@
 
 /// Closes a connection. After a complete response, closes it gracefully so that the caller receives
 /// all of it.
-async fn close_connection(mut channel: BufferedChannel, whole: bool) -> io::Result<()> {
+async fn close_connection(mut channel: BufferedConnection, whole: bool) -> io::Result<()> {
     if !whole {
         return Ok(());
     }
@@ -192,12 +196,12 @@
         }
         Ok(())
     };
-    clocks::within(LINGER_TIMEOUT, reading).await
+    time_limits::io_timeout(LINGER_TIMEOUT, reading).await
 }
 
 /// Returns false when the caller closes its side, so that work for a disconnected caller stops even
 /// while there is nothing to write. Stops watching once a pipelined request fills the buffer.
-async fn wait_for_disconnect(channel: &mut BufferedChannel) -> bool {
+async fn wait_for_disconnect(channel: &mut BufferedConnection) -> bool {
     while channel.buffer.len() < MAX_PIPELINED_BYTES {
         if !matches!(channel.fill().await, Ok(count) if count > 0) {
             return false;
--- a/toucanrail-gateway/src/admin.rs
+++ b/toucanrail-gateway/src/admin.rs
@@ -14,9 +14,9 @@
 use toucanrail::grants::GrantTable;
 use toucanrail::ids::ServiceName;
 use toucanrail_platform::names;
-use toucanrail_wire::channels::BufferedChannel;
-use toucanrail_wire::clocks;
+use toucanrail_wire::connections::BufferedConnection;
 use toucanrail_wire::heads::RequestHead;
+use toucanrail_wire::time_limits;
 
 use crate::listening;
 use crate::state::Gateway;
@@ -48,8 +48,10 @@
 }
 
 async fn serve_connection(gateway: &Gateway, socket: Async<TcpStream>) -> io::Result<()> {
-    let mut channel = BufferedChannel::new(socket)?;
-    while let Some(bytes) = clocks::within(IDLE_TIMEOUT, channel.read_head(MAX_HEAD_BYTES)).await? {
+    let mut channel = BufferedConnection::new(socket)?;
+    while let Some(bytes) =
+        time_limits::io_timeout(IDLE_TIMEOUT, channel.read_head(MAX_HEAD_BYTES)).await?
+    {
         let head = RequestHead::parse(&bytes).map_err(|_| io::ErrorKind::InvalidData)?;
         let (status, body) = respond(gateway, head.path());
         let length = body.len();
--- a/toucanrail-gateway/src/admitting.rs
+++ b/toucanrail-gateway/src/admitting.rs
@@ -10,7 +10,7 @@
 use toucanrail::codetable;
 use toucanrail::matching::{CustomerFacts, RouteRule};
 use toucanrail::returns::{self, RefusalCause};
-use toucanrail_platform::requests::{self, RequestFacts};
+use toucanrail_platform::requests::{self, RequestInfo};
 use toucanrail_wire::heads::RequestHead;
 
 use crate::borrowing::{self, BudgetGuard, BudgetNeed};
@@ -65,7 +65,7 @@
     match admit(gateway, head, body, arrived).await {
         Ok(plan) => dispatching::dispatch(gateway, &plan, writer).await,
         Err(refusal) => {
-            let facts = requests::read_request(head);
+            let facts = requests::parse_request(head);
             let version = gateway.tables.borrow().routes.version();
             let age = gateway.store.age();
             tracing::info!(
@@ -90,7 +90,7 @@
     body: &'call [u8],
     arrived: Instant,
 ) -> Result<RequestPlan<'call>, AdmissionRefusal> {
-    let facts = requests::read_request(head);
+    let facts = requests::parse_request(head);
     let (route, customer) = match_route(gateway, head, &facts)?;
     check_stopping(gateway, route.timeout)?;
     let service = route.pick_service(fastrand::f64()).map(Arc::clone);
@@ -120,7 +120,7 @@
     let Some(stop_requested) = gateway.stop_requested.get() else {
         return Ok(());
     };
-    let grace = gateway.settings.grace.saturating_sub(stop_requested.elapsed());
+    let grace = gateway.settings.shutdown_grace.saturating_sub(stop_requested.elapsed());
     let fits = stop_requested.elapsed() < STOP_ACCEPT_PERIOD || timeout + STOP_MARGIN < grace;
     if fits && !gateway.admission_closed.get() {
         return Ok(());
@@ -143,7 +143,7 @@
 fn match_route(
     gateway: &Gateway,
     head: &RequestHead,
-    facts: &RequestFacts,
+    facts: &RequestInfo,
 ) -> Result<(Arc<RouteRule>, Option<Arc<CustomerFacts>>), AdmissionRefusal> {
     let tables = gateway.tables.borrow();
     let left = facts.timeout.unwrap_or(Duration::MAX);
@@ -184,8 +184,8 @@
         stated,
         request: &plan.facts.id,
         service: &plan.service,
-        prompt: prompt.prompt,
-        output: prompt.output,
+        prompt: prompt.prompt_tokens,
+        output: prompt.max_output,
         rank: plan.urgency,
         left: plan.time_left(),
     };
--- a/toucanrail-gateway/src/budgeting.rs
+++ b/toucanrail-gateway/src/budgeting.rs
@@ -18,7 +18,7 @@
 use toucanrail::syncs::{SyncMachine, SyncOutcome};
 use toucanrail::{paths, policies};
 use toucanrail_daemons::observing::MetricBoard;
-use toucanrail_wire::clocks;
+use toucanrail_wire::time_limits;
 
 use crate::storing::StoreAccess;
 use crate::tuning::GatewayTuning;
@@ -149,7 +149,8 @@
             return Err(HoldFailure::Short);
         }
         self.grants.borrow_mut().add_shortage(customer, amount);
-        let waiting = clocks::bounded(GRANT_WAIT.min(left / 4), self.wait_hold(customer, amount));
+        let waiting =
+            time_limits::timeout(GRANT_WAIT.min(left / 4), self.wait_hold(customer, amount));
         let waited = waiting.await;
         self.grants.borrow_mut().drop_shortage(customer, amount);
         let taken = waited.unwrap_or(Err(HoldFailure::Short));
@@ -351,7 +352,7 @@
             task.await;
         }
     };
-    if clocks::bounded(LEAVE_BOUND, leaving).await.is_none() {
+    if time_limits::timeout(LEAVE_BOUND, leaving).await.is_none() {
         tracing::warn!(event = "left_unsettled");
     }
 }
--- a/toucanrail-gateway/src/dispatching.rs
+++ b/toucanrail-gateway/src/dispatching.rs
@@ -14,7 +14,7 @@
 use toucanrail::placing::{self, PlaceQuery};
 use toucanrail::probes::{self, ProbeRow};
 use toucanrail::returns::{self, RefusalCause};
-use toucanrail_wire::clocks;
+use toucanrail_wire::time_limits;
 
 use crate::borrowing::BudgetGuard;
 use crate::liveness;
@@ -158,7 +158,7 @@
         PlaceQuery {
             data_centre: &self.gateway.settings.data_centre,
             parts: prompt.map_or(&[], |prompt| &prompt.parts),
-            prompt: prompt.map_or(0, |prompt| prompt.prompt),
+            prompt: prompt.map_or(0, |prompt| prompt.prompt_tokens),
             now: self.gateway.now(),
             dice: fastrand::f64(),
         }
@@ -190,7 +190,7 @@
         let Some(prompt) = &self.plan.facts.prompt else {
             return Vec::new();
         };
-        if !probes::is_long(prompt.prompt) && !self.gateway.wants_probe(&self.plan.service) {
+        if !probes::is_long(prompt.prompt_tokens) && !self.gateway.wants_probe(&self.plan.service) {
             return Vec::new();
         }
         let query = self.place_query();
@@ -204,7 +204,7 @@
             let gateway = Rc::clone(self.gateway);
             self.gateway.executor.spawn(async move {
                 let fetching = liveness::fetch_load(&gateway, &entry);
-                let report = clocks::bounded(PROBE_TIMEOUT, fetching).await.flatten();
+                let report = time_limits::timeout(PROBE_TIMEOUT, fetching).await.flatten();
                 (entry, report)
             })
         });
@@ -343,7 +343,7 @@
             run = self.tally.run_state().as_str(), sent = self.tally.sent, tried = ?self.tried,
             first_ms = first.as_millis() as u64,
             pause_ms = self.stream.longest_pause.as_millis() as u64,
-            prompt = self.plan.facts.prompt.as_ref().map(|prompt| prompt.prompt),
+            prompt = self.plan.facts.prompt.as_ref().map(|prompt| prompt.prompt_tokens),
             took_ms = Instant::now().duration_since(self.plan.arrived).as_millis() as u64,
             used = self.plan.budget.as_ref().map(BudgetGuard::used),
         );
--- a/toucanrail-gateway/src/following.rs
+++ b/toucanrail-gateway/src/following.rs
@@ -8,7 +8,7 @@
 use toucanrail::boards::{self, OutageTimer};
 use toucanrail::ids::Version;
 use toucanrail::messages::{MirrorChange, MirrorObject, NewsOrder, NewsReply};
-use toucanrail_platform::stores::{ListFreshness, StoreFailure};
+use toucanrail_platform::stores::{ListFreshness, StoreError};
 use toucanrail_platform::{configs, names, registrations};
 
 use crate::mirroring::NEWS_PATH;
@@ -67,7 +67,7 @@
 
 /// Follows the evacuations, where the operator orders any.
 pub async fn follow_evacuations(gateway: Rc<Gateway>) {
-    if gateway.settings.evacuation_bound.is_some() {
+    if gateway.settings.evacuation_deadline.is_some() {
         follow(gateway, EvacuationTaker { age: Duration::ZERO }).await;
     }
 }
@@ -82,10 +82,10 @@
         let over = gateway.tables.borrow_mut().backends.drop_lapsed(now);
         for id in over {
             tracing::info!(event = "server_gone", server = %id, reason = "lapsed");
-            gateway.channels.forget(&id);
+            gateway.channels.evict(&id);
         }
         gateway.tables.borrow_mut().backends.take_paces(&gateway.store.paces());
-        gateway.channels.sweep();
+        gateway.channels.evict_expired();
         let tables = gateway.tables.borrow();
         gateway.load_reports.retain(|server| tables.backends.get(server).is_some());
         drop(tables);
@@ -120,7 +120,7 @@
                 pause = PAUSE_LEAST;
                 gateway.store.note_use(Taker::KIND, true);
             }
-            Err(StoreFailure::Forgotten) => {
+            Err(StoreError::HistoryExpired) => {
                 tracing::info!(event = "history_gone", kind = Taker::KIND);
                 state.revision = None;
             }
@@ -139,7 +139,7 @@
     gateway: &Gateway,
     taker: &mut Taker,
     state: &mut FollowState,
-) -> Result<Version, StoreFailure>
+) -> Result<Version, StoreError>
 where
     Taker: KindTaker,
 {
@@ -166,8 +166,8 @@
     }
 }
 
-fn no_answer() -> StoreFailure {
-    StoreFailure::NoAnswer(std::io::ErrorKind::TimedOut.into())
+fn no_answer() -> StoreError {
+    StoreError::NoResponse(std::io::ErrorKind::TimedOut.into())
 }
 
 /// Asks a store that no board hears from: it may turn the boards' VMs away and serve this one.
@@ -175,7 +175,7 @@
     gateway: &Gateway,
     kind: &str,
     state: &mut FollowState,
-) -> Result<NewsReply, StoreFailure> {
+) -> Result<NewsReply, StoreError> {
     if !state.outage.is_over(gateway.now()) {
         return Err(no_answer());
     }
@@ -190,7 +190,7 @@
     gateway: &Gateway,
     kind: &str,
     revision: Option<Version>,
-) -> Result<NewsReply, StoreFailure> {
+) -> Result<NewsReply, StoreError> {
     let Some(revision) = revision else {
         let listing = gateway.store.list_kind(kind, ListFreshness::Latest, WATCH_WAIT).await?;
         let (objects, revision) = (listing.objects, listing.revision);
@@ -321,7 +321,7 @@
                     );
                     let reborn = known.as_ref().is_some_and(|known| known.born != entry.born);
                     if reborn || entry.draining {
-                        gateway.channels.forget(&entry.id);
+                        gateway.channels.evict(&entry.id);
                     }
                 }
                 // A listing repeats what was said some time ago.
@@ -351,7 +351,7 @@
         let lapsed = since.is_some();
         tracing::info!(event = "server_missing", server = %id, lapsed);
         if !lapsed {
-            gateway.channels.forget(id);
+            gateway.channels.evict(id);
         }
     }
 }
--- a/toucanrail-gateway/src/forwarding.rs
+++ b/toucanrail-gateway/src/forwarding.rs
@@ -8,7 +8,7 @@
 use toucanrail::attempting::AttemptFate;
 use toucanrail::framing::BodyFramer;
 use toucanrail::silences::SilenceWatch;
-use toucanrail_wire::clocks;
+use toucanrail_wire::time_limits;
 
 use crate::liveness;
 use crate::request_context::{
@@ -55,7 +55,9 @@
     stream: &mut StreamState,
 ) -> AttemptResult {
     let mut body = Vec::new();
-    match clocks::within(context.plan.time_left(), read_body(&mut exchange, &mut body)).await {
+    match time_limits::io_timeout(context.plan.time_left(), read_body(&mut exchange, &mut body))
+        .await
+    {
         Ok(()) => {}
         Err(error) if error.kind() == io::ErrorKind::TimedOut => {
             return AttemptResult::Incomplete(AttemptFate::TimedOut);
--- a/toucanrail-gateway/src/gauging.rs
+++ b/toucanrail-gateway/src/gauging.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use toucanrail::paces::LoadReport;
-use toucanrail_platform::stores::{StoreClient, StoreFailure};
+use toucanrail_platform::stores::{StoreClient, StoreError};
 
 /// Longest wait for a report; the server is on the same VM.
 const REPORT_BOUND: Duration = Duration::from_millis(500);
@@ -24,8 +24,8 @@
     }
 
     /// Reads a report.
-    pub async fn read(&self) -> Result<LoadReport, StoreFailure> {
-        self.client.read_report(self.server, REPORT_BOUND).await
+    pub async fn read(&self) -> Result<LoadReport, StoreError> {
+        self.client.fetch_report(self.server, REPORT_BOUND).await
     }
 
     /// Reads a report for an entry; none if the server does not report.
--- a/toucanrail-gateway/src/hosting.rs
+++ b/toucanrail-gateway/src/hosting.rs
@@ -49,7 +49,7 @@
 fn start(gateway: &Rc<Gateway>) -> io::Result<Rc<LoanOffice>> {
     let settings = &gateway.settings;
     let executor = &gateway.executor;
-    let passed = Async::<TcpListener>::bind(settings.hosted)?;
+    let passed = Async::<TcpListener>::bind(settings.hosted_relay)?;
     let entries = Async::<TcpListener>::bind(settings.lending)?;
     let store = Rc::clone(&gateway.store);
     let reaches = move || store.is_direct();
@@ -65,7 +65,7 @@
     });
     let lending = lending::serve_entries(Rc::clone(executor), Rc::clone(&office), entries);
     executor.spawn(lending).detach();
-    let entry = registering::make_entry(settings, settings.hosted, true);
+    let entry = registering::make_entry(settings, settings.hosted_relay, true);
     executor.spawn(registering::keep_entry(settings.clone(), entry, None)).detach();
     Ok(office)
 }
--- a/toucanrail-gateway/src/lending.rs
+++ b/toucanrail-gateway/src/lending.rs
@@ -9,9 +9,9 @@
 use smol::{Async, LocalExecutor};
 use toucanrail::coldstarts::{PermitOrder, PermitReply, PermitTable};
 use toucanrail::loans::{LoanEnd, LoanOrder, LoanReply, LoanTable};
-use toucanrail_wire::calling;
-use toucanrail_wire::channels::BufferedChannel;
-use toucanrail_wire::clocks;
+use toucanrail_wire::connections::BufferedConnection;
+use toucanrail_wire::rpc;
+use toucanrail_wire::time_limits;
 
 use crate::budgeting::{self, BudgetKeeper, HoldFailure};
 use crate::gauging::ServerGauge;
@@ -69,32 +69,32 @@
 }
 
 async fn serve_entry(office: &LoanOffice, socket: Async<TcpStream>) -> io::Result<()> {
-    let mut channel = BufferedChannel::new(socket)?;
-    while let Some((head, body)) = calling::read_call(&mut channel).await? {
+    let mut channel = BufferedConnection::new(socket)?;
+    while let Some((head, body)) = rpc::read_call(&mut channel).await? {
         match head.path() {
             DRAW_PATH => {
-                let order = calling::decode(&body)?;
-                calling::reply(&channel, &draw(office, &order).await).await?;
+                let order = rpc::decode(&body)?;
+                rpc::reply(&channel, &draw(office, &order).await).await?;
             }
             END_PATH => {
-                end(office, calling::decode(&body)?);
-                calling::reply(&channel, &true).await?;
+                end(office, rpc::decode(&body)?);
+                rpc::reply(&channel, &true).await?;
             }
             NEWS_PATH => {
-                let order = calling::decode(&body)?;
-                calling::reply(&channel, &office.news.answer(&order).await).await?;
+                let order = rpc::decode(&body)?;
+                rpc::reply(&channel, &office.news.answer(&order).await).await?;
             }
-            ALIVE_PATH => calling::reply(&channel, &true).await?,
+            ALIVE_PATH => rpc::reply(&channel, &true).await?,
             PERMIT_PATH => {
-                let order = calling::decode(&body)?;
-                calling::reply(&channel, &give_permit(office, &order)).await?;
+                let order = rpc::decode(&body)?;
+                rpc::reply(&channel, &give_permit(office, &order)).await?;
             }
             REPORT_PATH => {
                 let report = match &office.gauge {
                     Some(gauge) => gauge.see().await,
                     None => None,
                 };
-                calling::reply(&channel, &report).await?;
+                rpc::reply(&channel, &report).await?;
             }
             _ => return Err(io::ErrorKind::InvalidData.into()),
         }
@@ -158,7 +158,7 @@
             smol::Timer::after(DRAIN_STEP).await;
         }
     };
-    if clocks::bounded(bound, ending).await.is_none() {
+    if time_limits::timeout(bound, ending).await.is_none() {
         tracing::warn!(event = "loans_left", loans = office.loans.borrow().len());
     }
 }
--- a/toucanrail-gateway/src/mirroring.rs
+++ b/toucanrail-gateway/src/mirroring.rs
@@ -11,7 +11,7 @@
 use toucanrail::boards::BoardTable;
 use toucanrail::messages::{NewsOrder, NewsReply};
 use toucanrail_platform::names;
-use toucanrail_platform::stores::{ListFreshness, StoreFailure};
+use toucanrail_platform::stores::{ListFreshness, StoreError};
 
 use crate::storing::StoreAccess;
 
@@ -123,7 +123,7 @@
             Ok(true) => {
                 board.changed.notify(usize::MAX);
             }
-            Err(StoreFailure::Forgotten) => {
+            Err(StoreError::HistoryExpired) => {
                 board.forget();
             }
             Err(failure) => {
@@ -141,7 +141,7 @@
 }
 
 /// Lists the kind, or waits for its next changes; tells whether there are any.
-async fn step(store: &StoreAccess, kind: &str, board: &KindBoard) -> Result<bool, StoreFailure> {
+async fn step(store: &StoreAccess, kind: &str, board: &KindBoard) -> Result<bool, StoreError> {
     let KindBoard { wait, table, .. } = board;
     let known = table.borrow().revision();
     let Some(revision) = known else {
--- a/toucanrail-gateway/src/peering.rs
+++ b/toucanrail-gateway/src/peering.rs
@@ -9,9 +9,9 @@
 
 use serde::Serialize;
 use serde::de::DeserializeOwned;
-use toucanrail_wire::calling;
-use toucanrail_wire::channels::BufferedChannel;
-use toucanrail_wire::clocks;
+use toucanrail_wire::connections::BufferedConnection;
+use toucanrail_wire::rpc;
+use toucanrail_wire::time_limits;
 
 use crate::lending::ALIVE_PATH;
 use crate::state::Gateway;
@@ -64,10 +64,10 @@
 /// Tells whether a relay answers on a connection of its own, whatever became of the kept ones.
 pub async fn is_alive(address: SocketAddr, bound: Duration) -> bool {
     let asking = async {
-        let mut channel = BufferedChannel::connect(address).await?;
-        calling::call::<_, bool>(&mut channel, ALIVE_PATH, &()).await
+        let mut channel = BufferedConnection::connect(address).await?;
+        rpc::call::<_, bool>(&mut channel, ALIVE_PATH, &()).await
     };
-    clocks::within(bound, asking).await.unwrap_or(false)
+    time_limits::io_timeout(bound, asking).await.unwrap_or(false)
 }
 
 /// Calls a relay, on a kept connection where there is one.
@@ -86,9 +86,11 @@
     let kept = gateway.channels.take(peer, IDLE_BOUND);
     let mut channel = match kept {
         Some(channel) => channel,
-        None => clocks::within(CONNECT_BOUND, BufferedChannel::connect(address)).await?,
+        None => {
+            time_limits::io_timeout(CONNECT_BOUND, BufferedConnection::connect(address)).await?
+        }
     };
-    let reply = clocks::within(bound, calling::call(&mut channel, path, order)).await?;
-    gateway.channels.keep(peer, channel, Some(IDLE_BOUND));
+    let reply = time_limits::io_timeout(bound, rpc::call(&mut channel, path, order)).await?;
+    gateway.channels.put(peer, channel, Some(IDLE_BOUND));
     Ok(reply)
 }
--- a/toucanrail-gateway/src/relay.rs
+++ b/toucanrail-gateway/src/relay.rs
@@ -20,8 +20,8 @@
 use toucanrail_daemons::starting::{self, ProcessClock};
 use toucanrail_platform::settings::NodeSettings;
 use toucanrail_platform::stores::StoreClient;
-use toucanrail_wire::channels::{BufferedChannel, ChannelWriter};
-use toucanrail_wire::clocks;
+use toucanrail_wire::connections::{BufferedConnection, ConnectionWriter};
+use toucanrail_wire::time_limits;
 
 use crate::budgeting::{self, BudgetKeeper};
 use crate::gauging::ServerGauge;
@@ -46,8 +46,8 @@
 /// Runs a relay until it receives a stop signal.
 pub fn run(settings: &NodeSettings, tuning: GatewayTuning) -> io::Result<()> {
     let executor = Rc::new(LocalExecutor::new());
-    let listener = Async::<TcpListener>::bind(settings.inner)?;
-    tracing::info!(event = "start", role = "relay", vm = %settings.vm, inner = %settings.inner);
+    let listener = Async::<TcpListener>::bind(settings.internal)?;
+    tracing::info!(event = "start", role = "relay", vm = %settings.vm, inner = %settings.internal);
     let forwarding = forward_connections(Rc::clone(&executor), listener, settings.store, || true);
     executor.spawn(forwarding).detach();
     let office = Rc::new(make_loan_office(settings, tuning, &executor)?);
@@ -57,11 +57,11 @@
     executor.spawn(budgeting::run_syncs(Rc::clone(&office.keeper))).detach();
     executor.spawn(measure_burn(Rc::clone(&office))).detach();
     let gauge = office.gauge.as_ref().map(Rc::clone);
-    let entry = registering::make_entry(settings, settings.inner, false);
+    let entry = registering::make_entry(settings, settings.internal, false);
     executor.spawn(registering::keep_entry(settings.clone(), entry, gauge)).detach();
     smol::block_on(executor.run(async {
         wait_for_stop().await;
-        lending::drain(&office, settings.grace.saturating_sub(GRACE_MARGIN)).await;
+        lending::drain(&office, settings.shutdown_grace.saturating_sub(GRACE_MARGIN)).await;
         budgeting::leave(&office.keeper).await;
     }));
     let loans = office.loans.borrow().len();
@@ -85,7 +85,7 @@
     let permits = PermitTable::new(store.now()).into();
     let news = NewsOffice::new(Rc::clone(&store), Rc::clone(executor));
     let keeper = Rc::new(BudgetKeeper::new(&id, store, tuning, metrics, Rc::clone(executor)));
-    let server = settings.server;
+    let server = settings.backend;
     let gauge =
         server.map(|server| Rc::new(ServerGauge::new(StoreClient::new(CONNECT_TIMEOUT), server)));
     let (loans, leaving) = (RefCell::default(), Cell::new(false));
@@ -131,8 +131,9 @@
 }
 
 async fn forward_connection(socket: Async<TcpStream>, store: SocketAddr) -> io::Result<()> {
-    let caller = BufferedChannel::new(socket)?;
-    let store = clocks::within(CONNECT_TIMEOUT, BufferedChannel::connect(store)).await?;
+    let caller = BufferedConnection::new(socket)?;
+    let store =
+        time_limits::io_timeout(CONNECT_TIMEOUT, BufferedConnection::connect(store)).await?;
     let (to_store, to_caller) = (store.writer(), caller.writer());
     // Forwarding ends with the first direction that ends: neither side sends anything after the
     // other has closed.
@@ -141,8 +142,8 @@
     upstream.or(downstream).await
 }
 
-async fn copy_bytes(mut from: BufferedChannel, to: ChannelWriter) -> io::Result<()> {
-    while clocks::within(IDLE_TIMEOUT, from.fill()).await? > 0 {
+async fn copy_bytes(mut from: BufferedConnection, to: ConnectionWriter) -> io::Result<()> {
+    while time_limits::io_timeout(IDLE_TIMEOUT, from.fill()).await? > 0 {
         to.write_all(&from.buffer).await?;
         from.buffer.clear();
     }
--- a/toucanrail-gateway/src/request_context.rs
+++ b/toucanrail-gateway/src/request_context.rs
@@ -12,10 +12,10 @@
 use toucanrail::framing::BodyFramer;
 use toucanrail::ids::ServiceName;
 use toucanrail::matching::{CustomerFacts, RouteRule};
-use toucanrail_platform::requests::RequestFacts;
-use toucanrail_wire::channels::BufferedChannel;
-use toucanrail_wire::heads::{AnswerHead, RequestHead};
-use toucanrail_wire::keeping;
+use toucanrail_platform::requests::RequestInfo;
+use toucanrail_wire::connections::BufferedConnection;
+use toucanrail_wire::heads::{RequestHead, ResponseHead};
+use toucanrail_wire::keepalive;
 
 use crate::borrowing::BudgetGuard;
 use crate::permitting::SendPermit;
@@ -34,7 +34,7 @@
     /// Complete request body.
     pub body: &'call [u8],
     /// Fields parsed from the head.
-    pub facts: RequestFacts,
+    pub facts: RequestInfo,
     /// Matched route.
     pub route: Arc<RouteRule>,
     /// Customer that pays; `None` on a public route.
@@ -70,7 +70,7 @@
 #[derive(Debug)]
 pub struct FailedResponse {
     /// Response head.
-    pub head: AnswerHead,
+    pub head: ResponseHead,
     /// Complete response body.
     pub body: Vec<u8>,
 }
@@ -109,9 +109,9 @@
 #[derive(Debug)]
 pub struct OpenExchange {
     /// Connection to the server.
-    pub channel: BufferedChannel,
+    pub channel: BufferedConnection,
     /// Response head.
-    pub head: AnswerHead,
+    pub head: ResponseHead,
     /// Finds the end of the response body.
     pub framer: BodyFramer,
     /// Whether the whole request was written.
@@ -123,8 +123,8 @@
     /// server keeps the connection open.
     pub fn release_channel(self, gateway: &Gateway, backend: &Arc<str>) {
         if self.framer.is_done() && self.request_sent && !self.head.close {
-            let stated = self.head.fields.get("keep-alive").and_then(keeping::read_keep_alive);
-            gateway.channels.keep(backend, self.channel, stated);
+            let stated = self.head.fields.get("keep-alive").and_then(keepalive::parse_keep_alive);
+            gateway.channels.put(backend, self.channel, stated);
         }
     }
 }
--- a/toucanrail-gateway/src/sending.rs
+++ b/toucanrail-gateway/src/sending.rs
@@ -11,10 +11,10 @@
 use toucanrail::backends::{BackendEntry, FlightRow};
 use toucanrail::framing::BodyFramer;
 use toucanrail::matching::RouteKind;
-use toucanrail_platform::requests::{self, OrderFacts};
-use toucanrail_wire::channels::BufferedChannel;
-use toucanrail_wire::clocks;
-use toucanrail_wire::heads::AnswerHead;
+use toucanrail_platform::requests::{self, ForwardInfo};
+use toucanrail_wire::connections::BufferedConnection;
+use toucanrail_wire::heads::ResponseHead;
+use toucanrail_wire::time_limits;
 
 use crate::forwarding;
 use crate::liveness;
@@ -53,7 +53,7 @@
         Ok(exchange) => exchange,
         Err(fate) => return AttemptResult::Incomplete(fate),
     };
-    let facts = requests::read_answer(&exchange.head, &plan.facts.id);
+    let facts = requests::parse_response(&exchange.head, &plan.facts.id);
     if facts.declined {
         return finish_declined(context, exchange).await;
     }
@@ -79,7 +79,7 @@
     let parts = prompt.map_or(&[][..], |prompt| &prompt.parts);
     let fresh = prompt.map_or(0, |prompt| {
         let row = tables.backends.get(&target.id);
-        row.map_or(prompt.prompt, |row| row.fresh_tokens(parts, prompt.prompt))
+        row.map_or(prompt.prompt_tokens, |row| row.fresh_tokens(parts, prompt.prompt_tokens))
     });
     let row = FlightRow { sent_at: gateway.now(), fresh, begun: false };
     let number = tables.backends.note_sent(&target.id, row, parts);
@@ -107,14 +107,14 @@
     let AttemptContext { plan, target, .. } = *context;
     let mut channel = open_channel(context).await?;
     let has_no_body = plan.body.is_empty() && plan.head.fields.get("content-length").is_none();
-    let order = OrderFacts {
+    let order = ForwardInfo {
         backend: &target.id,
         customer: plan.customer.as_ref().map(|customer| &customer.name),
-        left: plan.time_left(),
+        time_left: plan.time_left(),
         urgency: plan.urgency,
-        source: context.source,
+        fetch_source: context.source,
         last_event,
-        body: (!has_no_body).then_some(plan.body.len()),
+        body_length: (!has_no_body).then_some(plan.body.len()),
     };
     if !context.permit.is_valid() {
         return Err(AttemptFate::Withheld);
@@ -123,26 +123,31 @@
         // From here on the server may process the prompt, even if the caller disconnects.
         budget.note_sent(true);
     }
-    let mut bytes = requests::write_order(plan.head, &order);
+    let mut bytes = requests::write_request_head(plan.head, &order);
     bytes.extend_from_slice(plan.body);
     let exchange = exchange_heads(&mut channel, &bytes, &plan.facts.id);
     let watched = exchange.or(wait_until_unresponsive(context));
-    let (head, request_sent) = match clocks::within(plan.time_left_to_first_byte(), watched).await {
-        Ok(found) => found,
-        Err(error) if error.kind() == io::ErrorKind::TimedOut => {
-            let deadline_passed = plan.time_left_to_first_byte().is_zero();
-            return Err(if deadline_passed { AttemptFate::TimedOut } else { AttemptFate::Lost });
-        }
-        Err(error) => {
-            tracing::debug!(event = "exchange_broken", server = %target.id, %error);
-            return Err(AttemptFate::Lost);
-        }
-    };
+    let (head, request_sent) =
+        match time_limits::io_timeout(plan.time_left_to_first_byte(), watched).await {
+            Ok(found) => found,
+            Err(error) if error.kind() == io::ErrorKind::TimedOut => {
+                let deadline_passed = plan.time_left_to_first_byte().is_zero();
+                return Err(if deadline_passed {
+                    AttemptFate::TimedOut
+                } else {
+                    AttemptFate::Lost
+                });
+            }
+            Err(error) => {
+                tracing::debug!(event = "exchange_broken", server = %target.id, %error);
+                return Err(AttemptFate::Lost);
+            }
+        };
     let framer = BodyFramer::of_answer(head.length);
     Ok(OpenExchange { channel, head, framer, request_sent })
 }
 
-async fn open_channel(context: &AttemptContext<'_, '_>) -> Result<BufferedChannel, AttemptFate> {
+async fn open_channel(context: &AttemptContext<'_, '_>) -> Result<BufferedConnection, AttemptFate> {
     let AttemptContext { gateway, plan, target, .. } = *context;
     let idle = match plan.route.kind {
         RouteKind::Once | RouteKind::Stream { resumable: false } => ONCE_MAX_IDLE,
@@ -153,7 +158,7 @@
     }
     gateway.metrics.count_event("connections_opened");
     let bound = CONNECT_TIMEOUT.min(plan.time_left());
-    let opened = clocks::within(bound, BufferedChannel::connect(target.address)).await;
+    let opened = time_limits::io_timeout(bound, BufferedConnection::connect(target.address)).await;
     opened.map_err(|error| {
         tracing::info!(
             event = "connect_failed", request = %plan.facts.id, server = %target.id,
@@ -166,10 +171,10 @@
 /// Writes the request and reads the response head, which may arrive before the request is fully
 /// written.
 async fn exchange_heads(
-    channel: &mut BufferedChannel,
+    channel: &mut BufferedConnection,
     bytes: &[u8],
     id: &str,
-) -> io::Result<(AnswerHead, bool)> {
+) -> io::Result<(ResponseHead, bool)> {
     let writer = channel.writer();
     let mut request_sent = false;
     let writing = async {
@@ -186,16 +191,19 @@
 ///
 /// A late response to an earlier request may arrive where this one's is expected. It carries the ID
 /// of another attempt and is skipped together with its body.
-async fn read_matching_head(channel: &mut BufferedChannel, id: &str) -> io::Result<AnswerHead> {
+async fn read_matching_head(
+    channel: &mut BufferedConnection,
+    id: &str,
+) -> io::Result<ResponseHead> {
     let mut foreign = 0;
     loop {
         let bytes = channel.read_head(MAX_HEAD_BYTES).await?;
         let bytes = bytes.ok_or(io::ErrorKind::UnexpectedEof)?;
-        let head = AnswerHead::parse(&bytes).map_err(|_| io::ErrorKind::InvalidData)?;
+        let head = ResponseHead::parse(&bytes).map_err(|_| io::ErrorKind::InvalidData)?;
         if (100..200).contains(&head.status) {
             continue;
         }
-        if requests::read_answer(&head, id).own != Some(false) {
+        if requests::parse_response(&head, id).matches_attempt != Some(false) {
             return Ok(head);
         }
         foreign += 1;
@@ -206,7 +214,7 @@
     }
 }
 
-async fn skip_body(channel: &mut BufferedChannel, head: &AnswerHead) -> io::Result<()> {
+async fn skip_body(channel: &mut BufferedConnection, head: &ResponseHead) -> io::Result<()> {
     let mut framer = BodyFramer::of_answer(head.length);
     let mut body = Vec::new();
     loop {
@@ -232,14 +240,15 @@
     let status = exchange.head.status;
     if status == 421 {
         gateway.tables.borrow_mut().backends.note_leaving(&target.id);
-        gateway.channels.forget(&target.id);
+        gateway.channels.evict(&target.id);
     }
     tracing::info!(
         event = "declined", request = %plan.facts.id, server = %target.id, status,
     );
     let mut body = Vec::new();
     let bound = CONNECT_TIMEOUT.min(plan.time_left());
-    let read = clocks::within(bound, forwarding::read_body(&mut exchange, &mut body)).await;
+    let read =
+        time_limits::io_timeout(bound, forwarding::read_body(&mut exchange, &mut body)).await;
     if read.is_ok() && status != 421 {
         exchange.release_channel(gateway, &target.id);
     }
--- a/toucanrail-gateway/src/starting.rs
+++ b/toucanrail-gateway/src/starting.rs
@@ -18,7 +18,7 @@
 use toucanrail_daemons::starting::{self, ProcessClock};
 use toucanrail_platform::settings::NodeSettings;
 use toucanrail_platform::stores::StoreClient;
-use toucanrail_wire::keeping::ChannelPool;
+use toucanrail_wire::keepalive::KeepAlivePool;
 
 use crate::accepting;
 use crate::admin;
@@ -42,7 +42,7 @@
     let front = gateway.settings.front.ok_or(io::ErrorKind::AddrNotAvailable)?;
     let callers = bind(front.callers)?;
     let readiness = bind(front.readiness)?;
-    let inner = bind(gateway.settings.inner)?;
+    let inner = bind(gateway.settings.internal)?;
     tracing::info!(
         event = "start", id = %gateway.id, data_centre = %gateway.settings.data_centre,
         callers = %front.callers, store = %gateway.settings.store,
@@ -77,7 +77,8 @@
     let store = Rc::new(StoreAccess::new(StoreClient::new(STORE_CONNECT_TIMEOUT), ways, clock));
     let keeper =
         BudgetKeeper::new(&id, Rc::clone(&store), tuning, metrics.clone(), Rc::clone(&executor));
-    let evacuations = settings.evacuation_bound.map(EvacuationTable::awaiting).unwrap_or_default();
+    let evacuations =
+        settings.evacuation_deadline.map(EvacuationTable::awaiting).unwrap_or_default();
     let tables = GatewayTables {
         routes: RouteTable::new(),
         backends: BackendTable::with_evacuations(evacuations),
@@ -98,7 +99,7 @@
         metrics,
         executor,
         tables: RefCell::new(tables),
-        channels: ChannelPool::new(),
+        channels: KeepAlivePool::new(),
         clock,
         stop_requested: Cell::new(None),
         admission_closed: Cell::new(false),
--- a/toucanrail-gateway/src/state.rs
+++ b/toucanrail-gateway/src/state.rs
@@ -18,7 +18,7 @@
 use toucanrail_daemons::starting::ProcessClock;
 use toucanrail_platform::names;
 use toucanrail_platform::settings::NodeSettings;
-use toucanrail_wire::keeping::ChannelPool;
+use toucanrail_wire::keepalive::KeepAlivePool;
 
 use crate::borrowing::LoanDesk;
 use crate::budgeting::BudgetKeeper;
@@ -70,7 +70,7 @@
     /// Tables that decisions read and update.
     pub tables: RefCell<GatewayTables>,
     /// Pool of connections to backend servers and relays.
-    pub channels: ChannelPool,
+    pub channels: KeepAlivePool,
     /// Clock that starts with the process.
     pub clock: ProcessClock,
     /// Time of the stop signal.
--- a/toucanrail-gateway/src/stopping.rs
+++ b/toucanrail-gateway/src/stopping.rs
@@ -6,7 +6,7 @@
 use async_signal::{Signal, Signals};
 use smol::stream::StreamExt;
 use toucanrail_platform::settings;
-use toucanrail_wire::clocks;
+use toucanrail_wire::time_limits;
 
 use crate::borrowing;
 use crate::budgeting;
@@ -61,18 +61,18 @@
     gateway.stop_requested.set(Some(stop_requested));
     tracing::info!(event = "stop", in_flight = gateway.in_flight.get());
     let lending = gateway.hosted_relay.borrow().as_ref().map(|office| {
-        let bound = gateway.settings.grace.saturating_sub(LENDING_MARGIN);
+        let bound = gateway.settings.shutdown_grace.saturating_sub(LENDING_MARGIN);
         gateway.executor.spawn(drain_loans(Rc::clone(office), bound))
     });
     smol::Timer::after(IDLE_CLOSE_DELAY).await;
     gateway.close_idle.set(true);
     gateway.close_idle_event.notify(usize::MAX);
-    let grace = gateway.settings.grace;
+    let grace = gateway.settings.shutdown_grace;
     wait_until_idle(gateway, stop_requested, grace.saturating_sub(DRAIN_MARGIN)).await;
     // Set before the following waits: a request admitted during one of them would be cut off when
     // the process exits.
     gateway.admission_closed.set(true);
-    clocks::bounded(LOAN_ENDS_TIMEOUT, borrowing::flush_ends(gateway)).await;
+    time_limits::timeout(LOAN_ENDS_TIMEOUT, borrowing::flush_ends(gateway)).await;
     if let Some(lending) = lending {
         lending.await;
     }
--- a/toucanrail-gateway/src/storing.rs
+++ b/toucanrail-gateway/src/storing.rs
@@ -16,7 +16,7 @@
 use toucanrail_daemons::starting::ProcessClock;
 use toucanrail_platform::names;
 use toucanrail_platform::stores::{
-    KindListing, ListFreshness, StoreClient, StoreFailure, WatchedChanges,
+    KindListing, ListFreshness, StoreClient, StoreError, WatchedChanges,
 };
 
 /// Kind of the relays' entries in the store.
@@ -168,7 +168,7 @@
         kind: &str,
         freshness: ListFreshness,
         bound: Duration,
-    ) -> Result<KindListing, StoreFailure> {
+    ) -> Result<KindListing, StoreError> {
         let (way, address) = self.ways.borrow().way();
         let listing = self.client.list_kind(address, kind, freshness, bound).await;
         self.note_result(&way, &listing);
@@ -184,21 +184,21 @@
         after: Version,
         wait: Duration,
         slack: Duration,
-    ) -> Result<WatchedChanges, StoreFailure> {
+    ) -> Result<WatchedChanges, StoreError> {
         let moved = self.moved.listen();
         let (way, address) = self.ways.borrow().way();
         let watching = self.client.watch_kind(address, kind, after, wait, wait + slack);
         let moving = async {
             moved.await;
-            Err(StoreFailure::NoAnswer(io::ErrorKind::ConnectionAborted.into()))
+            Err(StoreError::NoResponse(io::ErrorKind::ConnectionAborted.into()))
         };
         let watched = watching.or(moving).await;
         self.note_result(&way, &watched);
         watched
     }
 
-    fn note_result<Value>(&self, way: &StoreWay, result: &Result<Value, StoreFailure>) {
-        if matches!(result, Err(StoreFailure::NoAnswer(_) | StoreFailure::Declined(_))) {
+    fn note_result<Value>(&self, way: &StoreWay, result: &Result<Value, StoreError>) {
+        if matches!(result, Err(StoreError::NoResponse(_) | StoreError::UnexpectedStatus(_))) {
             self.note_failure(way);
         }
     }
--- a/toucanrail-standins/src/engines.rs
+++ b/toucanrail-standins/src/engines.rs
@@ -13,9 +13,9 @@
 use smol::net::TcpListener;
 use toucanrail::ids::Tokens;
 use toucanrail::routing;
-use toucanrail_wire::listeners::{self, ReceivedCall, ServerLimits};
+use toucanrail_wire::listeners::{self, ReceivedRequest, ServerLimits};
 use toucanrail_wire::pipes::{self, PipeWriter};
-use toucanrail_wire::replies;
+use toucanrail_wire::responses;
 
 use crate::faults::FaultDesk;
 use crate::texts;
@@ -179,14 +179,14 @@
         self.lock().starts.values().sum()
     }
 
-    async fn answer(&self, call: ReceivedCall) -> Response {
+    async fn answer(&self, call: ReceivedRequest) -> Response {
         match call.path() {
             "/control/faults" => return self.faults.answer_control(&call),
             "/control/truth" => return self.show_truth(),
             _ => {}
         }
         if !self.faults.pass().await {
-            return replies::text(503, "down");
+            return responses::text(503, "down");
         }
         let path = call.path().to_owned();
         if let Some(id) = path.strip_prefix("/engine/usage/") {
@@ -198,11 +198,11 @@
         }
         match path.as_str() {
             "/v1/chat/completions" | "/v1/completions" => self.complete(&call).await,
-            "/v1/models" => replies::json(200, &json!({"object": "list", "data": []})),
-            "/engine/load" => replies::json(200, &self.lagging_load()),
+            "/v1/models" => responses::json(200, &json!({"object": "list", "data": []})),
+            "/engine/load" => responses::json(200, &self.lagging_load()),
             "/engine/cache-events" => self.show_cache_events(),
             "/engine/order" => self.take_order(&call),
-            _ => replies::text(404, "no such path"),
+            _ => responses::text(404, "no such path"),
         }
     }
 
@@ -215,13 +215,13 @@
             "prompt_tokens": state.prompt_tokens,
             "orders": state.orders,
         });
-        replies::json(200, &truth)
+        responses::json(200, &truth)
     }
 
     fn answer_usage(&self, id: &str) -> Response {
         match self.lock().usage.get(id) {
-            Some(usage) => replies::json(200, usage),
-            None => replies::text(404, "not known"),
+            Some(usage) => responses::json(200, usage),
+            None => responses::text(404, "not known"),
         }
     }
 
@@ -270,25 +270,25 @@
                 shown.push(block);
             }
         }
-        replies::json(200, &shown)
+        responses::json(200, &shown)
     }
 
-    fn take_order(&self, call: &ReceivedCall) -> Response {
+    fn take_order(&self, call: &ReceivedRequest) -> Response {
         let fence = call.field("engine-fence").and_then(|text| text.parse().ok()).unwrap_or(0);
         let mut state = self.lock();
         if self.honours_fencing && fence < state.fence {
-            return replies::text(409, "old fencing number");
+            return responses::text(409, "old fencing number");
         }
         state.fence = fence;
         let order = String::from_utf8_lossy(&call.body).into_owned();
         state.orders.push(order);
-        replies::text(200, "done")
+        responses::text(200, "done")
     }
 
-    async fn complete(&self, call: &ReceivedCall) -> Response {
+    async fn complete(&self, call: &ReceivedRequest) -> Response {
         smol::Timer::after(Duration::from_millis(self.faults.plan().late_ms)).await;
         let Ok(body) = serde_json::from_slice::<EngineCall>(&call.body) else {
-            return replies::text(400, "not a completion request");
+            return responses::text(400, "not a completion request");
         };
         let chat = call.path() == "/v1/chat/completions";
         let prompt = if chat { chat_prompt(&body.messages) } else { body.prompt.clone() };
@@ -315,7 +315,7 @@
             let engine = self.clone();
             let id = answer.id.clone();
             smol::spawn(async move { engine.stream(answer, tokens, writer, usage).await }).detach();
-            let mut response = replies::stream(200, pipe);
+            let mut response = responses::stream(200, pipe);
             response.insert_header("content-type", "text/event-stream");
             response.insert_header("engine-request-id", id);
             return response;
@@ -326,9 +326,9 @@
                 answer.completion_tokens += 1;
             }
             if self.usage_of(&answer.id).cancelled {
-                return replies::text(503, "cancelled");
+                return responses::text(503, "cancelled");
             }
-            replies::json(200, &answer.whole(&text))
+            responses::json(200, &answer.whole(&text))
         };
         response.insert_header("engine-request-id", answer.id);
         response
@@ -336,7 +336,7 @@
 
     fn start(
         &self,
-        call: &ReceivedCall,
+        call: &ReceivedRequest,
         id: &str,
         prompt: &str,
         resumed: Tokens,
@@ -570,7 +570,7 @@
     contents.collect::<Vec<_>>().join("\n")
 }
 
-fn number(call: &ReceivedCall, name: &str) -> u64 {
+fn number(call: &ReceivedRequest, name: &str) -> u64 {
     call.field(name).and_then(|text| text.parse().ok()).unwrap_or_default()
 }
 
--- a/toucanrail-standins/src/faults.rs
+++ b/toucanrail-standins/src/faults.rs
@@ -5,8 +5,8 @@
 
 use http_types::Response;
 use serde::{Deserialize, Serialize};
-use toucanrail_wire::listeners::ReceivedCall;
-use toucanrail_wire::replies;
+use toucanrail_wire::listeners::ReceivedRequest;
+use toucanrail_wire::responses;
 
 /// How often a held-back answer looks whether its fault is over.
 const HOLD_STEP: Duration = Duration::from_millis(20);
@@ -93,9 +93,9 @@
     }
 
     /// Answers a call of the control port: `GET` shows the faults, `POST` changes those named.
-    pub fn answer_control(&self, call: &ReceivedCall) -> Response {
+    pub fn answer_control(&self, call: &ReceivedRequest) -> Response {
         if call.body.is_empty() {
-            return replies::json(200, &self.plan());
+            return responses::json(200, &self.plan());
         }
         let merged = serde_json::to_value(self.plan()).ok().and_then(|mut plan| {
             let named: serde_json::Value = serde_json::from_slice(&call.body).ok()?;
@@ -107,9 +107,9 @@
         match merged {
             Some(plan) => {
                 *self.lock() = plan;
-                replies::json(200, &self.plan())
+                responses::json(200, &self.plan())
             }
-            None => replies::text(400, "not a fault plan"),
+            None => responses::text(400, "not a fault plan"),
         }
     }
 }
--- a/toucanrail-standins/src/plains.rs
+++ b/toucanrail-standins/src/plains.rs
@@ -9,8 +9,8 @@
 use http_types::Response;
 use serde_json::json;
 use smol::net::TcpListener;
-use toucanrail_wire::listeners::{self, ReceivedCall, ServerLimits};
-use toucanrail_wire::replies;
+use toucanrail_wire::listeners::{self, ReceivedRequest, ServerLimits};
+use toucanrail_wire::responses;
 
 use crate::faults::FaultDesk;
 
@@ -46,11 +46,11 @@
         self.lock().clone()
     }
 
-    async fn answer(&self, call: ReceivedCall) -> Response {
+    async fn answer(&self, call: ReceivedRequest) -> Response {
         match call.path() {
             "/control/faults" => return self.faults.answer_control(&call),
-            "/control/runs" => return replies::json(200, &self.runs()),
-            "/health" => return replies::text(200, "ok"),
+            "/control/runs" => return responses::json(200, &self.runs()),
+            "/health" => return responses::text(200, "ok"),
             _ => {}
         }
         let key = call.field("idempotency-key").unwrap_or("none").to_owned();
@@ -64,7 +64,7 @@
             smol::Timer::after(Duration::from_millis(wait)).await;
         }
         if !self.faults.pass().await {
-            return replies::text(503, "down");
+            return responses::text(503, "down");
         }
         let body = json!({
             "path": call.path(),
@@ -73,7 +73,7 @@
             "run": count,
             "received": call.body.len(),
         });
-        let mut response = replies::json(200, &body);
+        let mut response = responses::json(200, &body);
         if let Some(asked) = call.field("plain-status").and_then(|text| text.parse::<u16>().ok()) {
             response.set_status(asked.try_into().unwrap_or(http_types::StatusCode::Ok));
         }
@@ -91,7 +91,7 @@
         writer.send(b"{\"par".to_vec()).await;
     })
     .detach();
-    replies::stream(200, body)
+    responses::stream(200, body)
 }
 
 /// Starts a plain service on a port of its own.
--- a/toucanrail-standins/src/platforms.rs
+++ b/toucanrail-standins/src/platforms.rs
@@ -9,8 +9,8 @@
 use serde::{Deserialize, Serialize};
 use smol::net::TcpListener;
 use toucanrail::ids::{Version, VmId};
-use toucanrail_wire::listeners::{self, ReceivedCall, ServerLimits};
-use toucanrail_wire::replies;
+use toucanrail_wire::listeners::{self, ReceivedRequest, ServerLimits};
+use toucanrail_wire::responses;
 use toucanrail_wire::stores::{ListBody, ListedObject, VmRow};
 
 use crate::faults::FaultDesk;
@@ -55,7 +55,7 @@
 
     /// Serves the object API, the VM list and the control port.
     pub async fn serve(self, listener: TcpListener) {
-        let limits = ServerLimits { body: VALUE_LIMIT, ..ServerLimits::default() };
+        let limits = ServerLimits { max_body: VALUE_LIMIT, ..ServerLimits::default() };
         let handler = move |call| {
             let this = self.clone();
             async move { this.answer(call).await }
@@ -89,16 +89,16 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    async fn answer(&self, call: ReceivedCall) -> Response {
+    async fn answer(&self, call: ReceivedRequest) -> Response {
         let path = call.path().to_owned();
         match path.as_str() {
             "/control/faults" => return self.faults.answer_control(&call),
-            "/control/counts" => return replies::json(200, &self.lock().counts),
+            "/control/counts" => return responses::json(200, &self.lock().counts),
             "/control/vms" => return self.set_vms(&call),
             _ => {}
         }
         if !self.faults.pass().await {
-            return replies::text(503, "down");
+            return responses::text(503, "down");
         }
         if let Some(name) = path.strip_prefix("/v1/objects/") {
             return match call.request.method() {
@@ -114,7 +114,7 @@
         }
         match path.as_str() {
             "/v1/vms" => self.list_vms(),
-            _ => replies::text(404, "no such path"),
+            _ => responses::text(404, "no such path"),
         }
     }
 
@@ -123,11 +123,11 @@
         state.counts.reads += 1;
         match state.objects.get(name) {
             Some((version, value)) => tagged(200, *version, value.clone()),
-            None => replies::text(404, "no such object"),
+            None => responses::text(404, "no such object"),
         }
     }
 
-    async fn put(&self, name: &str, call: &ReceivedCall) -> Response {
+    async fn put(&self, name: &str, call: &ReceivedRequest) -> Response {
         let response = self.write(name, call);
         if self.faults.take(|plan| &mut plan.lose_answers) {
             // The write has taken effect; its answer never comes.
@@ -136,7 +136,7 @@
         response
     }
 
-    fn write(&self, name: &str, call: &ReceivedCall) -> Response {
+    fn write(&self, name: &str, call: &ReceivedRequest) -> Response {
         let mut state = self.lock();
         state.counts.writes += 1;
         let known = state.objects.get(name).map(|(version, _)| *version);
@@ -146,7 +146,7 @@
             None => call.field("if-none-match") != Some("*") || known.is_none(),
         };
         if !met {
-            return replies::text(412, "changed meanwhile");
+            return responses::text(412, "changed meanwhile");
         }
         state.revision += 1;
         let version = state.revision;
@@ -154,7 +154,7 @@
         tagged(200, version, Vec::new())
     }
 
-    fn list(&self, kind: &str, call: &ReceivedCall) -> Response {
+    fn list(&self, kind: &str, call: &ReceivedRequest) -> Response {
         let after = number(call, "after");
         let prefix = format!("{kind}/");
         let mut state = self.lock();
@@ -167,10 +167,10 @@
             version: *version,
             value: String::from_utf8_lossy(value).into_owned(),
         });
-        replies::json(200, &ListBody { objects: objects.collect(), revision: state.revision })
+        responses::json(200, &ListBody { objects: objects.collect(), revision: state.revision })
     }
 
-    async fn watch(&self, kind: &str, call: &ReceivedCall) -> Response {
+    async fn watch(&self, kind: &str, call: &ReceivedRequest) -> Response {
         self.lock().counts.watches += 1;
         let after = number(call, "after");
         let until = Instant::now() + Duration::from_millis(number(call, "wait"));
@@ -182,7 +182,7 @@
             }
             smol::Timer::after(WATCH_STEP).await;
         }
-        replies::text(200, "look")
+        responses::text(200, "look")
     }
 
     fn has_newer(&self, prefix: &str, after: Version) -> bool {
@@ -202,11 +202,11 @@
             vm: Arc::clone(vm),
             leaving: *leaving && since.elapsed() >= self.vm_lag,
         });
-        replies::json(200, &shown.collect::<Vec<_>>())
+        responses::json(200, &shown.collect::<Vec<_>>())
     }
 
     /// Replaces the VM list's rows named in the body; `POST` with `?gone=VM` removes one.
-    fn set_vms(&self, call: &ReceivedCall) -> Response {
+    fn set_vms(&self, call: &ReceivedRequest) -> Response {
         let mut state = self.lock();
         if let Some(vm) = call.query("gone") {
             state.vms.remove(&*vm);
@@ -215,16 +215,16 @@
         for row in rows {
             state.vms.insert(row.vm, (row.leaving, Instant::now()));
         }
-        replies::text(200, "set")
+        responses::text(200, "set")
     }
 }
 
-fn number(call: &ReceivedCall, name: &str) -> u64 {
+fn number(call: &ReceivedRequest, name: &str) -> u64 {
     call.query(name).and_then(|text| text.parse().ok()).unwrap_or_default()
 }
 
 fn tagged(status: u16, version: Version, value: Vec<u8>) -> Response {
-    let mut response = replies::bytes(status, value);
+    let mut response = responses::bytes(status, value);
     response.insert_header("etag", format!("\"{version}\""));
     response
 }
--- a/toucanrail-standins/src/reports.rs
+++ b/toucanrail-standins/src/reports.rs
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 use toucanrail::budgets::{self, BillRow, BudgetShard, HolderState};
 use toucanrail::paths;
-use toucanrail_wire::clients::{ClientLimits, ConnectionPool, OutboundCall};
+use toucanrail_wire::clients::{ClientLimits, ConnectionPool, OutboundRequest};
 use toucanrail_wire::stores::{HttpStore, ObjectStore};
 
 use crate::loads::LoadPlan;
@@ -223,7 +223,7 @@
 where
     Body: for<'body> Deserialize<'body>,
 {
-    let answer = pool.fetch(address, OutboundCall::get(path), TRUTH_BOUND).await.ok()?;
+    let answer = pool.fetch(address, OutboundRequest::get(path), TRUTH_BOUND).await.ok()?;
     serde_json::from_slice(&answer.body).ok()
 }
 
--- a/toucanrail-standins/src/senders.rs
+++ b/toucanrail-standins/src/senders.rs
@@ -5,8 +5,8 @@
 
 use rustix::process::{Pid, Signal};
 use serde_json::Value;
-use toucanrail_wire::clients::{ClientLimits, ConnectionPool, OutboundCall};
-use toucanrail_wire::replies;
+use toucanrail_wire::clients::{ClientLimits, ConnectionPool, OutboundRequest};
+use toucanrail_wire::responses;
 
 use crate::loads::{FaultAction, LoadAsk, LoadFault, LoadPlan, LoadRequest};
 
@@ -68,7 +68,7 @@
 
 /// Sends all requests at their times and returns what callers saw.
 pub async fn send_load(plan: Arc<LoadPlan>, requests: Vec<LoadRequest>) -> Vec<TryReport> {
-    let pool = ConnectionPool::new(ClientLimits { kept: 512, ..ClientLimits::default() });
+    let pool = ConnectionPool::new(ClientLimits { max_idle: 512, ..ClientLimits::default() });
     let start = Instant::now();
     let mut tasks = Vec::new();
     for request in requests {
@@ -124,7 +124,7 @@
         LoadAsk::Plain => plan.route.as_str(),
         LoadAsk::Completion { .. } => "/v1/chat/completions",
     };
-    let mut call = OutboundCall::post(path, body.into_bytes())
+    let mut call = OutboundRequest::post(path, body.into_bytes())
         .field("content-type", "application/json")
         .field("authorization", format!("Bearer {}", customer.key));
     if let Some(key) = &request.key {
@@ -154,7 +154,7 @@
     pool: &ConnectionPool,
     request: &LoadRequest,
     entry: std::net::SocketAddr,
-    call: OutboundCall,
+    call: OutboundRequest,
     report: &mut TryReport,
     sent: Instant,
 ) {
@@ -165,9 +165,9 @@
         let values = answer.response.header(name)?;
         Some(values.last().as_str().to_owned())
     };
-    report.request = field(replies::REQUEST_HEADER);
-    let code = field(replies::RESULT_HEADER).and_then(|text| text.parse().ok()).unwrap_or(0);
-    let run = field(replies::RUN_HEADER).unwrap_or_default();
+    report.request = field(responses::REQUEST_HEADER);
+    let code = field(responses::RESULT_HEADER).and_then(|text| text.parse().ok()).unwrap_or(0);
+    let run = field(responses::RUN_HEADER).unwrap_or_default();
     let comes_back = field("retry-after").is_some();
     let status = answer.status();
     let mut body = Vec::new();
@@ -185,7 +185,7 @@
             }
         }
     }
-    answer.close_whole();
+    answer.release();
     report.end = if status == 200 {
         judge(request, &body, report)
     } else {
@@ -231,7 +231,7 @@
         smol::Timer::after(fault.at.saturating_sub(start.elapsed())).await;
         match fault.action {
             FaultAction::Control { address, path, body } => {
-                let call = OutboundCall::post(path, body.into_bytes());
+                let call = OutboundRequest::post(path, body.into_bytes());
                 if pool.fetch(address, call, CONTROL_BOUND).await.is_err() {
                     eprintln!("a fault could not be injected at {address}");
                 }
--- a/toucanrail-wire/src/clients.rs
+++ b/toucanrail-wire/src/clients.rs
@@ -15,8 +15,8 @@
 use smol::net::TcpStream;
 use toucanrail::scanners::{self, BodyLength, HeadFacts};
 
-use crate::clocks;
-use crate::replays::ReplayStream;
+use crate::message_streams::MessageStream;
+use crate::time_limits;
 
 const READ_SIZE: usize = 8 * 1024;
 const HEAD_READ_SIZE: usize = 2 * 1024;
@@ -26,22 +26,22 @@
 #[derive(Debug, Clone)]
 pub struct ClientLimits {
     /// Largest head of an answer, in bytes.
-    pub head: usize,
+    pub max_head: usize,
     /// Longest wait for a connection.
-    pub connect: Duration,
+    pub connect_timeout: Duration,
     /// Oldest idle connection that is used again.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
     /// Most idle connections kept an address.
-    pub kept: usize,
+    pub max_idle: usize,
 }
 
 impl Default for ClientLimits {
     fn default() -> Self {
         Self {
-            head: 16 * 1024,
-            connect: Duration::from_secs(1),
-            idle: Duration::from_secs(30),
-            kept: 64,
+            max_head: 16 * 1024,
+            connect_timeout: Duration::from_secs(1),
+            idle_timeout: Duration::from_secs(30),
+            max_idle: 64,
         }
     }
 }
@@ -49,29 +49,29 @@
 quick_error! {
     /// Why a call has no answer.
     #[derive(Debug)]
-    pub enum OpenFailure {
+    pub enum RequestError {
         /// No connection: nothing was sent, so the call provably did not arrive.
         NotSent(error: io::Error) {
             display("not sent: {error}")
         }
         /// The connection failed after the call, or part of it, was sent.
-        Sent(error: io::Error) {
+        MaybeSent(error: io::Error) {
             display("sent, then: {error}")
         }
     }
 }
 
-impl From<OpenFailure> for io::Error {
-    fn from(failure: OpenFailure) -> Self {
+impl From<RequestError> for io::Error {
+    fn from(failure: RequestError) -> Self {
         match failure {
-            OpenFailure::NotSent(error) | OpenFailure::Sent(error) => error,
+            RequestError::NotSent(error) | RequestError::MaybeSent(error) => error,
         }
     }
 }
 
 /// One call to make.
 #[derive(Debug, Clone)]
-pub struct OutboundCall {
+pub struct OutboundRequest {
     /// The method.
     pub method: Method,
     /// Path and query.
@@ -81,13 +81,19 @@
     /// The whole body.
     pub body: Vec<u8>,
     /// Whether to open a connection for this call alone.
-    pub fresh: bool,
+    pub new_connection: bool,
 }
 
-impl OutboundCall {
+impl OutboundRequest {
     /// Makes a call without a body.
     pub fn new(method: Method, path: impl Into<String>) -> Self {
-        Self { method, path: path.into(), fields: Vec::new(), body: Vec::new(), fresh: false }
+        Self {
+            method,
+            path: path.into(),
+            fields: Vec::new(),
+            body: Vec::new(),
+            new_connection: false,
+        }
     }
 
     /// Makes a `GET`.
@@ -111,21 +117,21 @@
 
     /// Asks for a connection of its own.
     #[must_use]
-    pub fn on_fresh(mut self) -> Self {
-        self.fresh = true;
+    pub fn on_new_connection(mut self) -> Self {
+        self.new_connection = true;
         self
     }
 }
 
 /// An answer whose body is read as it comes.
 ///
-/// Its connection goes back to the pool only after [`OpenAnswer::close_whole`]; dropped before,
+/// Its connection goes back to the pool only after [`StreamingResponse::release`]; dropped before,
 /// it is closed, so that late bytes of a cancelled exchange can reach nobody.
 #[derive(Debug)]
-pub struct OpenAnswer {
+pub struct StreamingResponse {
     /// Status and fields.
     pub response: Response,
-    replay: Option<ReplayStream>,
+    replay: Option<MessageStream>,
     stream: TcpStream,
     buffer: Vec<u8>,
     reusable: bool,
@@ -135,7 +141,7 @@
 
 /// An answer read to its end.
 #[derive(Debug)]
-pub struct WholeAnswer {
+pub struct CompleteResponse {
     /// The status number.
     pub status: u16,
     /// Status and fields, the body taken out.
@@ -144,14 +150,14 @@
     pub body: Vec<u8>,
 }
 
-impl WholeAnswer {
+impl CompleteResponse {
     /// Returns a field's last value.
     pub fn field(&self, name: &str) -> Option<&str> {
         self.response.header(name).map(|values| values.last().as_str())
     }
 }
 
-impl OpenAnswer {
+impl StreamingResponse {
     /// Returns the status number.
     pub fn status(&self) -> u16 {
         self.response.status().into()
@@ -160,21 +166,21 @@
     /// Reads the next bytes of the body; empty at its proved end.
     pub async fn read_chunk(&mut self, idle: Duration) -> io::Result<Vec<u8>> {
         self.buffer.resize(READ_SIZE, 0);
-        let count = clocks::within(idle, self.response.read(&mut self.buffer)).await?;
-        if count == 0 && !self.replay.as_ref().is_none_or(ReplayStream::is_whole) {
+        let count = time_limits::io_timeout(idle, self.response.read(&mut self.buffer)).await?;
+        if count == 0 && !self.replay.as_ref().is_none_or(MessageStream::is_complete) {
             return Err(io::ErrorKind::UnexpectedEof.into());
         }
         Ok(self.buffer[..count].to_vec())
     }
 
     /// Gives the connection back to the pool if the answer was read to its end.
-    pub fn close_whole(self) {
+    pub fn release(self) {
         let whole = self
             .replay
             .as_ref()
-            .is_none_or(|replay| replay.is_whole() && replay.take_rest().is_empty());
+            .is_none_or(|replay| replay.is_complete() && replay.take_leftover().is_empty());
         if whole && self.reusable {
-            self.pool.keep(self.address, self.stream);
+            self.pool.put(self.address, self.stream);
         }
     }
 }
@@ -202,9 +208,9 @@
     pub async fn fetch(
         &self,
         address: SocketAddr,
-        call: OutboundCall,
+        call: OutboundRequest,
         bound: Duration,
-    ) -> io::Result<WholeAnswer> {
+    ) -> io::Result<CompleteResponse> {
         let fetching = async {
             let mut answer = self.open(address, call, bound).await?;
             let mut body = Vec::new();
@@ -218,43 +224,49 @@
             let status = answer.status();
             let response = Response::new(answer.response.status());
             let response = std::mem::replace(&mut answer.response, response);
-            answer.close_whole();
-            Ok(WholeAnswer { status, response, body })
+            answer.release();
+            Ok(CompleteResponse { status, response, body })
         };
-        clocks::within(bound, fetching).await
+        time_limits::io_timeout(bound, fetching).await
     }
 
     /// Makes a call and waits at most `bound` for the head of its answer.
     pub async fn open(
         &self,
         address: SocketAddr,
-        call: OutboundCall,
+        call: OutboundRequest,
         bound: Duration,
-    ) -> Result<OpenAnswer, OpenFailure> {
-        let connected = self.connect(address, call.fresh).await;
-        let stream = connected.map_err(OpenFailure::NotSent)?;
+    ) -> Result<StreamingResponse, RequestError> {
+        let connected = self.connect(address, call.new_connection).await;
+        let stream = connected.map_err(RequestError::NotSent)?;
         // Boxed, since the decoder's state is large and every wrapper would move it.
         let exchange = Box::pin(self.exchange(address, stream, call));
-        clocks::within(bound, exchange).await.map_err(OpenFailure::Sent)
+        time_limits::io_timeout(bound, exchange).await.map_err(RequestError::MaybeSent)
     }
 
     /// Takes a checked idle connection or opens one.
     ///
     /// Guards against a connection that died or turned silent while idle: one that is too old, has
     /// ended, or holds bytes nobody asked for is dropped.
-    pub async fn connect(&self, address: SocketAddr, fresh: bool) -> io::Result<TcpStream> {
-        while let Some(kept) = self.take(address).filter(|_| !fresh) {
-            if kept.since.elapsed() < self.limits.idle && is_quiet(&kept.stream).await {
+    pub async fn connect(
+        &self,
+        address: SocketAddr,
+        new_connection: bool,
+    ) -> io::Result<TcpStream> {
+        while let Some(kept) = self.take(address).filter(|_| !new_connection) {
+            if kept.since.elapsed() < self.limits.idle_timeout && is_quiet(&kept.stream).await {
                 return Ok(kept.stream);
             }
         }
-        let stream = clocks::within(self.limits.connect, TcpStream::connect(address)).await?;
+        let stream =
+            time_limits::io_timeout(self.limits.connect_timeout, TcpStream::connect(address))
+                .await?;
         stream.set_nodelay(true)?;
         Ok(stream)
     }
 
     /// Drops all idle connections to an address.
-    pub fn forget(&self, address: SocketAddr) {
+    pub fn evict(&self, address: SocketAddr) {
         self.lock().remove(&address);
     }
 
@@ -262,21 +274,21 @@
         &self,
         address: SocketAddr,
         stream: TcpStream,
-        call: OutboundCall,
-    ) -> io::Result<OpenAnswer> {
+        call: OutboundRequest,
+    ) -> io::Result<StreamingResponse> {
         let head_only = call.method == Method::Head;
         send_call(&stream, address, call).await?;
-        let (bytes, end, facts) = read_answer_head(&stream, self.limits.head).await?;
+        let (bytes, end, facts) = read_answer_head(&stream, self.limits.max_head).await?;
         let bodiless = head_only || is_bodiless(&bytes);
         if facts.length == BodyLength::Absent && !bodiless {
             return Err(invalid("an answer with neither length nor chunks"));
         }
         let length = if bodiless { BodyLength::Absent } else { facts.length };
-        let replay = ReplayStream::new(bytes, end, length, stream.clone());
+        let replay = MessageStream::new(bytes, end, length, stream.clone());
         let response = Box::pin(client::decode(replay.clone()))
             .await
             .map_err(|error| io::Error::new(io::ErrorKind::InvalidData, format!("{error}")))?;
-        Ok(OpenAnswer {
+        Ok(StreamingResponse {
             response,
             replay: Some(replay).filter(|_| !bodiless),
             stream,
@@ -292,10 +304,10 @@
     }
 
     /// Puts a connection that nothing is due on back.
-    pub fn keep(&self, address: SocketAddr, stream: TcpStream) {
+    pub fn put(&self, address: SocketAddr, stream: TcpStream) {
         let mut idle = self.lock();
         let kept = idle.entry(address).or_default();
-        if kept.len() < self.limits.kept {
+        if kept.len() < self.limits.max_idle {
             kept.push(IdleConnection { stream, since: Instant::now() });
         }
     }
@@ -323,7 +335,11 @@
     io::Error::new(io::ErrorKind::InvalidData, reason)
 }
 
-async fn send_call(stream: &TcpStream, address: SocketAddr, call: OutboundCall) -> io::Result<()> {
+async fn send_call(
+    stream: &TcpStream,
+    address: SocketAddr,
+    call: OutboundRequest,
+) -> io::Result<()> {
     let url = Url::parse(&format!("http://{address}{}", call.path))
         .map_err(|error| io::Error::new(io::ErrorKind::InvalidInput, error))?;
     let mut request = Request::new(call.method, url);
--- a/toucanrail-wire/src/channels.rs
+++ b/toucanrail-wire/src/connections.rs
@@ -12,13 +12,13 @@
 
 /// A connection and the bytes read from it that nobody has taken yet.
 #[derive(Debug)]
-pub struct BufferedChannel {
+pub struct BufferedConnection {
     socket: Arc<Async<TcpStream>>,
     /// Bytes read and not taken.
     pub buffer: Vec<u8>,
 }
 
-impl BufferedChannel {
+impl BufferedConnection {
     /// Wraps a connected socket.
     pub fn new(socket: Async<TcpStream>) -> io::Result<Self> {
         socket.get_ref().set_nodelay(true)?;
@@ -31,8 +31,8 @@
     }
 
     /// Returns the writing side.
-    pub fn writer(&self) -> ChannelWriter {
-        ChannelWriter { socket: Arc::clone(&self.socket) }
+    pub fn writer(&self) -> ConnectionWriter {
+        ConnectionWriter { socket: Arc::clone(&self.socket) }
     }
 
     /// Reads more bytes into the buffer; 0 at the end of the connection.
@@ -81,11 +81,11 @@
 
 /// The writing side of a connection.
 #[derive(Debug, Clone)]
-pub struct ChannelWriter {
+pub struct ConnectionWriter {
     socket: Arc<Async<TcpStream>>,
 }
 
-impl ChannelWriter {
+impl ConnectionWriter {
     /// Writes all bytes.
     pub async fn write_all(&self, mut bytes: &[u8]) -> io::Result<()> {
         while !bytes.is_empty() {
--- a/toucanrail-wire/src/heads.rs
+++ b/toucanrail-wire/src/heads.rs
@@ -30,7 +30,7 @@
 quick_error! {
     /// Why bytes are no head.
     #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-    pub enum HeadFault {
+    pub enum HeadError {
         /// A request or answer that cannot be read.
         Malformed(code: ResultCode) {
             display("{}", code.row().text)
@@ -111,16 +111,16 @@
     /// use toucanrail_wire::heads::RequestHead;
     /// let head = RequestHead::parse(b"GET /a/../b?c HTTP/1.1\r\nHost: x\r\n\r\n")?;
     /// assert_eq!((head.target(), head.path()), ("/a/../b?c", "/a/../b"));
-    /// # Ok::<(), toucanrail_wire::heads::HeadFault>(())
+    /// # Ok::<(), toucanrail_wire::heads::HeadError>(())
     /// ```
-    pub fn parse(bytes: &[u8]) -> Result<Self, HeadFault> {
-        let facts = scanners::scan_head(bytes).map_err(HeadFault::Malformed)?;
+    pub fn parse(bytes: &[u8]) -> Result<Self, HeadError> {
+        let facts = scanners::scan_head(bytes).map_err(HeadError::Malformed)?;
         if !facts.host {
-            return Err(HeadFault::Malformed(codetable::MISSING_HOST));
+            return Err(HeadError::Malformed(codetable::MISSING_HOST));
         }
         let mut fields = [httparse::EMPTY_HEADER; FIELD_LIMIT];
         let mut request = httparse::Request::new(&mut fields);
-        let malformed = HeadFault::Malformed(codetable::BAD_REQUEST);
+        let malformed = HeadError::Malformed(codetable::BAD_REQUEST);
         request.parse(bytes).map_err(|_| malformed)?;
         let (Some(method), Some(target), Some(minor)) =
             (request.method, request.path, request.version)
@@ -165,7 +165,7 @@
 
 /// The head of an answer.
 #[derive(Debug, Clone)]
-pub struct AnswerHead {
+pub struct ResponseHead {
     /// Its fields.
     pub fields: FieldList,
     /// The status.
@@ -177,20 +177,20 @@
     pub close: bool,
 }
 
-impl AnswerHead {
+impl ResponseHead {
     /// Reads a whole head.
     ///
     /// # Examples
     /// ```
-    /// let head = toucanrail_wire::heads::AnswerHead::parse(b"HTTP/1.1 204 None\r\n\r\n")?;
+    /// let head = toucanrail_wire::heads::ResponseHead::parse(b"HTTP/1.1 204 None\r\n\r\n")?;
     /// assert_eq!((head.status, head.reason()), (204, "None"));
-    /// # Ok::<(), toucanrail_wire::heads::HeadFault>(())
+    /// # Ok::<(), toucanrail_wire::heads::HeadError>(())
     /// ```
-    pub fn parse(bytes: &[u8]) -> Result<Self, HeadFault> {
-        let facts = scanners::scan_head(bytes).map_err(HeadFault::Malformed)?;
+    pub fn parse(bytes: &[u8]) -> Result<Self, HeadError> {
+        let facts = scanners::scan_head(bytes).map_err(HeadError::Malformed)?;
         let mut fields = [httparse::EMPTY_HEADER; FIELD_LIMIT];
         let mut answer = httparse::Response::new(&mut fields);
-        let malformed = HeadFault::Malformed(codetable::BAD_REQUEST);
+        let malformed = HeadError::Malformed(codetable::BAD_REQUEST);
         answer.parse(bytes).map_err(|_| malformed)?;
         let (Some(status), Some(minor)) = (answer.code, answer.version) else {
             return Err(malformed);
--- a/toucanrail-wire/src/keeping.rs
+++ b/toucanrail-wire/src/keepalive.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use crate::channels::BufferedChannel;
+use crate::connections::BufferedConnection;
 
 /// Longest idle time where the server states none.
 const DEFAULT_IDLE: Duration = Duration::from_secs(2);
@@ -17,7 +17,7 @@
 
 #[derive(Debug)]
 struct KeptChannel {
-    channel: BufferedChannel,
+    channel: BufferedConnection,
     since: Instant,
     until: Instant,
 }
@@ -27,11 +27,11 @@
 /// Servers are named by their ids and not by their addresses, which the platform gives to other
 /// servers later.
 #[derive(Debug, Clone, Default)]
-pub struct ChannelPool {
+pub struct KeepAlivePool {
     kept: Rc<RefCell<BTreeMap<Arc<str>, Vec<KeptChannel>>>>,
 }
 
-impl ChannelPool {
+impl KeepAlivePool {
     /// Makes an empty pool.
     pub fn new() -> Self {
         Self::default()
@@ -41,7 +41,7 @@
     ///
     /// Guards against a connection that was closed or turned silent while idle: one that is too
     /// old, has ended, or holds bytes nobody asked for is dropped.
-    pub fn take(&self, id: &str, idle: Duration) -> Option<BufferedChannel> {
+    pub fn take(&self, id: &str, idle: Duration) -> Option<BufferedConnection> {
         let now = Instant::now();
         let mut kept = self.kept.borrow_mut();
         let channels = kept.get_mut(id)?;
@@ -58,7 +58,7 @@
     }
 
     /// Keeps a connection on which nothing is due; `stated` is the server's idle timeout.
-    pub fn keep(&self, id: &Arc<str>, channel: BufferedChannel, stated: Option<Duration>) {
+    pub fn put(&self, id: &Arc<str>, channel: BufferedConnection, stated: Option<Duration>) {
         let idle = stated.map_or(DEFAULT_IDLE, |stated| stated.saturating_sub(IDLE_MARGIN));
         let now = Instant::now();
         let mut kept = self.kept.borrow_mut();
@@ -69,12 +69,12 @@
     }
 
     /// Drops all connections to a server.
-    pub fn forget(&self, id: &str) {
+    pub fn evict(&self, id: &str) {
         self.kept.borrow_mut().remove(id);
     }
 
     /// Drops the connections that are too old to be used again.
-    pub fn sweep(&self) {
+    pub fn evict_expired(&self) {
         let now = Instant::now();
         let mut kept = self.kept.borrow_mut();
         for channels in kept.values_mut() {
@@ -88,10 +88,10 @@
 ///
 /// # Examples
 /// ```
-/// let stated = toucanrail_wire::keeping::read_keep_alive("timeout=5, max=100");
+/// let stated = toucanrail_wire::keepalive::parse_keep_alive("timeout=5, max=100");
 /// assert_eq!(stated, Some(std::time::Duration::from_secs(5)));
 /// ```
-pub fn read_keep_alive(value: &str) -> Option<Duration> {
+pub fn parse_keep_alive(value: &str) -> Option<Duration> {
     let mut options = value.split(',').map(str::trim);
     let seconds = options.find_map(|option| option.strip_prefix("timeout="))?;
     seconds.trim().parse().ok().map(Duration::from_secs)
--- a/toucanrail-wire/src/lib.rs
+++ b/toucanrail-wire/src/lib.rs
@@ -7,18 +7,18 @@
 //! # Examples
 //! ```
 //! use std::time::Duration;
-//! use toucanrail_wire::{clients, listeners, replies};
+//! use toucanrail_wire::{clients, listeners, responses};
 //!
 //! smol::block_on(async {
 //!     let listener = listeners::bind("127.0.0.1:0")?;
 //!     let address = listener.local_addr()?;
 //!     let limits = listeners::ServerLimits::default();
 //!     smol::spawn(listeners::serve(listener, limits, |_received| async {
-//!         replies::text(200, "hello")
+//!         responses::text(200, "hello")
 //!     }))
 //!     .detach();
 //!     let pool = clients::ConnectionPool::new(clients::ClientLimits::default());
-//!     let call = clients::OutboundCall::get("/");
+//!     let call = clients::OutboundRequest::get("/");
 //!     let answer = pool.fetch(address, call, Duration::from_secs(5)).await?;
 //!     assert_eq!(answer.body, b"hello");
 //!     Ok::<(), Box<dyn std::error::Error>>(())
@@ -26,14 +26,14 @@
 //! .unwrap();
 //! ```
 
-pub mod calling;
-pub mod channels;
 pub mod clients;
-pub mod clocks;
+pub mod connections;
 pub mod heads;
-pub mod keeping;
+pub mod keepalive;
 pub mod listeners;
+pub mod message_streams;
 pub mod pipes;
-pub mod replays;
-pub mod replies;
+pub mod responses;
+pub mod rpc;
 pub mod stores;
+pub mod time_limits;
--- a/toucanrail-wire/src/listeners.rs
+++ b/toucanrail-wire/src/listeners.rs
@@ -14,9 +14,9 @@
 use toucanrail::codetable;
 use toucanrail::scanners::{self, BodyLength, HeadFacts};
 
-use crate::clocks;
-use crate::replays::ReplayStream;
-use crate::replies::{self, RefusalNote};
+use crate::message_streams::MessageStream;
+use crate::responses::{self, ErrorDetails};
+use crate::time_limits;
 
 const READ_SIZE: usize = 8 * 1024;
 /// Pause after a failed accept, usually for want of file descriptors.
@@ -26,42 +26,42 @@
 #[derive(Debug, Clone)]
 pub struct ServerLimits {
     /// Largest head, in bytes.
-    pub head: usize,
+    pub max_head: usize,
     /// Largest body, in bytes.
-    pub body: usize,
+    pub max_body: usize,
     /// Most connections at once.
-    pub connections: usize,
+    pub max_connections: usize,
     /// Longest time from a request's first byte to its last.
-    pub arrival: Duration,
+    pub request_timeout: Duration,
     /// Longest idle time between requests.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
     /// Longest time in which a write makes no progress.
-    pub write: Duration,
+    pub write_timeout: Duration,
 }
 
 impl Default for ServerLimits {
     fn default() -> Self {
         Self {
-            head: 8 * 1024,
-            body: 1024 * 1024,
-            connections: 4096,
-            arrival: Duration::from_secs(10),
-            idle: Duration::from_secs(75),
-            write: Duration::from_secs(20),
+            max_head: 8 * 1024,
+            max_body: 1024 * 1024,
+            max_connections: 4096,
+            request_timeout: Duration::from_secs(10),
+            idle_timeout: Duration::from_secs(75),
+            write_timeout: Duration::from_secs(20),
         }
     }
 }
 
 /// A request whose head and body have arrived whole.
 #[derive(Debug)]
-pub struct ReceivedCall {
+pub struct ReceivedRequest {
     /// Method, URL and fields.
     pub request: Request,
     /// The whole body.
     pub body: Vec<u8>,
 }
 
-impl ReceivedCall {
+impl ReceivedRequest {
     /// Returns a field's first value.
     pub fn field(&self, name: &str) -> Option<&str> {
         self.request.header(name).map(|values| values.last().as_str())
@@ -92,7 +92,7 @@
     limits: ServerLimits,
     handler: Handler,
 ) where
-    Handler: Fn(ReceivedCall) -> Answering + Clone + Send + Sync + 'static,
+    Handler: Fn(ReceivedRequest) -> Answering + Clone + Send + Sync + 'static,
     Answering: Future<Output = Response> + Send + 'static,
 {
     let open = Arc::new(AtomicUsize::new(0));
@@ -106,7 +106,7 @@
         let limits = Arc::clone(&limits);
         let handler = handler.clone();
         smol::spawn(async move {
-            let crowded = guard.count() > limits.connections;
+            let crowded = guard.count() > limits.max_connections;
             // A broken connection has nobody left to tell.
             serve_connection(stream, &limits, handler, crowded).await.ok();
         })
@@ -143,7 +143,7 @@
     crowded: bool,
 ) -> io::Result<()>
 where
-    Handler: Fn(ReceivedCall) -> Answering,
+    Handler: Fn(ReceivedRequest) -> Answering,
     Answering: Future<Output = Response>,
 {
     stream.set_nodelay(true)?;
@@ -158,13 +158,13 @@
             Err(code) => return refuse(stream, limits, code).await,
         };
         let bytes = std::mem::take(&mut buffered);
-        let replay = ReplayStream::new(bytes, end, facts.length, stream.clone());
-        let received = clocks::bounded(limits.arrival, receive(&replay, limits)).await;
+        let replay = MessageStream::new(bytes, end, facts.length, stream.clone());
+        let received = time_limits::timeout(limits.request_timeout, receive(&replay, limits)).await;
         let received = match received.unwrap_or(Err(codetable::SLOW_SENDER)) {
             Ok(received) => received,
             Err(code) => return refuse(stream, limits, code).await,
         };
-        buffered = replay.take_rest();
+        buffered = replay.take_leftover();
         let method = received.request.method();
         // async-h1 gives no end of a chunked request, so what follows it is not trusted.
         let close = facts.close || facts.length == BodyLength::Chunked;
@@ -188,11 +188,11 @@
         if let Some(end) = scanners::scan_head_end(buffered) {
             return Ok(Some(check_head(&buffered[..end], limits).map(|facts| (end, facts))));
         }
-        if buffered.len() > limits.head {
+        if buffered.len() > limits.max_head {
             return Ok(Some(Err(codetable::HEAD_TOO_LARGE)));
         }
-        let bound = if buffered.is_empty() { limits.idle } else { limits.arrival };
-        match clocks::within(bound, reader.read(chunk)).await {
+        let bound = if buffered.is_empty() { limits.idle_timeout } else { limits.request_timeout };
+        match time_limits::io_timeout(bound, reader.read(chunk)).await {
             Ok(0) if buffered.is_empty() => return Ok(None),
             Ok(0) => return Ok(Some(Err(codetable::CUT_REQUEST))),
             Ok(count) => buffered.extend_from_slice(&chunk[..count]),
@@ -205,7 +205,7 @@
 }
 
 fn check_head(head: &[u8], limits: &ServerLimits) -> Result<HeadFacts, ResultCode> {
-    if head.len() > limits.head {
+    if head.len() > limits.max_head {
         return Err(codetable::HEAD_TOO_LARGE);
     }
     let facts = scanners::scan_head(head)?;
@@ -213,30 +213,39 @@
         return Err(codetable::MISSING_HOST);
     }
     match facts.length {
-        BodyLength::Exact(count) if count > limits.body as u64 => Err(codetable::BODY_TOO_LARGE),
+        BodyLength::Exact(count) if count > limits.max_body as u64 => {
+            Err(codetable::BODY_TOO_LARGE)
+        }
         _ => Ok(facts),
     }
 }
 
-async fn receive(replay: &ReplayStream, limits: &ServerLimits) -> Result<ReceivedCall, ResultCode> {
+async fn receive(
+    replay: &MessageStream,
+    limits: &ServerLimits,
+) -> Result<ReceivedRequest, ResultCode> {
     // Boxed, since the decoder's state is large and every wrapper would move it.
     let decoded = Box::pin(server::decode(replay.clone())).await;
     let Ok(Some((mut request, _))) = decoded else {
         return Err(codetable::BAD_REQUEST);
     };
     let mut body = Vec::new();
-    let mut reader = request.take_body().take(limits.body as u64 + 1);
+    let mut reader = request.take_body().take(limits.max_body as u64 + 1);
     if reader.read_to_end(&mut body).await.is_err() {
         return Err(codetable::CUT_REQUEST);
     }
-    if body.len() > limits.body {
+    if body.len() > limits.max_body {
         return Err(codetable::BODY_TOO_LARGE);
     }
-    if replay.is_whole() { Ok(ReceivedCall { request, body }) } else { Err(codetable::CUT_REQUEST) }
+    if replay.is_complete() {
+        Ok(ReceivedRequest { request, body })
+    } else {
+        Err(codetable::CUT_REQUEST)
+    }
 }
 
 async fn refuse(stream: TcpStream, limits: &ServerLimits, code: ResultCode) -> io::Result<()> {
-    let response = replies::refusal(&RefusalNote::new(code));
+    let response = responses::error(&ErrorDetails::new(code));
     write_answer(&stream, response, Method::Get, limits, true).await?;
     discard_input(stream).await;
     Ok(())
@@ -252,7 +261,7 @@
         while stream.read(&mut chunk).await? > 0 {}
         Ok(())
     };
-    clocks::within(LINGER, reading).await.ok();
+    time_limits::io_timeout(LINGER, reading).await.ok();
 }
 
 /// Runs the handler and writes its answer; false where the caller went away first.
@@ -304,6 +313,6 @@
         if count == 0 {
             return Ok(());
         }
-        clocks::within(limits.write, writer.write_all(&chunk[..count])).await?;
+        time_limits::io_timeout(limits.write_timeout, writer.write_all(&chunk[..count])).await?;
     }
 }
--- a/toucanrail-wire/src/replays.rs
+++ b/toucanrail-wire/src/message_streams.rs
@@ -14,13 +14,13 @@
 /// Guards against a cut message that passes as whole: `async-h1` reports a clean end when the
 /// peer closes early, so this stream fails with `UnexpectedEof` unless the body has fully passed.
 #[derive(Debug, Clone)]
-pub struct ReplayStream {
-    state: Arc<Mutex<ReplayState>>,
+pub struct MessageStream {
+    state: Arc<Mutex<MessageState>>,
     stream: TcpStream,
 }
 
 #[derive(Debug)]
-struct ReplayState {
+struct MessageState {
     prefix: Vec<u8>,
     at: usize,
     head: usize,
@@ -60,7 +60,7 @@
     }
 }
 
-impl ReplayStream {
+impl MessageStream {
     /// Makes a stream over a head of `head` bytes at the start of `prefix`, which may hold the
     /// first bytes of the body too.
     pub fn new(prefix: Vec<u8>, head: usize, length: BodyLength, stream: TcpStream) -> Self {
@@ -69,28 +69,28 @@
             BodyLength::Exact(count) => BodyState::Exact(count),
             BodyLength::Chunked => BodyState::Chunked(ChunkScanner::new()),
         };
-        let state = ReplayState { prefix, at: 0, head, body };
+        let state = MessageState { prefix, at: 0, head, body };
         Self { state: Arc::new(Mutex::new(state)), stream }
     }
 
     /// Tells whether the whole body has passed.
-    pub fn is_whole(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.lock().body.is_done()
     }
 
     /// Returns the bytes received behind the message.
-    pub fn take_rest(&self) -> Vec<u8> {
+    pub fn take_leftover(&self) -> Vec<u8> {
         let mut state = self.lock();
         let at = state.at;
         state.prefix.split_off(at)
     }
 
-    fn lock(&self) -> MutexGuard<'_, ReplayState> {
+    fn lock(&self) -> MutexGuard<'_, MessageState> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-impl ReplayState {
+impl MessageState {
     fn copy_prefix(&mut self, buffer: &mut [u8]) -> usize {
         let wanted = buffer.len().min(self.prefix.len() - self.at);
         let from = self.at;
@@ -106,7 +106,7 @@
     }
 }
 
-impl AsyncRead for ReplayStream {
+impl AsyncRead for MessageStream {
     fn poll_read(
         self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -136,7 +136,7 @@
     }
 }
 
-impl AsyncWrite for ReplayStream {
+impl AsyncWrite for MessageStream {
     fn poll_write(
         self: Pin<&mut Self>,
         context: &mut Context<'_>,
--- a/toucanrail-wire/src/replies.rs
+++ b/toucanrail-wire/src/responses.rs
@@ -17,7 +17,7 @@
 
 /// A refusal, as it goes to a caller.
 #[derive(Debug, Clone)]
-pub struct RefusalNote {
+pub struct ErrorDetails {
     /// The numbered result.
     pub code: ResultCode,
     /// Whether the request ran.
@@ -30,13 +30,13 @@
     pub field: Option<&'static str>,
 }
 
-impl RefusalNote {
+impl ErrorDetails {
     /// Makes a refusal as the code's row of the table has it.
     ///
     /// # Examples
     /// ```
     /// use toucanrail::codetable;
-    /// let note = toucanrail_wire::replies::RefusalNote::new(codetable::OVERLOADED);
+    /// let note = toucanrail_wire::responses::ErrorDetails::new(codetable::OVERLOADED);
     /// assert_eq!(note.run, toucanrail::codes::RunState::NotRun);
     /// ```
     pub fn new(code: ResultCode) -> Self {
@@ -123,7 +123,7 @@
 }
 
 /// Makes an answer of `rmp-serde`, the codec between the system's own processes.
-pub fn message<Value>(value: &Value) -> Response
+pub fn msgpack<Value>(value: &Value) -> Response
 where
     Value: Serialize,
 {
@@ -141,12 +141,12 @@
 }
 
 /// Returns the body of a refusal: a JSON error in the callers' usual form.
-pub fn refusal_body(note: &RefusalNote) -> Vec<u8> {
+pub fn error_body(note: &ErrorDetails) -> Vec<u8> {
     // Only maps with keys other than text can fail here.
-    serde_json::to_vec(&refusal_envelope(note)).unwrap_or_default()
+    serde_json::to_vec(&error_envelope(note)).unwrap_or_default()
 }
 
-fn refusal_envelope(note: &RefusalNote) -> ErrorEnvelope {
+fn error_envelope(note: &ErrorDetails) -> ErrorEnvelope {
     let row = note.code.row();
     let message = if note.detail.is_empty() {
         row.text.to_owned()
@@ -166,9 +166,9 @@
 
 /// Makes the answer of a refusal: a JSON error in the callers' usual form, and the headers that
 /// say the result, the run and when to come back.
-pub fn refusal(note: &RefusalNote) -> Response {
+pub fn error(note: &ErrorDetails) -> Response {
     let row = note.code.row();
-    let mut response = json(row.status, &refusal_envelope(note));
+    let mut response = json(row.status, &error_envelope(note));
     response.insert_header(RESULT_HEADER, row.number.to_string());
     response.insert_header(RUN_HEADER, note.run.as_str());
     if let Some(wait) = note.retry_after {
--- a/toucanrail-wire/src/calling.rs
+++ b/toucanrail-wire/src/rpc.rs
@@ -7,8 +7,8 @@
 use toucanrail::framing::BodyFramer;
 use toucanrail::scanners::BodyLength;
 
-use crate::channels::BufferedChannel;
-use crate::heads::{AnswerHead, RequestHead};
+use crate::connections::BufferedConnection;
+use crate::heads::{RequestHead, ResponseHead};
 
 /// Largest head and body of such a message.
 const HEAD_LIMIT: usize = 4 * 1024;
@@ -16,7 +16,7 @@
 
 /// Makes one call.
 pub async fn call<Order, Reply>(
-    channel: &mut BufferedChannel,
+    channel: &mut BufferedConnection,
     path: &str,
     order: &Order,
 ) -> io::Result<Reply>
@@ -31,7 +31,7 @@
     bytes.extend_from_slice(&body);
     channel.writer().write_all(&bytes).await?;
     let bytes = channel.read_head(HEAD_LIMIT).await?.ok_or(io::ErrorKind::UnexpectedEof)?;
-    let head = AnswerHead::parse(&bytes).map_err(|_| io::ErrorKind::InvalidData)?;
+    let head = ResponseHead::parse(&bytes).map_err(|_| io::ErrorKind::InvalidData)?;
     if head.status != 200 {
         return Err(io::ErrorKind::InvalidData.into());
     }
@@ -40,7 +40,7 @@
 
 /// Reads one call; none at the end of the connection.
 pub async fn read_call(
-    channel: &mut BufferedChannel,
+    channel: &mut BufferedConnection,
 ) -> io::Result<Option<(RequestHead, Vec<u8>)>> {
     let Some(bytes) = channel.read_head(HEAD_LIMIT).await? else {
         return Ok(None);
@@ -51,7 +51,7 @@
 }
 
 /// Answers one call.
-pub async fn reply<Reply>(channel: &BufferedChannel, reply: &Reply) -> io::Result<()>
+pub async fn reply<Reply>(channel: &BufferedConnection, reply: &Reply) -> io::Result<()>
 where
     Reply: Serialize,
 {
@@ -70,7 +70,7 @@
     rmp_serde::from_slice(body).map_err(io::Error::other)
 }
 
-async fn read_body(channel: &mut BufferedChannel, length: BodyLength) -> io::Result<Vec<u8>> {
+async fn read_body(channel: &mut BufferedConnection, length: BodyLength) -> io::Result<Vec<u8>> {
     let mut framer = BodyFramer::of_request(length);
     let mut body = Vec::new();
     loop {
--- a/toucanrail-wire/src/stores.rs
+++ b/toucanrail-wire/src/stores.rs
@@ -12,7 +12,7 @@
 use toucanrail::messages::{MirrorObject, MirrorReply};
 use toucanrail::storecalls::{StoreCall, StoreReply, WriteExpectation};
 
-use crate::clients::{ClientLimits, ConnectionPool, OutboundCall, WholeAnswer};
+use crate::clients::{ClientLimits, CompleteResponse, ConnectionPool, OutboundRequest};
 
 /// Longest wait for an answer of the object API before its effect counts as unknown.
 const CALL_BOUND: Duration = Duration::from_secs(1);
@@ -82,7 +82,7 @@
 impl HttpStore {
     /// Makes a client of the object API at an address.
     pub fn new(address: SocketAddr) -> Self {
-        let limits = ClientLimits { connect: CALL_BOUND, ..ClientLimits::default() };
+        let limits = ClientLimits { connect_timeout: CALL_BOUND, ..ClientLimits::default() };
         let pool = ConnectionPool::new(limits);
         Self { address, pool, reads: Arc::default(), writes: Arc::default() }
     }
@@ -92,7 +92,7 @@
         (self.reads.load(Ordering::Relaxed), self.writes.load(Ordering::Relaxed))
     }
 
-    async fn fetch(&self, call: OutboundCall, bound: Duration) -> io::Result<WholeAnswer> {
+    async fn fetch(&self, call: OutboundRequest, bound: Duration) -> io::Result<CompleteResponse> {
         match call.method {
             Method::Put => self.writes.fetch_add(1, Ordering::Relaxed),
             _ => self.reads.fetch_add(1, Ordering::Relaxed),
@@ -100,13 +100,13 @@
         let answer = self.pool.fetch(self.address, call, bound).await;
         if answer.is_err() {
             // One silent connection speaks for the others that idle beside it.
-            self.pool.forget(self.address);
+            self.pool.evict(self.address);
         }
         answer
     }
 
     async fn list_once(&self, kind: &str, after: Version) -> Option<MirrorReply> {
-        let call = OutboundCall::get(format!("/v1/list/{kind}?after={after}"));
+        let call = OutboundRequest::get(format!("/v1/list/{kind}?after={after}"));
         let answer = self.fetch(call, CALL_BOUND).await.ok()?;
         let body: ListBody = serde_json::from_slice(&answer.body).ok()?;
         let objects = body.objects.into_iter().map(|object| MirrorObject {
@@ -118,11 +118,11 @@
     }
 }
 
-fn outbound(call: &StoreCall) -> OutboundCall {
+fn outbound(call: &StoreCall) -> OutboundRequest {
     match call {
-        StoreCall::Get { path } => OutboundCall::get(format!("/v1/objects/{path}")),
+        StoreCall::Get { path } => OutboundRequest::get(format!("/v1/objects/{path}")),
         StoreCall::Put { path, expect, value } => {
-            let call = OutboundCall::new(Method::Put, format!("/v1/objects/{path}"));
+            let call = OutboundRequest::new(Method::Put, format!("/v1/objects/{path}"));
             let mut call = match expect {
                 WriteExpectation::Absent => call.field("if-none-match", "*"),
                 WriteExpectation::At(version) => call.field("if-match", format!("\"{version}\"")),
@@ -133,7 +133,7 @@
     }
 }
 
-fn read_reply(call: &StoreCall, answer: WholeAnswer) -> StoreReply {
+fn read_reply(call: &StoreCall, answer: CompleteResponse) -> StoreReply {
     let tag = answer.field("etag").map(|tag| tag.trim_matches('"'));
     let version = tag.and_then(|tag| tag.parse().ok());
     match (call, answer.status, version) {
@@ -153,7 +153,7 @@
         let answer = match (first, call) {
             // A read may go again at once, on a fresh connection.
             (Err(_), StoreCall::Get { .. }) => {
-                self.fetch(outbound(call).on_fresh(), CALL_BOUND).await
+                self.fetch(outbound(call).on_new_connection(), CALL_BOUND).await
             }
             (first, _) => first,
         };
@@ -166,13 +166,13 @@
 
     async fn watch(&self, kind: &str, after: Version, wait: Duration) -> bool {
         let millis = wait.as_millis();
-        let call = OutboundCall::get(format!("/v1/watch/{kind}?after={after}&wait={millis}"));
+        let call = OutboundRequest::get(format!("/v1/watch/{kind}?after={after}&wait={millis}"));
         let answer = self.fetch(call, wait + WATCH_SLACK).await;
         answer.is_ok_and(|answer| answer.status == 200)
     }
 
     async fn list_vms(&self) -> Option<Vec<VmRow>> {
-        let answer = self.fetch(OutboundCall::get("/v1/vms"), CALL_BOUND).await.ok()?;
+        let answer = self.fetch(OutboundRequest::get("/v1/vms"), CALL_BOUND).await.ok()?;
         serde_json::from_slice(&answer.body).ok()
     }
 }
--- a/toucanrail-wire/src/clocks.rs
+++ b/toucanrail-wire/src/time_limits.rs
@@ -10,13 +10,13 @@
 /// # Examples
 /// ```
 /// use std::time::Duration;
-/// let waited = smol::block_on(toucanrail_wire::clocks::within(
+/// let waited = smol::block_on(toucanrail_wire::time_limits::io_timeout(
 ///     Duration::from_millis(1),
 ///     std::future::pending::<std::io::Result<()>>(),
 /// ));
 /// assert_eq!(waited.unwrap_err().kind(), std::io::ErrorKind::TimedOut);
 /// ```
-pub async fn within<Value, Work>(bound: Duration, work: Work) -> io::Result<Value>
+pub async fn io_timeout<Value, Work>(bound: Duration, work: Work) -> io::Result<Value>
 where
     Work: Future<Output = io::Result<Value>>,
 {
@@ -28,7 +28,7 @@
 }
 
 /// Waits for any future at most `bound`.
-pub async fn bounded<Value, Work>(bound: Duration, work: Work) -> Option<Value>
+pub async fn timeout<Value, Work>(bound: Duration, work: Work) -> Option<Value>
 where
     Work: Future<Output = Value>,
 {
--- a/toucanrail-wire/tests/http_edges.rs
+++ b/toucanrail-wire/tests/http_edges.rs
@@ -10,9 +10,9 @@
 
 use smol::io::{AsyncReadExt, AsyncWriteExt};
 use smol::net::{TcpListener, TcpStream};
-use toucanrail_wire::clients::{ClientLimits, ConnectionPool, OutboundCall};
+use toucanrail_wire::clients::{ClientLimits, ConnectionPool, OutboundRequest};
 use toucanrail_wire::listeners::{self, ServerLimits};
-use toucanrail_wire::{pipes, replies};
+use toucanrail_wire::{pipes, responses};
 
 const BOUND: Duration = Duration::from_secs(10);
 
@@ -22,10 +22,10 @@
     let address = listener.local_addr().unwrap();
     let handled = Arc::new(AtomicUsize::new(0));
     let count = Arc::clone(&handled);
-    let answer = move |call: listeners::ReceivedCall| {
+    let answer = move |call: listeners::ReceivedRequest| {
         count.fetch_add(1, Ordering::SeqCst);
         let text = format!("{} {}", call.path(), call.body.len());
-        async move { replies::text(200, text) }
+        async move { responses::text(200, text) }
     };
     smol::spawn(listeners::serve(listener, limits, answer)).detach();
     (address, handled)
@@ -110,8 +110,8 @@
 #[test]
 fn slow_sender() {
     smol::block_on(async {
-        let arrival = Duration::from_millis(50);
-        let limits = ServerLimits { arrival, ..ServerLimits::default() };
+        let request_timeout = Duration::from_millis(50);
+        let limits = ServerLimits { request_timeout, ..ServerLimits::default() };
         let (address, handled) = echo_server(limits);
         let head = b"POST / HTTP/1.1\r\nHost: a\r\nContent-Le";
         assert!(exchange(address, head, false).await.starts_with("HTTP/1.1 408"));
@@ -124,7 +124,8 @@
 #[test]
 fn crowded_server() {
     smol::block_on(async {
-        let (address, _) = echo_server(ServerLimits { connections: 1, ..ServerLimits::default() });
+        let (address, _) =
+            echo_server(ServerLimits { max_connections: 1, ..ServerLimits::default() });
         let mut first = TcpStream::connect(address).await.unwrap();
         let request = b"GET / HTTP/1.1\r\nHost: a\r\n\r\n";
         first.write_all(request).await.unwrap();
@@ -157,11 +158,11 @@
             let (writer, body) = pipes::make_pipe();
             writer.send(b"part".to_vec()).await;
             drop(writer);
-            replies::stream(200, body)
+            responses::stream(200, body)
         };
         smol::spawn(listeners::serve(listener, ServerLimits::default(), handler)).detach();
         let pool = ConnectionPool::new(ClientLimits::default());
-        let answer = pool.fetch(address, OutboundCall::get("/"), BOUND).await;
+        let answer = pool.fetch(address, OutboundRequest::get("/"), BOUND).await;
         assert_eq!(answer.unwrap_err().kind(), std::io::ErrorKind::UnexpectedEof);
     });
 }
@@ -194,7 +195,7 @@
 async fn check_failed(bytes: &'static [u8]) {
     let (address, _) = fixed_server(bytes, true).await;
     let pool = ConnectionPool::new(ClientLimits::default());
-    let answer = pool.fetch(address, OutboundCall::get("/"), BOUND).await;
+    let answer = pool.fetch(address, OutboundRequest::get("/"), BOUND).await;
     assert!(answer.is_err(), "{:?}", answer.unwrap().body);
 }
 
@@ -227,7 +228,7 @@
     let (address, connections) = fixed_server(bytes, false).await;
     let pool = ConnectionPool::new(ClientLimits::default());
     for _ in 0..3 {
-        let answer = pool.fetch(address, OutboundCall::get("/"), BOUND).await.unwrap();
+        let answer = pool.fetch(address, OutboundRequest::get("/"), BOUND).await.unwrap();
         assert_eq!(answer.body, b"ab");
     }
     connections.load(Ordering::SeqCst)
@@ -268,7 +269,7 @@
         let (address, _) = fixed_server(b"", false).await;
         let pool = ConnectionPool::new(ClientLimits::default());
         let bound = Duration::from_millis(50);
-        let answer = pool.fetch(address, OutboundCall::get("/"), bound).await;
+        let answer = pool.fetch(address, OutboundRequest::get("/"), bound).await;
         assert_eq!(answer.unwrap_err().kind(), std::io::ErrorKind::TimedOut);
     });
 }
--- a/toucanrail-wire/tests/pool_interleavings.rs
+++ b/toucanrail-wire/tests/pool_interleavings.rs
@@ -8,9 +8,9 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
-use toucanrail_wire::clients::{ClientLimits, ConnectionPool, OutboundCall};
-use toucanrail_wire::listeners::{self, ReceivedCall, ServerLimits};
-use toucanrail_wire::{pipes, replies};
+use toucanrail_wire::clients::{ClientLimits, ConnectionPool, OutboundRequest};
+use toucanrail_wire::listeners::{self, ReceivedRequest, ServerLimits};
+use toucanrail_wire::{pipes, responses};
 
 const BOUND: Duration = Duration::from_secs(20);
 const CASES: u32 = 120;
@@ -47,11 +47,11 @@
     (0..chunks).flat_map(|at| chunk_of(id, at)).collect()
 }
 
-async fn answer(call: ReceivedCall) -> http_types::Response {
+async fn answer(call: ReceivedRequest) -> http_types::Response {
     let number = |name: &str| call.query(name).unwrap().parse::<usize>().unwrap();
     let (id, chunks, dies) = (number("id"), number("chunks"), number("dies"));
     if call.query("sized").unwrap() == "true" {
-        return replies::bytes(200, answer_of(id, chunks));
+        return responses::bytes(200, answer_of(id, chunks));
     }
     let (writer, body) = pipes::make_pipe();
     smol::spawn(async move {
@@ -66,7 +66,7 @@
         }
     })
     .detach();
-    replies::stream(200, body)
+    responses::stream(200, body)
 }
 
 /// Makes one exchange and tells what is wrong with it, if anything.
@@ -78,12 +78,12 @@
 ) -> Result<(), String> {
     let Exchange { chunks, dies_after, leaves_after, sized } = plan;
     let path = format!("/?id={id}&chunks={chunks}&dies={dies_after}&sized={sized}");
-    let mut answer = pool.open(address, OutboundCall::get(path), BOUND).await.unwrap();
+    let mut answer = pool.open(address, OutboundRequest::get(path), BOUND).await.unwrap();
     let mut body = Vec::new();
     for _ in 0..leaves_after.max(1) {
         match answer.read_chunk(BOUND).await {
             Ok(chunk) if chunk.is_empty() => {
-                answer.close_whole();
+                answer.release();
                 let right = body == answer_of(id, chunks);
                 return if right { Ok(()) } else { Err(format!("{id} got other bytes")) };
             }
