--- a/toucanrail-daemons/src/attempts.rs
+++ b/toucanrail-daemons/src/attempts.rs
@@ -14,8 +14,8 @@
     AgentReply, HeaderField, QueryMode, RunQuery, RunReport, StoredResponse,
 };
 use toucanrail::messages::{RunCommand, RunFrame};
-use toucanrail_wire::clients::{OpenAnswer, OpenFailure};
-use toucanrail_wire::clocks;
+use toucanrail_wire::clients::{RequestError, StreamingResponse};
+use toucanrail_wire::time_limits;
 
 use crate::fleets::routes;
 use crate::reclaiming;
@@ -127,20 +127,21 @@
             Ok(end) => return end,
             Err(fault) => fault,
         },
-        Some(Err(OpenFailure::NotSent(error))) => {
+        Some(Err(RequestError::NotSent(error))) => {
             tracing::debug!(%error, agent = %target.agent, "agent not reached");
             let code = codetable::NO_BACKEND_SERVER;
             return AttemptEnd::NotRun { code, retry_after: Duration::from_secs(1) };
         }
-        Some(Err(OpenFailure::Sent(error))) if error.kind() == io::ErrorKind::TimedOut => {
+        Some(Err(RequestError::MaybeSent(error))) if error.kind() == io::ErrorKind::TimedOut => {
             FrameFault::Silent
         }
-        Some(Err(OpenFailure::Sent(_))) => FrameFault::Cut,
+        Some(Err(RequestError::MaybeSent(_))) => FrameFault::Cut,
         None => FrameFault::Gone,
     };
     // One lost connection speaks for those that idle beside it.
     entry.client.forget(target.address);
-    let waited = clocks::bounded(FATE_WAIT, find_fate(entry, target, &order.run, order.hold)).await;
+    let waited =
+        time_limits::timeout(FATE_WAIT, find_fate(entry, target, &order.run, order.hold)).await;
     match waited {
         Some(AttemptEnd::Lost { used, unproved, answer, .. }) => {
             AttemptEnd::Lost { code: fault.code(), used, unproved, answer }
@@ -155,7 +156,7 @@
     entry: &Arc<Entry>,
     target: &AttemptTarget,
     order: &RunCommand,
-    mut answer: OpenAnswer,
+    mut answer: StreamingResponse,
     sink: &mut Sink,
     started: Instant,
 ) -> Result<AttemptEnd, FrameFault>
@@ -230,9 +231,9 @@
 }
 
 /// Reads the end of the last chunk, so that the connection can be used again.
-async fn finish_reading(mut answer: OpenAnswer) {
+async fn finish_reading(mut answer: StreamingResponse) {
     if answer.read_chunk(ASK_BOUND).await.is_ok_and(|bytes| bytes.is_empty()) {
-        answer.close_whole();
+        answer.release();
     }
 }
 
--- a/toucanrail-gateway/src/change_feed.rs
+++ b/toucanrail-gateway/src/change_feed.rs
@@ -11,7 +11,7 @@
 use toucanrail::boards::BoardTable;
 use toucanrail::messages::{ChangesQuery, ChangesReply};
 use toucanrail_platform::names;
-use toucanrail_platform::stores::{ListFreshness, StoreFailure};
+use toucanrail_platform::stores::{ListFreshness, StoreError};
 
 use crate::store_access::StoreAccess;
 
@@ -128,7 +128,7 @@
             Ok(true) => {
                 board.changed.notify(usize::MAX);
             }
-            Err(StoreFailure::Forgotten) => {
+            Err(StoreError::HistoryExpired) => {
                 board.clear();
             }
             Err(failure) => {
@@ -146,7 +146,7 @@
 }
 
 /// Lists the kind, or waits for its next changes. Returns whether there are any.
-async fn step(store: &StoreAccess, kind: &str, board: &KindBoard) -> Result<bool, StoreFailure> {
+async fn step(store: &StoreAccess, kind: &str, board: &KindBoard) -> Result<bool, StoreError> {
     let KindBoard { wait, table, .. } = board;
     let known = table.borrow().revision();
     let Some(revision) = known else {
--- a/toucanrail-gateway/src/dispatching.rs
+++ b/toucanrail-gateway/src/dispatching.rs
@@ -14,7 +14,7 @@
 use toucanrail::placement::{self, PlacementQuery};
 use toucanrail::probes::{self, ProbeRow};
 use toucanrail::retry_delays::{self, RefusalCause};
-use toucanrail_wire::clocks;
+use toucanrail_wire::time_limits;
 
 use crate::liveness;
 use crate::loan_client::BudgetGuard;
@@ -162,7 +162,7 @@
         PlacementQuery {
             data_centre: &self.gateway.settings.data_centre,
             parts: prompt.map_or(&[], |prompt| &prompt.parts),
-            prompt: prompt.map_or(0, |prompt| prompt.prompt),
+            prompt: prompt.map_or(0, |prompt| prompt.prompt_tokens),
             now: self.gateway.now(),
             random: fastrand::f64(),
         }
@@ -194,7 +194,8 @@
         let Some(prompt) = &self.plan.facts.prompt else {
             return Vec::new();
         };
-        if !probes::is_long(prompt.prompt) && !self.gateway.should_probe(&self.plan.service) {
+        if !probes::is_long(prompt.prompt_tokens) && !self.gateway.should_probe(&self.plan.service)
+        {
             return Vec::new();
         }
         let query = self.placement_query();
@@ -208,7 +209,7 @@
             let gateway = Rc::clone(self.gateway);
             self.gateway.executor.spawn(async move {
                 let fetching = liveness::fetch_load(&gateway, &entry);
-                let report = clocks::bounded(PROBE_TIMEOUT, fetching).await.flatten();
+                let report = time_limits::timeout(PROBE_TIMEOUT, fetching).await.flatten();
                 (entry, report)
             })
         });
@@ -350,7 +351,7 @@
             run = self.tally.run_state().as_str(), sent = self.tally.sent, tried = ?self.tried,
             first_ms = first.as_millis() as u64,
             pause_ms = self.stream.longest_pause.as_millis() as u64,
-            prompt = self.plan.facts.prompt.as_ref().map(|prompt| prompt.prompt),
+            prompt = self.plan.facts.prompt.as_ref().map(|prompt| prompt.prompt_tokens),
             took_ms = Instant::now().duration_since(self.plan.arrived).as_millis() as u64,
             used = self.plan.budget.as_ref().map(BudgetGuard::used),
         );
--- a/toucanrail-gateway/src/grant_manager.rs
+++ b/toucanrail-gateway/src/grant_manager.rs
@@ -18,7 +18,7 @@
 use toucanrail::syncs::{SyncMachine, SyncOutcome};
 use toucanrail::{paths, policies};
 use toucanrail_daemons::observing::MetricBoard;
-use toucanrail_wire::clocks;
+use toucanrail_wire::time_limits;
 
 use crate::store_access::StoreAccess;
 use crate::tuning::GatewayTuning;
@@ -153,7 +153,7 @@
         }
         self.grants.borrow_mut().begin_wait(customer, amount);
         let waiting =
-            clocks::bounded(GRANT_WAIT.min(time_left / 4), self.wait_hold(customer, amount));
+            time_limits::timeout(GRANT_WAIT.min(time_left / 4), self.wait_hold(customer, amount));
         let waited = waiting.await;
         self.grants.borrow_mut().end_wait(customer, amount);
         let acquired = waited.unwrap_or(Err(HoldFailure::Short));
@@ -360,7 +360,7 @@
             task.await;
         }
     };
-    if clocks::bounded(LEAVE_TIMEOUT, leaving).await.is_none() {
+    if time_limits::timeout(LEAVE_TIMEOUT, leaving).await.is_none() {
         tracing::warn!(event = "left_unsettled");
     }
 }
--- a/toucanrail-gateway/src/relay_api.rs
+++ b/toucanrail-gateway/src/relay_api.rs
@@ -12,9 +12,9 @@
 use smol::{Async, LocalExecutor};
 use toucanrail::coldstarts::{PermitReply, PermitRequest, PermitTable};
 use toucanrail::loans::{LoanEnd, LoanReply, LoanRequest, LoanTable};
-use toucanrail_wire::calling;
-use toucanrail_wire::channels::BufferedChannel;
-use toucanrail_wire::clocks;
+use toucanrail_wire::connections::BufferedConnection;
+use toucanrail_wire::rpc;
+use toucanrail_wire::time_limits;
 
 use crate::change_feed::{CHANGES_PATH, ChangeFeed};
 use crate::grant_manager::{self, GrantManager, HoldFailure};
@@ -72,32 +72,32 @@
 }
 
 async fn serve_entry(api: &RelayApi, socket: Async<TcpStream>) -> io::Result<()> {
-    let mut channel = BufferedChannel::new(socket)?;
-    while let Some((head, body)) = calling::read_call(&mut channel).await? {
+    let mut channel = BufferedConnection::new(socket)?;
+    while let Some((head, body)) = rpc::read_call(&mut channel).await? {
         match head.path() {
             LOAN_PATH => {
-                let request = calling::decode(&body)?;
-                calling::reply(&channel, &open_loan(api, &request).await).await?;
+                let request = rpc::decode(&body)?;
+                rpc::reply(&channel, &open_loan(api, &request).await).await?;
             }
             LOAN_END_PATH => {
-                end_loans(api, calling::decode(&body)?);
-                calling::reply(&channel, &true).await?;
+                end_loans(api, rpc::decode(&body)?);
+                rpc::reply(&channel, &true).await?;
             }
             CHANGES_PATH => {
-                let query = calling::decode(&body)?;
-                calling::reply(&channel, &api.change_feed.answer(&query).await).await?;
+                let query = rpc::decode(&body)?;
+                rpc::reply(&channel, &api.change_feed.answer(&query).await).await?;
             }
-            ALIVE_PATH => calling::reply(&channel, &true).await?,
+            ALIVE_PATH => rpc::reply(&channel, &true).await?,
             PERMIT_PATH => {
-                let request = calling::decode(&body)?;
-                calling::reply(&channel, &grant_permit(api, &request)).await?;
+                let request = rpc::decode(&body)?;
+                rpc::reply(&channel, &grant_permit(api, &request)).await?;
             }
             REPORT_PATH => {
                 let report = match &api.report_client {
                     Some(report_client) => report_client.try_fetch().await,
                     None => None,
                 };
-                calling::reply(&channel, &report).await?;
+                rpc::reply(&channel, &report).await?;
             }
             _ => return Err(io::ErrorKind::InvalidData.into()),
         }
@@ -162,7 +162,7 @@
             smol::Timer::after(DRAIN_CHECK_INTERVAL).await;
         }
     };
-    if clocks::bounded(timeout, ending).await.is_none() {
+    if time_limits::timeout(timeout, ending).await.is_none() {
         tracing::warn!(event = "loans_left", loans = api.loans.borrow().len());
     }
 }
--- a/toucanrail-gateway/src/report_client.rs
+++ b/toucanrail-gateway/src/report_client.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use toucanrail::paces::BackendReport;
-use toucanrail_platform::stores::{StoreClient, StoreFailure};
+use toucanrail_platform::stores::{StoreClient, StoreError};
 
 /// Timeout of a report call; the server is on the same VM.
 const REPORT_TIMEOUT: Duration = Duration::from_millis(500);
@@ -25,8 +25,8 @@
     }
 
     /// Fetches a report.
-    pub async fn fetch(&self) -> Result<BackendReport, StoreFailure> {
-        self.client.read_report(self.server, REPORT_TIMEOUT).await
+    pub async fn fetch(&self) -> Result<BackendReport, StoreError> {
+        self.client.fetch_report(self.server, REPORT_TIMEOUT).await
     }
 
     /// Fetches a report, or returns `None` if the server does not answer with one.
--- a/toucanrail-gateway/src/store_access.rs
+++ b/toucanrail-gateway/src/store_access.rs
@@ -16,7 +16,7 @@
 use toucanrail_daemons::starting::ProcessClock;
 use toucanrail_platform::names;
 use toucanrail_platform::stores::{
-    KindListing, ListFreshness, StoreClient, StoreFailure, WatchedChanges,
+    KindListing, ListFreshness, StoreClient, StoreError, WatchedChanges,
 };
 
 /// Kind of the relays' entries in the store.
@@ -170,7 +170,7 @@
         kind: &str,
         freshness: ListFreshness,
         timeout: Duration,
-    ) -> Result<KindListing, StoreFailure> {
+    ) -> Result<KindListing, StoreError> {
         let (endpoint, address) = self.endpoints.borrow().current();
         let listing = self.client.list_kind(address, kind, freshness, timeout).await;
         self.note_endpoint_result(&endpoint, &listing);
@@ -185,13 +185,13 @@
         after: Version,
         wait: Duration,
         slack: Duration,
-    ) -> Result<WatchedChanges, StoreFailure> {
+    ) -> Result<WatchedChanges, StoreError> {
         let changed = self.endpoint_changed.listen();
         let (endpoint, address) = self.endpoints.borrow().current();
         let watching = self.client.watch_kind(address, kind, after, wait, wait + slack);
         let changing = async {
             changed.await;
-            Err(StoreFailure::NoAnswer(io::ErrorKind::ConnectionAborted.into()))
+            Err(StoreError::NoResponse(io::ErrorKind::ConnectionAborted.into()))
         };
         let watched = watching.or(changing).await;
         self.note_endpoint_result(&endpoint, &watched);
@@ -201,9 +201,9 @@
     fn note_endpoint_result<Value>(
         &self,
         endpoint: &StoreEndpoint,
-        result: &Result<Value, StoreFailure>,
+        result: &Result<Value, StoreError>,
     ) {
-        if matches!(result, Err(StoreFailure::NoAnswer(_) | StoreFailure::Declined(_))) {
+        if matches!(result, Err(StoreError::NoResponse(_) | StoreError::UnexpectedStatus(_))) {
             self.note_failure(endpoint);
         }
     }
--- a/toucanrail-gateway/src/store_watch.rs
+++ b/toucanrail-gateway/src/store_watch.rs
@@ -10,7 +10,7 @@
 use toucanrail::boards::{self, OutageBackoff};
 use toucanrail::ids::Version;
 use toucanrail::messages::{ChangesQuery, ChangesReply, MirrorChange, MirrorObject};
-use toucanrail_platform::stores::{ListFreshness, StoreFailure};
+use toucanrail_platform::stores::{ListFreshness, StoreError};
 use toucanrail_platform::{configs, names, registrations};
 
 use crate::change_feed::CHANGES_PATH;
@@ -70,7 +70,7 @@
 
 /// Keeps the evacuations up to date, if the settings provide for them.
 pub async fn watch_evacuations(gateway: Rc<Gateway>) {
-    if gateway.settings.evacuation_bound.is_some() {
+    if gateway.settings.evacuation_deadline.is_some() {
         watch(gateway, EvacuationHandler { age: Duration::ZERO }).await;
     }
 }
@@ -85,10 +85,10 @@
         let expired = gateway.tables.borrow_mut().backends.drop_expired(now);
         for id in expired {
             tracing::info!(event = "server_gone", server = %id, reason = "lapsed");
-            gateway.channels.forget(&id);
+            gateway.channels.evict(&id);
         }
         gateway.tables.borrow_mut().backends.apply_paces(&gateway.store.server_paces());
-        gateway.channels.sweep();
+        gateway.channels.evict_expired();
         let tables = gateway.tables.borrow();
         gateway.load_reports.retain(|server| tables.backends.get(server).is_some());
         drop(tables);
@@ -123,7 +123,7 @@
                 pause = MIN_RETRY_PAUSE;
                 gateway.store.note_call(Handler::KIND, true);
             }
-            Err(StoreFailure::Forgotten) => {
+            Err(StoreError::HistoryExpired) => {
                 tracing::info!(event = "history_gone", kind = Handler::KIND);
                 state.revision = None;
             }
@@ -142,7 +142,7 @@
     gateway: &Gateway,
     handler: &mut Handler,
     state: &mut WatchState,
-) -> Result<Version, StoreFailure>
+) -> Result<Version, StoreError>
 where
     Handler: KindHandler,
 {
@@ -169,8 +169,8 @@
     }
 }
 
-fn no_answer() -> StoreFailure {
-    StoreFailure::NoAnswer(std::io::ErrorKind::TimedOut.into())
+fn no_answer() -> StoreError {
+    StoreError::NoResponse(std::io::ErrorKind::TimedOut.into())
 }
 
 /// Queries a store from which no board gets answers: it may reject the boards' VMs and still serve this one.
@@ -178,7 +178,7 @@
     gateway: &Gateway,
     kind: &str,
     state: &mut WatchState,
-) -> Result<ChangesReply, StoreFailure> {
+) -> Result<ChangesReply, StoreError> {
     if !state.outage.may_ask(gateway.now()) {
         return Err(no_answer());
     }
@@ -194,7 +194,7 @@
     gateway: &Gateway,
     kind: &str,
     revision: Option<Version>,
-) -> Result<ChangesReply, StoreFailure> {
+) -> Result<ChangesReply, StoreError> {
     let Some(revision) = revision else {
         let listing = gateway.store.list_kind(kind, ListFreshness::Latest, WATCH_WAIT).await?;
         let (objects, revision) = (listing.objects, listing.revision);
@@ -328,7 +328,7 @@
                     let restarted =
                         known.as_ref().is_some_and(|known| known.started_at != entry.started_at);
                     if restarted || entry.draining {
-                        gateway.channels.forget(&entry.id);
+                        gateway.channels.evict(&entry.id);
                     }
                 }
                 // The remaining cold time of an entry that a listing repeats was stated some time ago.
@@ -360,7 +360,7 @@
         let lapsed = since.is_some();
         tracing::info!(event = "server_missing", server = %id, lapsed);
         if !lapsed {
-            gateway.channels.forget(id);
+            gateway.channels.evict(id);
         }
     }
 }
