--- a/toucanrail-daemons/src/attempts.rs
+++ b/toucanrail-daemons/src/attempts.rs
@@ -10,10 +10,12 @@
 use toucanrail::codetable;
 use toucanrail::frames::FrameDecoder;
 use toucanrail::ids::{AgentId, RunId, Tokens};
-use toucanrail::messages::{AgentReply, AskMode, AskOrder, HeaderField, KeptAnswer, RunFate};
-use toucanrail::messages::{RunFrame, RunOrder};
-use toucanrail_wire::clients::{OpenAnswer, OpenFailure};
-use toucanrail_wire::clocks;
+use toucanrail::messages::{
+    AgentReply, HeaderField, QueryMode, RunQuery, RunReport, StoredResponse,
+};
+use toucanrail::messages::{RunCommand, RunFrame};
+use toucanrail_wire::clients::{RequestError, StreamingResponse};
+use toucanrail_wire::time_limits;
 
 use crate::fleets::routes;
 use crate::reclaiming;
@@ -63,7 +65,7 @@
         /// What it may have used besides.
         unproved: Tokens,
         /// The whole answer, where the agent kept it.
-        answer: Option<KeptAnswer>,
+        answer: Option<StoredResponse>,
     },
     /// The agent cannot say yet how it ended.
     Open {
@@ -105,7 +107,7 @@
 pub async fn run_attempt<Sink>(
     entry: &Arc<Entry>,
     target: &AttemptTarget,
-    order: &RunOrder,
+    order: &RunCommand,
     sink: &mut Sink,
 ) -> AttemptEnd
 where
@@ -125,20 +127,21 @@
             Ok(end) => return end,
             Err(fault) => fault,
         },
-        Some(Err(OpenFailure::NotSent(error))) => {
+        Some(Err(RequestError::NotSent(error))) => {
             tracing::debug!(%error, agent = %target.agent, "agent not reached");
             let code = codetable::NO_BACKEND_SERVER;
             return AttemptEnd::NotRun { code, retry_after: Duration::from_secs(1) };
         }
-        Some(Err(OpenFailure::Sent(error))) if error.kind() == io::ErrorKind::TimedOut => {
+        Some(Err(RequestError::MaybeSent(error))) if error.kind() == io::ErrorKind::TimedOut => {
             FrameFault::Silent
         }
-        Some(Err(OpenFailure::Sent(_))) => FrameFault::Cut,
+        Some(Err(RequestError::MaybeSent(_))) => FrameFault::Cut,
         None => FrameFault::Gone,
     };
     // One lost connection speaks for those that idle beside it.
     entry.client.forget(target.address);
-    let waited = clocks::bounded(FATE_WAIT, find_fate(entry, target, &order.run, order.hold)).await;
+    let waited =
+        time_limits::timeout(FATE_WAIT, find_fate(entry, target, &order.run, order.hold)).await;
     match waited {
         Some(AttemptEnd::Lost { used, unproved, answer, .. }) => {
             AttemptEnd::Lost { code: fault.code(), used, unproved, answer }
@@ -152,8 +155,8 @@
 async fn follow<Sink>(
     entry: &Arc<Entry>,
     target: &AttemptTarget,
-    order: &RunOrder,
-    mut answer: OpenAnswer,
+    order: &RunCommand,
+    mut answer: StreamingResponse,
     sink: &mut Sink,
     started: Instant,
 ) -> Result<AttemptEnd, FrameFault>
@@ -178,7 +181,7 @@
                     received += bytes.len() as u64;
                     if std::mem::take(&mut first) {
                         let now = entry.now();
-                        entry.lock().servers.note_first_token(
+                        entry.lock().servers.record_first_token(
                             &target.agent,
                             started.elapsed(),
                             now,
@@ -228,9 +231,9 @@
 }
 
 /// Reads the end of the last chunk, so that the connection can be used again.
-async fn finish_reading(mut answer: OpenAnswer) {
+async fn finish_reading(mut answer: StreamingResponse) {
     if answer.read_chunk(ASK_BOUND).await.is_ok_and(|bytes| bytes.is_empty()) {
-        answer.close_whole();
+        answer.release();
     }
 }
 
@@ -241,18 +244,18 @@
     run: &RunId,
     hold: Tokens,
 ) -> AttemptEnd {
-    let order = AskOrder { run: Arc::clone(run), mode: AskMode::Cancel };
+    let order = RunQuery { run: Arc::clone(run), mode: QueryMode::Cancel };
     loop {
         let reply: io::Result<AgentReply> =
             entry.client.send(target.address, routes::ASK, &order, ASK_BOUND).await;
         match reply {
             Ok(reply) if reply.agent != target.agent => return vanished(hold),
-            Ok(AgentReply { fate: Some(RunFate::NeverCame), .. }) => {
+            Ok(AgentReply { fate: Some(RunReport::NeverCame), .. }) => {
                 let code = codetable::VOIDED;
                 return AttemptEnd::NotRun { code, retry_after: Duration::from_secs(1) };
             }
             Ok(AgentReply {
-                fate: Some(RunFate::Ended { used, unproved, answer, .. }), ..
+                fate: Some(RunReport::Ended { used, unproved, answer, .. }), ..
             }) => {
                 let code = codetable::ANSWER_CUT;
                 return AttemptEnd::Lost { code, used, unproved, answer };
--- a/toucanrail-daemons/src/callers.rs
+++ b/toucanrail-daemons/src/callers.rs
@@ -11,8 +11,8 @@
 use toucanrail::messages::{HeaderField, UsageRule};
 use toucanrail::paths;
 use toucanrail::routing;
-use toucanrail_wire::listeners::ReceivedCall;
-use toucanrail_wire::replies::RefusalNote;
+use toucanrail_wire::listeners::ReceivedRequest;
+use toucanrail_wire::responses::ErrorDetails;
 
 use crate::running;
 
@@ -95,28 +95,29 @@
     }
 }
 
-type PlanResult<Value> = Result<Value, Box<RefusalNote>>;
+type PlanResult<Value> = Result<Value, Box<ErrorDetails>>;
 
 fn refuse<Value>(code: ResultCode, detail: &str) -> PlanResult<Value> {
-    Err(Box::new(RefusalNote::new(code).detail(detail)))
+    Err(Box::new(ErrorDetails::new(code).detail(detail)))
 }
 
 fn refuse_field<Value>(field: &'static str, detail: &str) -> PlanResult<Value> {
-    Err(Box::new(RefusalNote::new(codetable::BAD_REQUEST).field(field).detail(detail)))
+    Err(Box::new(ErrorDetails::new(codetable::BAD_REQUEST).field(field).detail(detail)))
 }
 
 /// Finds the customer of a call's bearer key.
 pub fn read_customer<'table>(
     table: &'table CatalogueTable,
-    call: &ReceivedCall,
+    call: &ReceivedRequest,
 ) -> PlanResult<&'table CustomerEntry> {
     let bearer = call.field("authorization").and_then(|value| value.strip_prefix("Bearer "));
-    let customer = bearer.and_then(|key| table.customer_of(&paths::hash_text(key.trim())));
+    let customer =
+        bearer.and_then(|key| table.customer_by_key_digest(&paths::hash_text(key.trim())));
     customer.map_or_else(|| refuse(codetable::UNKNOWN_KEY, ""), Ok)
 }
 
 /// Reads a call into a plan.
-pub fn read_plan(table: &CatalogueTable, call: &ReceivedCall) -> PlanResult<CallPlan> {
+pub fn read_plan(table: &CatalogueTable, call: &ReceivedRequest) -> PlanResult<CallPlan> {
     let customer = read_customer(table, call)?.clone();
     match call.path() {
         "/v1/chat/completions" | "/v1/completions" => read_completion(table, customer, call),
@@ -127,14 +128,14 @@
 fn read_completion(
     table: &CatalogueTable,
     customer: CustomerEntry,
-    call: &ReceivedCall,
+    call: &ReceivedRequest,
 ) -> PlanResult<CallPlan> {
     let fields: Result<Map<String, Value>, _> = serde_json::from_slice(&call.body);
     let Ok(mut fields) = fields else {
         return refuse(codetable::BAD_REQUEST, "The body is not a JSON object.");
     };
     let model = fields.get("model").and_then(Value::as_str).unwrap_or_default();
-    let Some(service) = table.service_of_model(model).filter(|found| may_use(&customer, found))
+    let Some(service) = table.service_by_model(model).filter(|found| may_use(&customer, found))
     else {
         return refuse(codetable::NO_SUCH_MODEL, "See GET /v1/models.");
     };
@@ -210,9 +211,9 @@
 fn read_plain(
     table: &CatalogueTable,
     customer: CustomerEntry,
-    call: &ReceivedCall,
+    call: &ReceivedRequest,
 ) -> PlanResult<CallPlan> {
-    let found = table.service_of_path(call.path()).filter(|found| may_use(&customer, found));
+    let found = table.service_by_path(call.path()).filter(|found| may_use(&customer, found));
     let Some(service) = found.filter(|found| found.kind == ServiceKind::Plain) else {
         return refuse(codetable::NO_SUCH_ROUTE, "");
     };
@@ -236,7 +237,7 @@
 fn base_plan(
     customer: CustomerEntry,
     service: ServiceEntry,
-    call: &ReceivedCall,
+    call: &ReceivedRequest,
     path: &str,
     body: CallBody,
 ) -> PlanResult<CallPlan> {
@@ -245,7 +246,7 @@
         return refuse(codetable::BAD_REQUEST, "The Idempotency-Key is too long.");
     }
     let request = match key {
-        Some(key) => paths::keyed_request(&customer.name, key),
+        Some(key) => paths::keyed_request_id(&customer.name, key),
         None => Arc::from(format!("{:032x}", fastrand::u128(..))),
     };
     let method: Arc<str> = Arc::from(call.request.method().as_ref());
@@ -275,7 +276,7 @@
     })
 }
 
-fn passed_fields(call: &ReceivedCall) -> Vec<HeaderField> {
+fn passed_fields(call: &ReceivedRequest) -> Vec<HeaderField> {
     let fields = call.request.iter().filter(|(name, _)| {
         let name = name.as_str();
         running::is_passed(name) && !OWN_FIELDS.contains(&name) && !name.starts_with("engine-")
--- a/toucanrail-daemons/src/inspecting.rs
+++ b/toucanrail-daemons/src/inspecting.rs
@@ -8,12 +8,12 @@
 use serde_json::Value;
 use toucanrail::budgets::{self, BillRow, BudgetError, BudgetShard};
 use toucanrail::ids::{CustomerId, RequestId, ShardName};
-use toucanrail::messages::EngineOrder;
+use toucanrail::messages::EngineCommand;
 use toucanrail::paths;
 use toucanrail::servers::{NodeEntry, NodeRole};
 use toucanrail::storecalls;
 use toucanrail::traces::TraceStep;
-use toucanrail_wire::clients::OutboundCall;
+use toucanrail_wire::clients::OutboundRequest;
 use toucanrail_wire::stores::ObjectStore;
 
 use crate::editing;
@@ -126,7 +126,7 @@
 }
 
 async fn fetch_json(tools: &OperatorTools, address: SocketAddr, path: &str) -> Option<Value> {
-    let answer = tools.pool.fetch(address, OutboundCall::get(path), CALL_BOUND).await.ok()?;
+    let answer = tools.pool.fetch(address, OutboundRequest::get(path), CALL_BOUND).await.ok()?;
     serde_json::from_slice(&answer.body).ok().filter(|_| answer.status == 200)
 }
 
@@ -181,7 +181,7 @@
 ) -> Outcome<String> {
     let client = FleetClient::new(&tools.fleet_key);
     let (action, subject) = (Arc::from(action), Arc::from(subject));
-    let order = EngineOrder { fence: tools.fence, action, subject };
+    let order = EngineCommand { fence: tools.fence, action, subject };
     let address = read_address(address)?;
     let done: std::io::Result<bool> = client.send(address, routes::ORDER, &order, CALL_BOUND).await;
     match done {
--- a/toucanrail-gateway/src/admitting.rs
+++ b/toucanrail-gateway/src/admitting.rs
@@ -8,9 +8,9 @@
 use toucanrail::admissions::AdmissionQuery;
 use toucanrail::codes::{ResultCode, RunState};
 use toucanrail::codetable;
-use toucanrail::matching::{CustomerFacts, RouteRule};
+use toucanrail::matching::{CustomerProfile, RouteRule};
 use toucanrail::retry_delays::{self, RefusalCause};
-use toucanrail_platform::requests::{self, RequestFacts};
+use toucanrail_platform::requests::{self, RequestInfo};
 use toucanrail_wire::heads::RequestHead;
 
 use crate::dispatching;
@@ -65,7 +65,7 @@
     match admit(gateway, head, body, arrived).await {
         Ok(plan) => dispatching::dispatch(gateway, &plan, writer).await,
         Err(refusal) => {
-            let facts = requests::read_request(head);
+            let facts = requests::parse_request(head);
             let version = gateway.tables.borrow().routes.version();
             let age = gateway.store.time_since_answer();
             tracing::info!(
@@ -90,7 +90,7 @@
     body: &'call [u8],
     arrived: Instant,
 ) -> Result<RequestPlan<'call>, AdmissionRefusal> {
-    let facts = requests::read_request(head);
+    let facts = requests::parse_request(head);
     let (route, customer) = match_route(gateway, head, &facts)?;
     check_stopping(gateway, route.timeout)?;
     let service = route.pick_service(fastrand::f64()).map(Arc::clone);
@@ -120,7 +120,7 @@
     let Some(stop_requested) = gateway.stop_requested.get() else {
         return Ok(());
     };
-    let grace = gateway.settings.grace.saturating_sub(stop_requested.elapsed());
+    let grace = gateway.settings.shutdown_grace.saturating_sub(stop_requested.elapsed());
     let fits = stop_requested.elapsed() < STOP_ACCEPT_PERIOD || timeout + STOP_MARGIN < grace;
     if fits && !gateway.admission_closed.get() {
         return Ok(());
@@ -143,8 +143,8 @@
 fn match_route(
     gateway: &Gateway,
     head: &RequestHead,
-    facts: &RequestFacts,
-) -> Result<(Arc<RouteRule>, Option<Arc<CustomerFacts>>), AdmissionRefusal> {
+    facts: &RequestInfo,
+) -> Result<(Arc<RouteRule>, Option<Arc<CustomerProfile>>), AdmissionRefusal> {
     let tables = gateway.tables.borrow();
     let left = facts.timeout.unwrap_or(Duration::MAX);
     let wait = Some(retry_delays::pick_delay(RefusalCause::Uninformed, left, fastrand::f64()));
@@ -159,7 +159,7 @@
     };
     let route = tables.routes.find_route(head.host(), head.path());
     let route = route.ok_or_else(|| unknown(codetable::NO_SUCH_ROUTE))?;
-    if route.public || !tables.routes.needs_keys() {
+    if route.public || !tables.routes.requires_keys() {
         return Ok((Arc::clone(route), None));
     }
     let key = facts.key.as_deref().ok_or(codetable::UNKNOWN_KEY)?;
@@ -184,19 +184,19 @@
         stated,
         request: &plan.facts.id,
         service: &plan.service,
-        prompt_tokens: prompt.prompt,
-        max_output: prompt.output,
+        prompt_tokens: prompt.prompt_tokens,
+        max_output: prompt.max_output,
         rank: plan.urgency,
         time_left: plan.time_left(),
     };
-    let taken = loan_client::reserve_budget(gateway, &need).await;
-    if let Err(failure) = &taken {
+    let reserved = loan_client::reserve_budget(gateway, &need).await;
+    if let Err(failure) = &reserved {
         tracing::info!(
             event = "budget_refused", request = %need.request, customer = %need.customer,
             prompt = need.prompt_tokens, output = need.max_output, stated = need.stated, failure = ?failure,
         );
     }
-    taken.map(Some).map_err(|failure| match failure {
+    reserved.map(Some).map_err(|failure| match failure {
         HoldFailure::Uncovered => codetable::BUDGET_EXHAUSTED.into(),
         HoldFailure::Short => {
             let is_outage = gateway.store.time_since_answer() > OUTAGE_THRESHOLD
--- a/toucanrail-gateway/src/change_feed.rs
+++ b/toucanrail-gateway/src/change_feed.rs
@@ -9,13 +9,13 @@
 use smol::LocalExecutor;
 use smol::future::FutureExt;
 use toucanrail::boards::BoardTable;
-use toucanrail::messages::{NewsOrder, NewsReply};
+use toucanrail::messages::{ChangesQuery, ChangesReply};
 use toucanrail_platform::names;
-use toucanrail_platform::stores::{ListFreshness, StoreFailure};
+use toucanrail_platform::stores::{ListFreshness, StoreError};
 
 use crate::store_access::StoreAccess;
 
-/// Path of a call that takes a [`NewsOrder`] and returns a [`NewsReply`].
+/// Path of a call that takes a [`ChangesQuery`] and returns a [`ChangesReply`].
 pub const CHANGES_PATH: &str = "/news";
 
 /// Long-poll wait of a watch on objects that must be in force within two seconds.
@@ -88,9 +88,9 @@
 
     /// Answers one query: immediately if there are changes, else as soon as there are, or with an empty reply
     /// when its wait is over.
-    pub async fn answer(&self, query: &NewsOrder) -> NewsReply {
+    pub async fn answer(&self, query: &ChangesQuery) -> ChangesReply {
         let Some((kind, board)) = self.boards.get_key_value(&*query.kind) else {
-            return NewsReply::Stale;
+            return ChangesReply::Stale;
         };
         board.queried_at.set(self.store.now());
         if !board.watching.replace(true) {
@@ -128,13 +128,13 @@
             Ok(true) => {
                 board.changed.notify(usize::MAX);
             }
-            Err(StoreFailure::Forgotten) => {
+            Err(StoreError::HistoryExpired) => {
                 board.clear();
             }
             Err(failure) => {
                 tracing::debug!(event = "store_failed", kind, %failure);
                 // Waiting queries are answered as stale now instead of at the end of their wait.
-                board.table.borrow_mut().note_store_failure();
+                board.table.borrow_mut().record_store_failure();
                 board.changed.notify(usize::MAX);
                 smol::Timer::after(FAILURE_PAUSE).await;
             }
@@ -146,7 +146,7 @@
 }
 
 /// Lists the kind, or waits for its next changes. Returns whether there are any.
-async fn step(store: &StoreAccess, kind: &str, board: &KindBoard) -> Result<bool, StoreFailure> {
+async fn step(store: &StoreAccess, kind: &str, board: &KindBoard) -> Result<bool, StoreError> {
     let KindBoard { wait, table, .. } = board;
     let known = table.borrow().revision();
     let Some(revision) = known else {
--- a/toucanrail-gateway/src/forwarding.rs
+++ b/toucanrail-gateway/src/forwarding.rs
@@ -6,9 +6,9 @@
 use smol::Timer;
 use smol::future::FutureExt;
 use toucanrail::attempts::AttemptOutcome;
-use toucanrail::framing::BodyFramer;
+use toucanrail::framing::BodyDecoder;
 use toucanrail::silences::SilenceDetector;
-use toucanrail_wire::clocks;
+use toucanrail_wire::time_limits;
 
 use crate::liveness;
 use crate::request_context::{
@@ -36,7 +36,7 @@
         if exchange.framer.is_done() {
             return Ok(());
         }
-        if exchange.framer.is_broken() || body.len() > MAX_BUFFERED_BODY {
+        if exchange.framer.is_malformed() || body.len() > MAX_BUFFERED_BODY {
             return Err(io::ErrorKind::InvalidData.into());
         }
         if exchange.channel.fill().await? == 0 {
@@ -55,7 +55,9 @@
     stream: &mut StreamState,
 ) -> AttemptResult {
     let mut body = Vec::new();
-    match clocks::within(context.plan.time_left(), read_body(&mut exchange, &mut body)).await {
+    match time_limits::io_timeout(context.plan.time_left(), read_body(&mut exchange, &mut body))
+        .await
+    {
         Ok(()) => {}
         Err(error) if error.kind() == io::ErrorKind::TimedOut => {
             return AttemptResult::Incomplete(AttemptOutcome::TimedOut);
@@ -83,7 +85,7 @@
     flight: &FlightGuard,
 ) -> AttemptResult {
     let AttemptContext { gateway, plan, .. } = *context;
-    let tokens_per_event = gateway.tables.borrow().routes.stride(&plan.service);
+    let tokens_per_event = gateway.tables.borrow().routes.tokens_per_event(&plan.service);
     let stall = (plan.route.gap * STALL_FACTOR).max(MIN_STALL);
     let mut tick = Timer::interval(CHECK_INTERVAL);
     let mut pending = Vec::new();
@@ -114,7 +116,7 @@
             return AttemptResult::CallerGone;
         }
         pending.drain(..complete_len);
-        if exchange.framer.is_broken() {
+        if exchange.framer.is_malformed() {
             return AttemptResult::Incomplete(truncation_fate(writer));
         }
         match read_more(&mut exchange, &mut tick).await {
@@ -151,7 +153,7 @@
             Err(_) => {
                 // A reset never ends a body properly, not even one that is delimited by the end of
                 // its connection.
-                exchange.framer = BodyFramer::Exact(u64::MAX);
+                exchange.framer = BodyDecoder::Exact(u64::MAX);
                 ReadOutcome::End
             }
         }
--- a/toucanrail-gateway/src/grant_manager.rs
+++ b/toucanrail-gateway/src/grant_manager.rs
@@ -18,7 +18,7 @@
 use toucanrail::syncs::{SyncMachine, SyncOutcome};
 use toucanrail::{paths, policies};
 use toucanrail_daemons::observing::MetricBoard;
-use toucanrail_wire::clocks;
+use toucanrail_wire::time_limits;
 
 use crate::store_access::StoreAccess;
 use crate::tuning::GatewayTuning;
@@ -114,7 +114,7 @@
         if grants.account(customer).is_none() {
             grants.add_account(customer, &self.shard_of(customer));
         }
-        grants.note_prepaid(customer, total);
+        grants.raise_prepaid(customer, total);
     }
 
     /// Returns the shard of a customer's account.
@@ -151,11 +151,11 @@
             self.log_short(customer, amount);
             return Err(HoldFailure::Short);
         }
-        self.grants.borrow_mut().add_shortage(customer, amount);
+        self.grants.borrow_mut().begin_wait(customer, amount);
         let waiting =
-            clocks::bounded(GRANT_WAIT.min(time_left / 4), self.wait_hold(customer, amount));
+            time_limits::timeout(GRANT_WAIT.min(time_left / 4), self.wait_hold(customer, amount));
         let waited = waiting.await;
-        self.grants.borrow_mut().drop_shortage(customer, amount);
+        self.grants.borrow_mut().end_wait(customer, amount);
         let acquired = waited.unwrap_or(Err(HoldFailure::Short));
         if acquired.is_err() {
             self.log_short(customer, amount);
@@ -169,7 +169,7 @@
         let grants = self.grants.borrow();
         let available = grants.account(customer).map_or(0, GrantAccount::available);
         self.store.unanswered_for(USAGE) < OUTAGE_THRESHOLD
-            || policies::spends_in_outage(available, amount, rank)
+            || policies::may_spend_in_outage(available, amount, rank)
     }
 
     async fn wait_hold(
@@ -181,17 +181,17 @@
         // progress may have read the shard earlier.
         let shard = self.shard_of(customer);
         let running = u64::from(self.syncing.borrow().contains(&shard));
-        let needed = self.grants.borrow().looks(&shard) + 1 + running;
+        let needed = self.grants.borrow().confirmed_syncs(&shard) + 1 + running;
         loop {
             let synced = self.synced.listen();
-            self.grants.borrow_mut().want_look(customer);
+            self.grants.borrow_mut().request_sync(customer);
             self.sync_requested.notify(usize::MAX);
             synced.await;
             let mut grants = self.grants.borrow_mut();
             if let Ok(hold) = grants.hold(customer, amount) {
                 return Ok(hold);
             }
-            if grants.looks(&shard) < needed {
+            if grants.confirmed_syncs(&shard) < needed {
                 continue;
             }
             // The rest is granted to other processes; no further sync can obtain it until they settle.
@@ -217,7 +217,7 @@
             unproved: 0,
             runs: Vec::new(),
         });
-        self.grants.borrow_mut().finish(hold, bill);
+        self.grants.borrow_mut().end_hold(hold, bill);
     }
 
     fn log_short(&self, customer: &CustomerId, amount: Tokens) {
@@ -229,7 +229,7 @@
             held = account.map(|account| account.held),
             burn = account.map(|account| account.burn as Tokens),
             stated = account.map(|account| account.prepaid),
-            prepaid_unspent_unallocated = ?grants.known_balance(customer),
+            prepaid_unspent_unallocated = ?grants.cached_balance(customer),
             store_age_ms = self.store.time_since_answer().as_millis() as u64,
         );
     }
@@ -239,7 +239,7 @@
         if self.syncing.borrow().contains(shard) {
             return false;
         }
-        self.needs_settlement(shard) || self.grants.borrow().is_wanted(shard)
+        self.needs_settlement(shard) || self.grants.borrow().needs_early_sync(shard)
     }
 
     /// Tells whether a settlement of the shard is due.
@@ -268,14 +268,14 @@
         let mut calls = 0_u32;
         while let Some(call) = machine.next_call() {
             calls += 1;
-            machine.take_reply(self.store.call(&call).await);
+            machine.handle_reply(self.store.call(&call).await);
         }
         let outcome = machine.into_outcome();
         let answered = !matches!(outcome, SyncOutcome::Unavailable);
         self.board.count_event(outcome_kind(&outcome));
         self.board.add_events("sync_calls", u64::from(calls));
         self.store.record_call(USAGE, answered);
-        let was_open = self.grants.borrow().is_open(shard);
+        let was_open = self.grants.borrow().has_tenure(shard);
         self.grants.borrow_mut().apply_sync(shard, outcome);
         if !was_open && !leave {
             self.log_accounts(shard);
@@ -287,7 +287,7 @@
     /// Logs the accounts of a shard when this process becomes one of its holders.
     fn log_accounts(&self, shard: &ShardName) {
         let grants = self.grants.borrow();
-        let Some(shard) = grants.known_shard(shard) else {
+        let Some(shard) = grants.cached_shard(shard) else {
             return;
         };
         for (customer, account) in &shard.accounts {
@@ -360,13 +360,13 @@
             task.await;
         }
     };
-    if clocks::bounded(LEAVE_TIMEOUT, leaving).await.is_none() {
+    if time_limits::timeout(LEAVE_TIMEOUT, leaving).await.is_none() {
         tracing::warn!(event = "left_unsettled");
     }
 }
 
 async fn leave_shard(manager: Rc<GrantManager>, shard: ShardName) {
-    while manager.grants.borrow().is_open(&shard) {
+    while manager.grants.borrow().has_tenure(&shard) {
         if manager.syncing.borrow().contains(&shard) {
             smol::Timer::after(SYNC_PAUSE).await;
             continue;
--- a/toucanrail-gateway/src/hosting.rs
+++ b/toucanrail-gateway/src/hosting.rs
@@ -50,7 +50,7 @@
 fn start(gateway: &Rc<Gateway>) -> io::Result<Rc<RelayApi>> {
     let settings = &gateway.settings;
     let executor = &gateway.executor;
-    let relayed = Async::<TcpListener>::bind(settings.hosted)?;
+    let relayed = Async::<TcpListener>::bind(settings.hosted_relay)?;
     let entries = Async::<TcpListener>::bind(settings.lending)?;
     let store = Rc::clone(&gateway.store);
     let reaches_store = move || store.is_direct();
@@ -67,7 +67,7 @@
     });
     let lending = relay_api::serve_entries(Rc::clone(executor), Rc::clone(&api), entries);
     executor.spawn(lending).detach();
-    let entry = relay_registration::new_entry(settings, settings.hosted, true);
+    let entry = relay_registration::new_entry(settings, settings.hosted_relay, true);
     executor.spawn(relay_registration::maintain_entry(settings.clone(), entry, None)).detach();
     Ok(api)
 }
--- a/toucanrail-gateway/src/loan_client.rs
+++ b/toucanrail-gateway/src/loan_client.rs
@@ -14,7 +14,7 @@
 use smol::future::FutureExt;
 use toucanrail::grants::GrantHold;
 use toucanrail::ids::{CustomerId, RequestId, ServiceName, Tokens};
-use toucanrail::loans::{self, LoanEnd, LoanId, LoanOrder, LoanReply};
+use toucanrail::loans::{self, LoanEnd, LoanId, LoanReply, LoanRequest};
 
 use crate::grant_manager::HoldFailure;
 use crate::relay_api::{LOAN_END_PATH, LOAN_PATH};
@@ -145,7 +145,7 @@
         let number = gateway.loan_client.next_number.get();
         gateway.loan_client.next_number.set(number + 1);
         let loan: LoanId = Arc::from(format!("{}.{number}", gateway.id));
-        let request = LoanOrder {
+        let request = LoanRequest {
             loan: Arc::clone(&loan),
             customer: Arc::clone(need.customer),
             stated: need.stated,
@@ -187,7 +187,7 @@
     gateway: &Rc<Gateway>,
     lender: &Arc<str>,
     address: SocketAddr,
-    request: &LoanOrder,
+    request: &LoanRequest,
 ) -> io::Result<LoanReply> {
     let requesting =
         relay_client::call_relay(gateway, lender, address, LOAN_PATH, request, LOAN_TIMEOUT);
--- a/toucanrail-gateway/src/permits.rs
+++ b/toucanrail-gateway/src/permits.rs
@@ -6,7 +6,7 @@
 
 use toucanrail::backends::BackendEntry;
 use toucanrail::coldstarts::{self, PERMIT_VALIDITY, PermitReply, PermitRequest};
-use toucanrail::detours::RelayName;
+use toucanrail::endpoints::RelayName;
 use toucanrail::loans;
 
 use crate::relay_api::PERMIT_PATH;
@@ -50,7 +50,7 @@
         return SendPermit::Until(requested_at + PERMIT_VALIDITY);
     };
     let until = gateway.now() + wait;
-    gateway.tables.borrow_mut().backends.note_permit_denied(&target.id, until);
+    gateway.tables.borrow_mut().backends.record_permit_denied(&target.id, until);
     gateway.metrics.count_event("permits_denied");
     tracing::info!(
         event = "permit_denied", server = %target.id, limit, wait_ms = wait.as_millis() as u64,
--- a/toucanrail-gateway/src/relay_api.rs
+++ b/toucanrail-gateway/src/relay_api.rs
@@ -11,17 +11,17 @@
 
 use smol::{Async, LocalExecutor};
 use toucanrail::coldstarts::{PermitReply, PermitRequest, PermitTable};
-use toucanrail::loans::{LoanEnd, LoanOrder, LoanReply, LoanTable};
-use toucanrail_wire::calling;
-use toucanrail_wire::channels::BufferedChannel;
-use toucanrail_wire::clocks;
+use toucanrail::loans::{LoanEnd, LoanReply, LoanRequest, LoanTable};
+use toucanrail_wire::connections::BufferedConnection;
+use toucanrail_wire::rpc;
+use toucanrail_wire::time_limits;
 
 use crate::change_feed::{CHANGES_PATH, ChangeFeed};
 use crate::grant_manager::{self, GrantManager, HoldFailure};
 use crate::listening;
 use crate::report_client::ReportClient;
 
-/// Path of a call that takes a [`LoanOrder`] and returns a [`LoanReply`].
+/// Path of a call that takes a [`LoanRequest`] and returns a [`LoanReply`].
 pub const LOAN_PATH: &str = "/loans/draw";
 /// Path of a call that takes a list of [`LoanEnd`]s and returns `true`.
 pub const LOAN_END_PATH: &str = "/loans/end";
@@ -72,32 +72,32 @@
 }
 
 async fn serve_entry(api: &RelayApi, socket: Async<TcpStream>) -> io::Result<()> {
-    let mut channel = BufferedChannel::new(socket)?;
-    while let Some((head, body)) = calling::read_call(&mut channel).await? {
+    let mut channel = BufferedConnection::new(socket)?;
+    while let Some((head, body)) = rpc::read_call(&mut channel).await? {
         match head.path() {
             LOAN_PATH => {
-                let request = calling::decode(&body)?;
-                calling::reply(&channel, &open_loan(api, &request).await).await?;
+                let request = rpc::decode(&body)?;
+                rpc::reply(&channel, &open_loan(api, &request).await).await?;
             }
             LOAN_END_PATH => {
-                end_loans(api, calling::decode(&body)?);
-                calling::reply(&channel, &true).await?;
+                end_loans(api, rpc::decode(&body)?);
+                rpc::reply(&channel, &true).await?;
             }
             CHANGES_PATH => {
-                let query = calling::decode(&body)?;
-                calling::reply(&channel, &api.change_feed.answer(&query).await).await?;
+                let query = rpc::decode(&body)?;
+                rpc::reply(&channel, &api.change_feed.answer(&query).await).await?;
             }
-            ALIVE_PATH => calling::reply(&channel, &true).await?,
+            ALIVE_PATH => rpc::reply(&channel, &true).await?,
             PERMIT_PATH => {
-                let request = calling::decode(&body)?;
-                calling::reply(&channel, &grant_permit(api, &request)).await?;
+                let request = rpc::decode(&body)?;
+                rpc::reply(&channel, &grant_permit(api, &request)).await?;
             }
             REPORT_PATH => {
                 let report = match &api.report_client {
                     Some(report_client) => report_client.try_fetch().await,
                     None => None,
                 };
-                calling::reply(&channel, &report).await?;
+                rpc::reply(&channel, &report).await?;
             }
             _ => return Err(io::ErrorKind::InvalidData.into()),
         }
@@ -106,27 +106,27 @@
 }
 
 /// Opens a loan if the grants cover it. Repeating the call for an open loan has no further effect.
-async fn open_loan(api: &RelayApi, request: &LoanOrder) -> LoanReply {
+async fn open_loan(api: &RelayApi, request: &LoanRequest) -> LoanReply {
     if api.loans.borrow().is_open(&request.loan) {
         return LoanReply::Held;
     }
     if api.leaving.get() {
         return LoanReply::Leaving;
     }
-    let LoanOrder { customer, amount, rank, .. } = request;
+    let LoanRequest { customer, amount, rank, .. } = request;
     api.grant_manager.raise_prepaid(customer, request.stated);
     match api.grant_manager.acquire_hold(customer, *amount, *rank, LOAN_TIME).await {
         Ok(hold) if api.leaving.get() => {
-            api.grant_manager.grants.borrow_mut().finish(&hold, None);
+            api.grant_manager.grants.borrow_mut().end_hold(&hold, None);
             LoanReply::Leaving
         }
-        Ok(hold) if api.loans.borrow().is_new(&request.loan) => {
+        Ok(hold) if api.loans.borrow().can_open(&request.loan) => {
             api.loans.borrow_mut().open(&request.loan, hold);
             LoanReply::Held
         }
         Ok(hold) => {
             // The entry gave the loan up and ended it while this call waited.
-            api.grant_manager.grants.borrow_mut().finish(&hold, None);
+            api.grant_manager.grants.borrow_mut().end_hold(&hold, None);
             LoanReply::Short
         }
         Err(HoldFailure::Short) => LoanReply::Short,
@@ -162,7 +162,7 @@
             smol::Timer::after(DRAIN_CHECK_INTERVAL).await;
         }
     };
-    if clocks::bounded(timeout, ending).await.is_none() {
+    if time_limits::timeout(timeout, ending).await.is_none() {
         tracing::warn!(event = "loans_left", loans = api.loans.borrow().len());
     }
 }
--- a/toucanrail-gateway/src/relay_client.rs
+++ b/toucanrail-gateway/src/relay_client.rs
@@ -9,9 +9,9 @@
 
 use serde::Serialize;
 use serde::de::DeserializeOwned;
-use toucanrail_wire::calling;
-use toucanrail_wire::channels::BufferedChannel;
-use toucanrail_wire::clocks;
+use toucanrail_wire::connections::BufferedConnection;
+use toucanrail_wire::rpc;
+use toucanrail_wire::time_limits;
 
 use crate::relay_api::ALIVE_PATH;
 use crate::state::Gateway;
@@ -66,10 +66,10 @@
 /// Probes a relay on a new connection, independent of the state of the pooled ones.
 pub async fn is_alive(address: SocketAddr, timeout: Duration) -> bool {
     let probing = async {
-        let mut channel = BufferedChannel::connect(address).await?;
-        calling::call::<_, bool>(&mut channel, ALIVE_PATH, &()).await
+        let mut channel = BufferedConnection::connect(address).await?;
+        rpc::call::<_, bool>(&mut channel, ALIVE_PATH, &()).await
     };
-    clocks::within(timeout, probing).await.unwrap_or(false)
+    time_limits::io_timeout(timeout, probing).await.unwrap_or(false)
 }
 
 /// Calls a relay, on a pooled connection if there is one.
@@ -88,9 +88,11 @@
     let pooled = gateway.channels.take(relay, IDLE_TIMEOUT);
     let mut channel = match pooled {
         Some(channel) => channel,
-        None => clocks::within(CONNECT_TIMEOUT, BufferedChannel::connect(address)).await?,
+        None => {
+            time_limits::io_timeout(CONNECT_TIMEOUT, BufferedConnection::connect(address)).await?
+        }
     };
-    let reply = clocks::within(timeout, calling::call(&mut channel, path, message)).await?;
-    gateway.channels.keep(relay, channel, Some(IDLE_TIMEOUT));
+    let reply = time_limits::io_timeout(timeout, rpc::call(&mut channel, path, message)).await?;
+    gateway.channels.put(relay, channel, Some(IDLE_TIMEOUT));
     Ok(reply)
 }
--- a/toucanrail-gateway/src/request_context.rs
+++ b/toucanrail-gateway/src/request_context.rs
@@ -8,14 +8,14 @@
 
 use toucanrail::attempts::AttemptOutcome;
 use toucanrail::backends::BackendEntry;
-use toucanrail::events::EventScanner;
-use toucanrail::framing::BodyFramer;
+use toucanrail::framing::BodyDecoder;
 use toucanrail::ids::ServiceName;
-use toucanrail::matching::{CustomerFacts, RouteRule};
-use toucanrail_platform::requests::RequestFacts;
-use toucanrail_wire::channels::BufferedChannel;
-use toucanrail_wire::heads::{AnswerHead, RequestHead};
-use toucanrail_wire::keeping;
+use toucanrail::matching::{CustomerProfile, RouteRule};
+use toucanrail::sse::EventScanner;
+use toucanrail_platform::requests::RequestInfo;
+use toucanrail_wire::connections::BufferedConnection;
+use toucanrail_wire::heads::{RequestHead, ResponseHead};
+use toucanrail_wire::keepalive;
 
 use crate::loan_client::BudgetGuard;
 use crate::permits::SendPermit;
@@ -34,11 +34,11 @@
     /// Complete request body.
     pub body: &'call [u8],
     /// Fields parsed from the head.
-    pub facts: RequestFacts,
+    pub facts: RequestInfo,
     /// Matched route.
     pub route: Arc<RouteRule>,
     /// Customer that pays; `None` on a public route.
-    pub customer: Option<Arc<CustomerFacts>>,
+    pub customer: Option<Arc<CustomerProfile>>,
     /// Service chosen among the route's targets.
     pub service: ServiceName,
     /// Time at which the request arrived.
@@ -61,7 +61,7 @@
     /// the response does not start.
     pub fn time_left_to_first_byte(&self) -> Duration {
         let first_byte_deadline =
-            self.arrived + self.route.patience().saturating_sub(DEADLINE_MARGIN);
+            self.arrived + self.route.caller_timeout().saturating_sub(DEADLINE_MARGIN);
         self.time_left().min(first_byte_deadline.saturating_duration_since(Instant::now()))
     }
 }
@@ -70,7 +70,7 @@
 #[derive(Debug)]
 pub struct FailedResponse {
     /// Response head.
-    pub head: AnswerHead,
+    pub head: ResponseHead,
     /// Complete response body.
     pub body: Vec<u8>,
 }
@@ -109,11 +109,11 @@
 #[derive(Debug)]
 pub struct OpenExchange {
     /// Connection to the server.
-    pub channel: BufferedChannel,
+    pub channel: BufferedConnection,
     /// Response head.
-    pub head: AnswerHead,
+    pub head: ResponseHead,
     /// Finds the end of the response body.
-    pub framer: BodyFramer,
+    pub framer: BodyDecoder,
     /// Whether the whole request was written.
     pub request_sent: bool,
 }
@@ -123,8 +123,8 @@
     /// server keeps the connection open.
     pub fn release_channel(self, gateway: &Gateway, backend: &Arc<str>) {
         if self.framer.is_done() && self.request_sent && !self.head.close {
-            let stated = self.head.fields.get("keep-alive").and_then(keeping::read_keep_alive);
-            gateway.channels.keep(backend, self.channel, stated);
+            let stated = self.head.fields.get("keep-alive").and_then(keepalive::parse_keep_alive);
+            gateway.channels.put(backend, self.channel, stated);
         }
     }
 }
--- a/toucanrail-gateway/src/state.rs
+++ b/toucanrail-gateway/src/state.rs
@@ -18,7 +18,7 @@
 use toucanrail_daemons::starting::ProcessClock;
 use toucanrail_platform::names;
 use toucanrail_platform::settings::NodeSettings;
-use toucanrail_wire::keeping::ChannelPool;
+use toucanrail_wire::keepalive::KeepAlivePool;
 
 use crate::grant_manager::GrantManager;
 use crate::liveness::ReportCache;
@@ -70,7 +70,7 @@
     /// Tables that decisions read and update.
     pub tables: RefCell<GatewayTables>,
     /// Pool of connections to backend servers and relays.
-    pub channels: ChannelPool,
+    pub channels: KeepAlivePool,
     /// Clock that starts with the process.
     pub clock: ProcessClock,
     /// Time of the stop signal.
@@ -132,7 +132,7 @@
     /// Records a new request, as opposed to a retry, in the retry budget of a service.
     pub fn record_new_request(&self, service: &ServiceName) {
         let now = self.now();
-        self.with_retry_budget(service, |budget| budget.note_request(now));
+        self.with_retry_budget(service, |budget| budget.record_request(now));
     }
 
     /// Takes one retry from the budget of a service, if one is left.
@@ -165,7 +165,7 @@
 
     /// Returns whether load reports should be requested before a request is placed: requests wait
     /// too long for their first event, and free slots may be scarce.
-    pub fn wants_probe(&self, service: &ServiceName) -> bool {
+    pub fn should_probe(&self, service: &ServiceName) -> bool {
         let now = self.now();
         let tables = self.tables.borrow();
         let free_slots = tables.free_slots.get(service).copied().unwrap_or_default();
@@ -250,9 +250,9 @@
     pub fn record_response_start(&self) {
         let now = self.gateway.now();
         let mut tables = self.gateway.tables.borrow_mut();
-        tables.backends.note_first_event(&self.backend, self.number, now);
+        tables.backends.record_first_event(&self.backend, self.number, now);
         if let Some(limit) = tables.limits.get_mut(&self.service) {
-            limit.note_first_event(self.number, now);
+            limit.record_first_event(self.number, now);
         }
     }
 }
@@ -261,9 +261,9 @@
     fn drop(&mut self) {
         let now = self.gateway.now();
         let mut tables = self.gateway.tables.borrow_mut();
-        tables.backends.note_ended(&self.backend, self.number);
+        tables.backends.record_ended(&self.backend, self.number);
         if let Some(limit) = tables.limits.get_mut(&self.service) {
-            limit.note_ended(self.number, now);
+            limit.record_ended(self.number, now);
         }
     }
 }
--- a/toucanrail-gateway/src/store_access.rs
+++ b/toucanrail-gateway/src/store_access.rs
@@ -9,14 +9,14 @@
 
 use event_listener::Event;
 use smol::future::FutureExt;
-use toucanrail::detours::{DetourTable, RelayEntry, RelayName, StoreWay};
+use toucanrail::endpoints::{EndpointTable, RelayEntry, RelayName, StoreEndpoint};
 use toucanrail::ids::Version;
 use toucanrail::storecalls::{self, StoreCall, StoreReply};
 use toucanrail::timeouts::AdaptiveTimeout;
 use toucanrail_daemons::starting::ProcessClock;
 use toucanrail_platform::names;
 use toucanrail_platform::stores::{
-    KindListing, ListFreshness, StoreClient, StoreFailure, WatchedChanges,
+    KindListing, ListFreshness, StoreClient, StoreError, WatchedChanges,
 };
 
 /// Kind of the relays' entries in the store.
@@ -43,7 +43,7 @@
 pub struct StoreAccess {
     client: StoreClient,
     timeout: Cell<AdaptiveTimeout>,
-    endpoints: RefCell<DetourTable>,
+    endpoints: RefCell<EndpointTable>,
     relays_listed: Cell<bool>,
     /// Notified when another endpoint is used from now on.
     endpoint_changed: Event,
@@ -56,7 +56,7 @@
 
 impl StoreAccess {
     /// Creates the access for one process.
-    pub fn new(client: StoreClient, endpoints: DetourTable, clock: ProcessClock) -> Self {
+    pub fn new(client: StoreClient, endpoints: EndpointTable, clock: ProcessClock) -> Self {
         let timeout = Cell::new(AdaptiveTimeout::new());
         Self {
             client,
@@ -71,7 +71,7 @@
     }
 
     /// Returns a copy of the endpoints, for the state dump.
-    pub fn endpoints(&self) -> DetourTable {
+    pub fn endpoints(&self) -> EndpointTable {
         self.endpoints.borrow().clone()
     }
 
@@ -128,12 +128,12 @@
 
     /// Tells whether calls go directly to the store.
     pub fn is_direct(&self) -> bool {
-        self.endpoints.borrow().way().0 == StoreWay::Direct
+        self.endpoints.borrow().current().0 == StoreEndpoint::Direct
     }
 
     /// Tells whether the relays have been listed and none runs on a VM of its own.
     pub fn has_only_hosted_relays(&self) -> bool {
-        self.relays_listed.get() && self.endpoints.borrow().is_hosted()
+        self.relays_listed.get() && self.endpoints.borrow().uses_hosted_relays()
     }
 
     /// Tells whether the store lists a relay of this name.
@@ -148,17 +148,17 @@
 
     /// Makes one read or conditional write.
     pub async fn call(&self, call: &StoreCall) -> StoreReply {
-        let (endpoint, address) = self.endpoints.borrow().way();
+        let (endpoint, address) = self.endpoints.borrow().current();
         let started = self.now();
         let wait = self.timeout.get().wait();
         let reply = self.client.call(address, call, wait).await;
         // Reads the timeout again, since concurrent calls may have changed it meanwhile.
         let mut timeout = self.timeout.get();
         if reply == StoreReply::Unavailable {
-            timeout.note_timeout(wait);
+            timeout.record_timeout(wait);
             self.record_failure(&endpoint);
         } else {
-            timeout.note_answer(self.now().saturating_sub(started));
+            timeout.record_answer(self.now().saturating_sub(started));
         }
         self.timeout.set(timeout);
         reply
@@ -170,8 +170,8 @@
         kind: &str,
         freshness: ListFreshness,
         timeout: Duration,
-    ) -> Result<KindListing, StoreFailure> {
-        let (endpoint, address) = self.endpoints.borrow().way();
+    ) -> Result<KindListing, StoreError> {
+        let (endpoint, address) = self.endpoints.borrow().current();
         let listing = self.client.list_kind(address, kind, freshness, timeout).await;
         self.record_endpoint_result(&endpoint, &listing);
         listing
@@ -185,13 +185,13 @@
         after: Version,
         wait: Duration,
         slack: Duration,
-    ) -> Result<WatchedChanges, StoreFailure> {
+    ) -> Result<WatchedChanges, StoreError> {
         let changed = self.endpoint_changed.listen();
-        let (endpoint, address) = self.endpoints.borrow().way();
+        let (endpoint, address) = self.endpoints.borrow().current();
         let watching = self.client.watch_kind(address, kind, after, wait, wait + slack);
         let changing = async {
             changed.await;
-            Err(StoreFailure::NoAnswer(io::ErrorKind::ConnectionAborted.into()))
+            Err(StoreError::NoResponse(io::ErrorKind::ConnectionAborted.into()))
         };
         let watched = watching.or(changing).await;
         self.record_endpoint_result(&endpoint, &watched);
@@ -200,24 +200,24 @@
 
     fn record_endpoint_result<Value>(
         &self,
-        endpoint: &StoreWay,
-        result: &Result<Value, StoreFailure>,
+        endpoint: &StoreEndpoint,
+        result: &Result<Value, StoreError>,
     ) {
-        if matches!(result, Err(StoreFailure::NoAnswer(_) | StoreFailure::Declined(_))) {
+        if matches!(result, Err(StoreError::NoResponse(_) | StoreError::UnexpectedStatus(_))) {
             self.record_failure(endpoint);
         }
     }
 
-    fn record_failure(&self, endpoint: &StoreWay) {
+    fn record_failure(&self, endpoint: &StoreEndpoint) {
         let now = self.now();
-        let changed = self.endpoints.borrow_mut().note_failure(endpoint, fastrand::f64(), now);
+        let changed = self.endpoints.borrow_mut().record_failure(endpoint, fastrand::f64(), now);
         if changed {
             self.announce_endpoint_change("failure");
         }
     }
 
     fn announce_endpoint_change(&self, reason: &str) {
-        let (way, address) = self.endpoints.borrow().way();
+        let (way, address) = self.endpoints.borrow().current();
         tracing::info!(event = "store_way", ?way, %address, reason);
         self.endpoint_changed.notify(usize::MAX);
     }
@@ -228,7 +228,7 @@
         let call = StoreCall::Get { path: path.into() };
         let reply = self.client.call(store, &call, PROBE_TIMEOUT).await;
         if matches!(reply, StoreReply::Found { .. } | StoreReply::Missing) {
-            self.endpoints.borrow_mut().note_direct();
+            self.endpoints.borrow_mut().restore_direct();
             self.announce_endpoint_change("direct endpoint works again");
         }
     }
@@ -248,14 +248,14 @@
             now if now < HOSTED_STARTUP_TIME && store.has_only_hosted_relays() => {
                 STARTUP_LIST_INTERVAL
             }
-            _ if store.endpoints.borrow().lacks_paces() => unmeasured,
+            _ if store.endpoints.borrow().has_unmeasured_server() => unmeasured,
             _ => RELAY_LIST_INTERVAL,
         };
         if listed_at.is_none_or(|at| now.saturating_sub(at) > pause) {
             let done = list_relays(&store).await;
             listed_at = done.then(|| store.now()).or(listed_at);
         }
-        let due = store.endpoints.borrow_mut().wants_probe(now);
+        let due = store.endpoints.borrow_mut().start_due_probe(now);
         if due {
             store.probe_direct(direct).await;
         }
@@ -276,7 +276,7 @@
         let entry: Option<RelayEntry> = storecalls::decode_value(&object.value);
         entry.map(|entry| (object.name, entry))
     });
-    store.endpoints.borrow_mut().take_relays(entries);
+    store.endpoints.borrow_mut().set_relays(entries);
     store.relays_listed.set(true);
     true
 }
--- a/toucanrail-gateway/src/store_watch.rs
+++ b/toucanrail-gateway/src/store_watch.rs
@@ -9,8 +9,8 @@
 
 use toucanrail::boards::{self, OutageBackoff};
 use toucanrail::ids::Version;
-use toucanrail::messages::{MirrorChange, MirrorObject, NewsOrder, NewsReply};
-use toucanrail_platform::stores::{ListFreshness, StoreFailure};
+use toucanrail::messages::{ChangesQuery, ChangesReply, MirrorChange, MirrorObject};
+use toucanrail_platform::stores::{ListFreshness, StoreError};
 use toucanrail_platform::{configs, names, registrations};
 
 use crate::change_feed::CHANGES_PATH;
@@ -70,7 +70,7 @@
 
 /// Keeps the evacuations up to date, if the settings provide for them.
 pub async fn watch_evacuations(gateway: Rc<Gateway>) {
-    if gateway.settings.evacuation_bound.is_some() {
+    if gateway.settings.evacuation_deadline.is_some() {
         watch(gateway, EvacuationHandler { age: Duration::ZERO }).await;
     }
 }
@@ -85,14 +85,14 @@
         let expired = gateway.tables.borrow_mut().backends.drop_expired(now);
         for id in expired {
             tracing::info!(event = "server_gone", server = %id, reason = "lapsed");
-            gateway.channels.forget(&id);
+            gateway.channels.evict(&id);
         }
         gateway.tables.borrow_mut().backends.apply_paces(&gateway.store.server_paces());
-        gateway.channels.sweep();
+        gateway.channels.evict_expired();
         let tables = gateway.tables.borrow();
         gateway.load_reports.retain(|server| tables.backends.get(server).is_some());
         drop(tables);
-        gateway.grant_manager.grants.borrow_mut().smooth_burn(now.saturating_sub(swept_at));
+        gateway.grant_manager.grants.borrow_mut().update_burn_rates(now.saturating_sub(swept_at));
         swept_at = now;
     }
 }
@@ -123,7 +123,7 @@
                 pause = MIN_RETRY_PAUSE;
                 gateway.store.record_call(Handler::KIND, true);
             }
-            Err(StoreFailure::Forgotten) => {
+            Err(StoreError::HistoryExpired) => {
                 tracing::info!(event = "history_gone", kind = Handler::KIND);
                 state.revision = None;
             }
@@ -142,7 +142,7 @@
     gateway: &Gateway,
     handler: &mut Handler,
     state: &mut WatchState,
-) -> Result<Version, StoreFailure>
+) -> Result<Version, StoreError>
 where
     Handler: KindHandler,
 {
@@ -155,22 +155,22 @@
     };
     handler.record_answer(gateway, gateway.now().saturating_sub(state.answered_at), age);
     match update {
-        NewsReply::Listing { objects, revision } => {
+        ChangesReply::Listing { objects, revision } => {
             handler.apply_listing(gateway, &objects);
             Ok(revision)
         }
-        NewsReply::Changes { changes, revision: seen } => {
+        ChangesReply::Changes { changes, revision: seen } => {
             for change in &changes {
                 handler.apply_change(gateway, change);
             }
             Ok(seen.max(revision.unwrap_or_default()))
         }
-        NewsReply::Stale => Err(no_answer()),
+        ChangesReply::Stale => Err(no_answer()),
     }
 }
 
-fn no_answer() -> StoreFailure {
-    StoreFailure::NoAnswer(std::io::ErrorKind::TimedOut.into())
+fn no_answer() -> StoreError {
+    StoreError::NoResponse(std::io::ErrorKind::TimedOut.into())
 }
 
 /// Queries a store from which no board gets answers: it may reject the boards' VMs and still serve this one.
@@ -178,13 +178,13 @@
     gateway: &Gateway,
     kind: &str,
     state: &mut WatchState,
-) -> Result<NewsReply, StoreFailure> {
+) -> Result<ChangesReply, StoreError> {
     if !state.outage.may_ask(gateway.now()) {
         return Err(no_answer());
     }
     let result = query_store(gateway, kind, state.revision).await;
     if result.is_err() {
-        state.outage.note_failure(gateway.now(), fastrand::f64());
+        state.outage.record_failure(gateway.now(), fastrand::f64());
     }
     result
 }
@@ -194,21 +194,21 @@
     gateway: &Gateway,
     kind: &str,
     revision: Option<Version>,
-) -> Result<NewsReply, StoreFailure> {
+) -> Result<ChangesReply, StoreError> {
     let Some(revision) = revision else {
         let listing = gateway.store.list_kind(kind, ListFreshness::Latest, WATCH_WAIT).await?;
         let (objects, revision) = (listing.objects, listing.revision);
-        return Ok(NewsReply::Listing { objects, revision });
+        return Ok(ChangesReply::Listing { objects, revision });
     };
     let watched = gateway.store.watch_kind(kind, revision, WATCH_WAIT, ANSWER_SLACK).await?;
-    Ok(NewsReply::Changes { changes: watched.changes, revision: watched.revision })
+    Ok(ChangesReply::Changes { changes: watched.changes, revision: watched.revision })
 }
 
 /// Outcome of a query to the boards of the region.
 #[derive(Debug)]
 enum BoardOutcome {
     /// A board answered.
-    Updated(NewsReply),
+    Updated(ChangesReply),
     /// The boards answer, but get no answers from the store.
     Stale,
     /// A board failed, or there are none.
@@ -228,7 +228,7 @@
     let boards = boards::pick_boards(&gateway.store.lenders());
     let available =
         boards.iter().filter(|(name, _)| !gateway.failed_boards.is_active(name, gateway.now()));
-    let query = NewsOrder { kind: Arc::from(kind), after, wait: Handler::BOARD_WAIT };
+    let query = ChangesQuery { kind: Arc::from(kind), after, wait: Handler::BOARD_WAIT };
     let mut stale = false;
     for (board, address) in available {
         if gateway.stale_boards.is_active(board, gateway.now()) {
@@ -240,10 +240,10 @@
             relay_client::call_relay(gateway, board, *address, CHANGES_PATH, &query, timeout).await;
         let reason = match result {
             // A listing that is older than the known revision would bring back servers that have left.
-            Ok(NewsReply::Listing { revision, .. }) if after.is_some_and(|at| revision < at) => {
+            Ok(ChangesReply::Listing { revision, .. }) if after.is_some_and(|at| revision < at) => {
                 "behind".to_owned()
             }
-            Ok(NewsReply::Stale) => {
+            Ok(ChangesReply::Stale) => {
                 tracing::info!(event = "board_stale", %board, kind);
                 gateway.stale_boards.back_off_for(board, gateway.now(), STALE_BACKOFF);
                 stale = true;
@@ -279,7 +279,7 @@
         let version = config.version;
         let (applied, routes) = {
             let mut tables = gateway.tables.borrow_mut();
-            (tables.routes.take_config(config), tables.routes.route_count())
+            (tables.routes.apply_config(config), tables.routes.route_count())
         };
         if applied {
             gateway.metrics.in_force.set(i64::try_from(version).unwrap_or(i64::MAX));
@@ -328,14 +328,14 @@
                     let restarted =
                         known.as_ref().is_some_and(|known| known.started_at != entry.started_at);
                     if restarted || entry.draining {
-                        gateway.channels.forget(&entry.id);
+                        gateway.channels.evict(&entry.id);
                     }
                 }
                 // The remaining cold time of an entry that a listing repeats was stated some time ago.
                 let cold = if known.as_ref() == Some(&entry) { Duration::ZERO } else { entry.cold };
                 tables.backends.apply_entry(entry);
                 if !cold.is_zero() {
-                    tables.backends.note_cold(&object.name, cold, now);
+                    tables.backends.record_cold(&object.name, cold, now);
                 }
                 true
             }
@@ -356,11 +356,11 @@
         if tables.backends.get(id).is_none() {
             return;
         }
-        tables.backends.note_missing(id, since);
+        tables.backends.record_missing(id, since);
         let lapsed = since.is_some();
         tracing::info!(event = "server_missing", server = %id, lapsed);
         if !lapsed {
-            gateway.channels.forget(id);
+            gateway.channels.evict(id);
         }
     }
 }
--- a/toucanrail/src/records.rs
+++ b/toucanrail/src/records.rs
@@ -12,7 +12,7 @@
 use crate::codes::ResultCode;
 use crate::codetable;
 use crate::ids::{AgentId, CustomerId, EntryId, RequestId, RunId, Version};
-use crate::messages::{AskMode, HeaderField, KeptAnswer, RunFate};
+use crate::messages::{HeaderField, QueryMode, RunReport, StoredResponse};
 use crate::paths;
 use crate::storecalls::{self, StoreCall, StoreReply, WriteExpectation};
 
@@ -113,7 +113,7 @@
         /// The attempt.
         run: RunId,
         /// What the agent does about an attempt that has not arrived or is running.
-        mode: AskMode,
+        mode: QueryMode,
     },
 }
 
@@ -123,7 +123,7 @@
     /// The reply of the object API.
     Store(StoreReply),
     /// The state of the attempt at the agent.
-    Report(RunFate),
+    Report(RunReport),
     /// This incarnation of the agent has provably ended.
     Gone,
     /// The agent did not reply.
@@ -141,7 +141,7 @@
         version: Version,
     },
     /// Reply with the recorded response.
-    Replay(KeptAnswer),
+    Replay(StoredResponse),
     /// Refuse with this code.
     Refuse(ResultCode),
 }
@@ -202,7 +202,7 @@
             RecordStage::Query => found.map(|(_, record)| RecordCall::Query {
                 agent: Arc::clone(&record.agent),
                 run: record.run(),
-                mode: AskMode::Void,
+                mode: QueryMode::Void,
             }),
             RecordStage::Rewrite => found.map(|(version, _)| {
                 RecordCall::Store(StoreCall::Put {
@@ -253,7 +253,7 @@
         self.end(match record.state {
             RecordState::Started => RecordOutcome::Run { record, version },
             RecordState::Finished { status, fields, body } => {
-                RecordOutcome::Replay(KeptAnswer { status, fields, body: body.into_bytes() })
+                RecordOutcome::Replay(StoredResponse { status, fields, body: body.into_bytes() })
             }
             RecordState::NotRun | RecordState::Unknown => {
                 RecordOutcome::Refuse(codetable::END_UNKNOWN)
@@ -304,11 +304,11 @@
         };
         match reply {
             // The only agent that the attempt may be sent to has voided it, so a new attempt may run.
-            RecordReply::Report(RunFate::NeverCame) => self.start_attempt(&record),
-            RecordReply::Report(RunFate::Ended { answer: Some(response), .. }) => {
+            RecordReply::Report(RunReport::NeverCame) => self.start_attempt(&record),
+            RecordReply::Report(RunReport::Ended { answer: Some(response), .. }) => {
                 self.rewrite(&record, finished_state(response));
             }
-            RecordReply::Report(RunFate::Ended { .. }) | RecordReply::Gone => {
+            RecordReply::Report(RunReport::Ended { .. }) | RecordReply::Gone => {
                 self.rewrite(&record, RecordState::Unknown);
             }
             _ => self.refuse(codetable::IN_FLIGHT),
@@ -322,7 +322,7 @@
 }
 
 /// Returns the state of a request that completed with a response.
-pub fn finished_state(response: KeptAnswer) -> RecordState {
+pub fn finished_state(response: StoredResponse) -> RecordState {
     RecordState::Finished {
         status: response.status,
         fields: response.fields,
--- a/toucanrail/tests/run_records.rs
+++ b/toucanrail/tests/run_records.rs
@@ -12,14 +12,14 @@
 use toucanrail::codetable;
 use toucanrail::ids::{AgentId, EntryId, RequestId, Version};
 use toucanrail::ledgers::UsageLedger;
-use toucanrail::messages::{KeptAnswer, RunOrder};
+use toucanrail::messages::{RunCommand, StoredResponse};
 use toucanrail::paths;
 use toucanrail::records::RunRecord;
 use toucanrail::records::{
     self, RecordCall, RecordMachine, RecordOutcome, RecordReply, RecordState,
 };
 use toucanrail::storecalls::{self, StoreCall, WriteExpectation};
-use world::{FakeStore, StoreMood};
+use world::{FakeStore, StoreFault};
 
 const CASES: u32 = 1_500;
 const CALLERS: usize = 4;
@@ -39,7 +39,7 @@
 struct RecordSim {
     store: FakeStore,
     agents: Vec<UsageLedger>,
-    running: Vec<RunOrder>,
+    running: Vec<RunCommand>,
     callers: Vec<CallerState>,
     /// Number of times that the service ran.
     runs: u64,
@@ -86,7 +86,7 @@
         })));
     }
 
-    fn step(&mut self, caller: usize, mood: StoreMood) {
+    fn step(&mut self, caller: usize, mood: StoreFault) {
         self.callers[caller] = match std::mem::replace(&mut self.callers[caller], CallerState::Idle)
         {
             CallerState::Opening(machine) => self.step_opening(*machine, mood),
@@ -95,13 +95,13 @@
         };
     }
 
-    fn step_opening(&mut self, mut machine: RecordMachine, mood: StoreMood) -> CallerState {
+    fn step_opening(&mut self, mut machine: RecordMachine, mood: StoreFault) -> CallerState {
         let Some(call) = machine.next_call() else {
             return self.handle_outcome(machine.into_outcome());
         };
         let reply = match call {
             RecordCall::Store(call) => RecordReply::Store(self.store.call(&call, mood)),
-            RecordCall::Query { .. } if mood == StoreMood::Down => RecordReply::Unreachable,
+            RecordCall::Query { .. } if mood == StoreFault::Unavailable => RecordReply::Unreachable,
             RecordCall::Query { agent, run, mode } => match self.agent(&agent) {
                 Some(agent) => RecordReply::Report(self.agents[agent].query(&run, mode)),
                 None => RecordReply::Gone,
@@ -152,7 +152,7 @@
             return;
         };
         let body = format!("filed {}", self.runs).into_bytes();
-        let response = KeptAnswer { status: 200, fields: Vec::new(), body };
+        let response = StoredResponse { status: 200, fields: Vec::new(), body };
         if let Some(agent) = self.agent(&order.agent) {
             self.agents[agent].finish(&order.run, true, 5, 0, Some(response.clone()));
         }
@@ -172,7 +172,7 @@
         record: RunRecord,
         version: Version,
         state: RecordState,
-        mood: StoreMood,
+        mood: StoreFault,
     ) -> CallerState {
         let closed = RunRecord { state: state.clone(), ..record.clone() };
         let put = StoreCall::Put {
@@ -205,8 +205,8 @@
     }
 }
 
-fn run_order(record: &RunRecord) -> RunOrder {
-    RunOrder {
+fn run_order(record: &RunRecord) -> RunCommand {
+    RunCommand {
         request: Arc::clone(&record.request),
         entry: Arc::clone(&record.writer),
         hold: 5,
@@ -219,7 +219,7 @@
 #[derive(Debug, Clone)]
 enum Step {
     Open(usize, usize),
-    StoreCalls(usize, usize, StoreMood),
+    StoreCalls(usize, usize, StoreFault),
     Deliver(usize),
     Finish,
     KillEntry(usize),
@@ -229,10 +229,10 @@
 
 fn step_strategy() -> impl Strategy<Value = Step> {
     let mood = prop_oneof![
-        6 => Just(StoreMood::Well),
-        1 => Just(StoreMood::Down),
-        2 => Just(StoreMood::Lost),
-        1 => Just(StoreMood::Late),
+        6 => Just(StoreFault::NoFault),
+        1 => Just(StoreFault::Unavailable),
+        2 => Just(StoreFault::ReplyLost),
+        1 => Just(StoreFault::Delayed),
     ];
     prop_oneof![
         6 => (0..CALLERS, 0..2usize).prop_map(|(a, b)| Step::Open(a, b)),
@@ -249,7 +249,7 @@
     match *step {
         Step::Open(caller, agent) => sim.open(caller, agent),
         Step::StoreCalls(caller, count, mood) => {
-            (1..count).for_each(|_| sim.step(caller, StoreMood::Well));
+            (1..count).for_each(|_| sim.step(caller, StoreFault::NoFault));
             sim.step(caller, mood);
         }
         Step::Deliver(caller) => sim.deliver(caller),
@@ -261,7 +261,7 @@
             }
         }
         Step::KillAgent(agent) => sim.kill_agent(agent),
-        Step::ApplyLateWrites => sim.store.land_late(),
+        Step::ApplyLateWrites => sim.store.apply_delayed(),
     }
 }
 
@@ -297,10 +297,10 @@
     let mut sim = RecordSim::new();
     for caller in 0..CALLERS {
         sim.open(caller, caller % 2);
-        (0..8).for_each(|_| sim.step(caller, StoreMood::Well));
+        (0..8).for_each(|_| sim.step(caller, StoreFault::NoFault));
         sim.deliver(caller);
         sim.finish();
-        (0..8).for_each(|_| sim.step(caller, StoreMood::Well));
+        (0..8).for_each(|_| sim.step(caller, StoreFault::NoFault));
     }
     assert_eq!(sim.runs, 1);
     assert_eq!(sim.responses, vec![b"filed 1".to_vec(); CALLERS]);
--- a/toucanrail/tests/world/mod.rs
+++ b/toucanrail/tests/world/mod.rs
@@ -1,35 +1,35 @@
-//! A small world of entries, agents and an object API in virtual time: every message is an
-//! explicit step, so that a schedule can delay, lose or cut it.
+//! A simulation of entries, agents and an object API. Every message is an explicit step, so that a
+//! schedule can delay or lose it.
 
-// Each test file uses its own part of this.
+// Each test file uses only some of these items.
 #![allow(dead_code)]
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
 use toucanrail::archives::ArchiveMachine;
-use toucanrail::budgets::{BillBatch, BillRow, BudgetAccount, BudgetShard, HolderState, RunNote};
+use toucanrail::budgets::{BillBatch, BillRow, BilledRun, BudgetAccount, BudgetShard, HolderState};
 use toucanrail::grants::{GrantHold, GrantTable};
 use toucanrail::ids::{AgentId, CustomerId, EntryId, RequestId, RunId, ShardName, Tokens, Version};
 use toucanrail::ledgers::UsageLedger;
-use toucanrail::messages::{RunOrder, UsageRule};
+use toucanrail::messages::{RunCommand, UsageRule};
 use toucanrail::paths;
 use toucanrail::policies::GrantPolicy;
 use toucanrail::reclaims::{ReclaimCall, ReclaimMachine, ReclaimOutcome, ReclaimReply};
 use toucanrail::storecalls::{self, ObjectPath, StoreCall, StoreReply, WriteExpectation};
 use toucanrail::syncs::SyncMachine;
 
-/// How the object API treats one call.
+/// The fault of one call to the object API.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum StoreMood {
-    /// It answers.
-    Well,
-    /// It does nothing and does not answer.
-    Down,
-    /// It takes effect and does not answer.
-    Lost,
-    /// It does not answer, and a write lands later if its condition still holds.
-    Late,
+pub enum StoreFault {
+    /// It applies the call and replies.
+    NoFault,
+    /// It neither applies the call nor replies.
+    Unavailable,
+    /// It applies the call but does not reply.
+    ReplyLost,
+    /// It does not reply; a write is applied later if its condition still holds.
+    Delayed,
 }
 
 /// The object API as a map.
@@ -38,27 +38,27 @@
     pub objects: BTreeMap<ObjectPath, (Version, Vec<u8>)>,
     pub revision: Version,
     pub writes: u64,
-    late: Vec<StoreCall>,
+    delayed: Vec<StoreCall>,
 }
 
 impl FakeStore {
-    pub fn call(&mut self, call: &StoreCall, mood: StoreMood) -> StoreReply {
-        match mood {
-            StoreMood::Well => self.apply(call),
-            StoreMood::Down => StoreReply::Unavailable,
-            StoreMood::Lost => {
+    pub fn call(&mut self, call: &StoreCall, fault: StoreFault) -> StoreReply {
+        match fault {
+            StoreFault::NoFault => self.apply(call),
+            StoreFault::Unavailable => StoreReply::Unavailable,
+            StoreFault::ReplyLost => {
                 self.apply(call);
                 StoreReply::Unavailable
             }
-            StoreMood::Late => {
-                self.late.push(call.clone());
+            StoreFault::Delayed => {
+                self.delayed.push(call.clone());
                 StoreReply::Unavailable
             }
         }
     }
 
-    pub fn land_late(&mut self) {
-        for call in std::mem::take(&mut self.late) {
+    pub fn apply_delayed(&mut self) {
+        for call in std::mem::take(&mut self.delayed) {
             self.apply(&call);
         }
     }
@@ -89,17 +89,18 @@
     }
 }
 
-/// A request that an entry holds money for.
+/// A request in flight, for which an entry holds tokens.
 #[derive(Debug, Clone)]
 pub struct Flight {
-    pub order: RunOrder,
+    pub order: RunCommand,
     pub hold: GrantHold,
     pub delivered: bool,
-    /// Whether it ended, and what it used if it ran.
     pub ended: bool,
+    /// Tokens used, if it ran.
     pub used: Option<Tokens>,
 }
 
+/// An entry process; `alive` is false after it was killed.
 #[derive(Debug)]
 pub struct EntrySim {
     pub id: EntryId,
@@ -111,67 +112,70 @@
     reclaim: Option<ReclaimMachine>,
 }
 
+/// An agent process; entries get no reply from it while it is not `reachable`.
 #[derive(Debug)]
 pub struct AgentSim {
     pub ledger: UsageLedger,
-    pub running: Vec<RunOrder>,
+    pub running: Vec<RunCommand>,
     pub reachable: bool,
 }
 
-/// What truly ran: by run, its request, customer and usage.
+/// A run that an engine really executed, whether or not the fleet knows of it.
 #[derive(Debug, Clone)]
-pub struct TrueRun {
+pub struct ActualRun {
     pub request: RequestId,
     pub customer: CustomerId,
     pub used: Tokens,
     pub agent: AgentId,
 }
 
+/// The simulated fleet and its object API, with the runs that its engines really executed.
 #[derive(Debug)]
-pub struct World {
+pub struct FleetSim {
     pub store: FakeStore,
     pub entries: Vec<EntrySim>,
     pub agents: Vec<AgentSim>,
     pub customers: Vec<CustomerId>,
-    pub truth: BTreeMap<RunId, TrueRun>,
+    pub actual_runs: BTreeMap<RunId, ActualRun>,
     pub lost_agents: BTreeSet<AgentId>,
     pub shard: ShardName,
     pub policy: GrantPolicy,
-    next: u64,
+    id_count: u64,
 }
 
-pub const OPENING: Tokens = 2_000;
-/// So few that keys move to the archive in almost every schedule.
+/// Initial prepaid total of every customer.
+pub const OPENING_BUDGET: Tokens = 2_000;
+/// Small enough that keys move to the archive in almost every schedule.
 const RECENT_KEYS: usize = 2;
 
-impl World {
+impl FleetSim {
     pub fn new(entries: usize, agents: usize, policy: GrantPolicy) -> Self {
         let shard: ShardName = Arc::from("shard-0");
         let customers: Vec<CustomerId> = vec![Arc::from("bottler"), Arc::from("brewer")];
         let mut content = BudgetShard::default();
         for customer in &customers {
             let account = content.accounts.entry(Arc::clone(customer)).or_default();
-            account.top_up(OPENING).unwrap();
+            account.top_up(OPENING_BUDGET).unwrap();
         }
-        let mut world = Self {
+        let mut sim = Self {
             store: FakeStore::default(),
             entries: Vec::new(),
             agents: Vec::new(),
             customers,
-            truth: BTreeMap::new(),
+            actual_runs: BTreeMap::new(),
             lost_agents: BTreeSet::new(),
             shard,
             policy,
-            next: 0,
+            id_count: 0,
         };
-        world.put_shard(&content);
+        sim.put_shard(&content);
         for _ in 0..agents {
-            world.add_agent();
+            sim.add_agent();
         }
         for _ in 0..entries {
-            world.add_entry();
+            sim.add_entry();
         }
-        world
+        sim
     }
 
     pub fn read_shard(&self) -> BudgetShard {
@@ -186,20 +190,20 @@
         self.store.objects.insert(paths::budget_path(&self.shard), (version, value));
     }
 
-    /// An operator's edit, atomic as its conditional update is.
+    /// Edits an account as an operator does; atomic like the operator's conditional update.
     pub fn edit_account(&mut self, customer: usize, edit: impl FnOnce(&mut BudgetAccount)) {
         let mut content = self.read_shard();
         edit(content.accounts.get_mut(&self.customers[customer]).unwrap());
         self.put_shard(&content);
     }
 
-    fn fresh(&mut self, prefix: &str) -> Arc<str> {
-        self.next += 1;
-        Arc::from(format!("{prefix}-{}", self.next))
+    fn next_id(&mut self, prefix: &str) -> Arc<str> {
+        self.id_count += 1;
+        Arc::from(format!("{prefix}-{}", self.id_count))
     }
 
     pub fn add_entry(&mut self) {
-        let id = self.fresh("entry");
+        let id = self.next_id("entry");
         let mut table = GrantTable::new(Arc::clone(&id), self.policy);
         for customer in &self.customers {
             table.add_account(customer, &self.shard);
@@ -213,41 +217,41 @@
             archive: None,
             reclaim: None,
         });
-        self.name_agents();
+        self.update_wanted_agents();
     }
 
     fn add_agent(&mut self) {
-        let id = self.fresh("agent");
+        let id = self.next_id("agent");
         self.agents.push(AgentSim {
             ledger: UsageLedger::new(id),
             running: Vec::new(),
             reachable: true,
         });
-        self.name_agents();
+        self.update_wanted_agents();
     }
 
-    fn name_agents(&mut self) {
+    fn update_wanted_agents(&mut self) {
         let agents: BTreeSet<AgentId> =
             self.agents.iter().map(|agent| Arc::clone(agent.ledger.agent())).collect();
         for entry in &mut self.entries {
-            entry.table.want_agents(agents.clone());
+            entry.table.set_wanted_agents(agents.clone());
         }
     }
 
-    /// A caller's request: held if the entry has the money, else it asks for more.
+    /// Admits a caller's request: takes a hold if the grant suffices, or else waits for more.
     pub fn admit(
         &mut self,
-        at: usize,
+        index: usize,
         customer: usize,
         amount: Tokens,
         request: Option<RequestId>,
     ) {
         let keyed = request.is_some();
-        let request = request.unwrap_or_else(|| self.fresh("request"));
-        let run = self.fresh("run");
+        let request = request.unwrap_or_else(|| self.next_id("request"));
+        let run = self.next_id("run");
         let customer = Arc::clone(&self.customers[customer]);
         let shard = Arc::clone(&self.shard);
-        let entry = &mut self.entries[at];
+        let entry = &mut self.entries[index];
         if !entry.alive {
             return;
         }
@@ -255,12 +259,12 @@
         let agents: Vec<AgentId> = usable.unwrap_or_default().into_iter().collect();
         let hold = entry.table.hold(&customer, amount);
         let (Ok(hold), false) = (hold, agents.is_empty()) else {
-            entry.table.add_shortage(&customer, amount);
+            entry.table.begin_wait(&customer, amount);
             return;
         };
-        let agent = Arc::clone(&agents[self.next as usize % agents.len()]);
+        let agent = Arc::clone(&agents[self.id_count as usize % agents.len()]);
         entry.table.mark_agent(&shard, &agent, true);
-        let order = RunOrder {
+        let order = RunCommand {
             request,
             entry: Arc::clone(&entry.id),
             customer,
@@ -273,14 +277,14 @@
         entry.flights.push(Flight { order, hold, delivered: false, ended: false, used: None });
     }
 
-    /// The order of a flight reaches its agent, or is refused there.
-    pub fn deliver(&mut self, at: usize, which: usize) {
-        let entry = &mut self.entries[at];
+    /// Delivers a request in flight to its agent, which may refuse it.
+    pub fn deliver(&mut self, index: usize, number: usize) {
+        let entry = &mut self.entries[index];
         let count = entry.flights.len();
         if count == 0 {
             return;
         }
-        let flight = &mut entry.flights[which % count];
+        let flight = &mut entry.flights[number % count];
         if std::mem::replace(&mut flight.delivered, true) {
             return;
         }
@@ -292,22 +296,22 @@
         }
     }
 
-    /// A run ends at its agent: now the engine has spent.
-    pub fn finish_run(&mut self, at: usize, which: usize, share: u64) {
-        let agent = &mut self.agents[at];
+    /// Ends a run at its agent, so that the engine has used its tokens.
+    pub fn finish_run(&mut self, index: usize, number: usize, share: u64) {
+        let agent = &mut self.agents[index];
         if agent.running.is_empty() {
             return;
         }
-        let order = agent.running.remove(which % agent.running.len());
+        let order = agent.running.remove(number % agent.running.len());
         let used = (order.hold * (share % 101) / 100).max(1).min(order.hold);
         agent.ledger.finish(&order.run, true, used, 0, None);
-        let run = TrueRun {
+        let run = ActualRun {
             request: Arc::clone(&order.request),
             customer: Arc::clone(&order.customer),
             used,
             agent: Arc::clone(&order.agent),
         };
-        self.truth.insert(Arc::clone(&order.run), run);
+        self.actual_runs.insert(Arc::clone(&order.run), run);
         let flights = self.entries.iter_mut().flat_map(|entry| &mut entry.flights);
         for flight in flights.filter(|flight| flight.order.run == order.run) {
             flight.ended = true;
@@ -315,9 +319,9 @@
         }
     }
 
-    /// An entry takes the results that have come to it.
-    pub fn take_results(&mut self, at: usize) {
-        let entry = &mut self.entries[at];
+    /// Lets an entry process the results that it has received.
+    pub fn take_results(&mut self, index: usize) {
+        let entry = &mut self.entries[index];
         if !entry.alive {
             return;
         }
@@ -328,14 +332,14 @@
             let bill = flight.used.map(|used| bill_row(&flight.order, used));
             let (shard, agent) = (&flight.hold.shard, &flight.order.agent);
             entry.table.mark_agent(shard, agent, false);
-            entry.table.finish(&flight.hold, bill);
+            entry.table.end_hold(&flight.hold, bill);
         }
     }
 
-    /// One step of an entry's sync.
-    pub fn step_sync(&mut self, at: usize, mood: StoreMood, leave: bool) {
+    /// Performs one step of an entry's sync.
+    pub fn step_sync(&mut self, index: usize, fault: StoreFault, leave: bool) {
         let shard = Arc::clone(&self.shard);
-        let entry = &mut self.entries[at];
+        let entry = &mut self.entries[index];
         if !entry.alive {
             return;
         }
@@ -347,74 +351,74 @@
             return;
         };
         if let Some(call) = machine.next_call() {
-            machine.take_reply(self.store.call(&call, mood));
+            machine.handle_reply(self.store.call(&call, fault));
             entry.sync = Some(machine);
             return;
         }
         entry.table.apply_sync(&shard, machine.into_outcome());
         let customers = self.customers.clone();
         for customer in customers {
-            while entry.table.drop_waiting(&customer) {}
+            while entry.table.discard_wait(&customer) {}
         }
     }
 
-    pub fn run_sync(&mut self, at: usize, leave: bool) {
+    pub fn run_sync(&mut self, index: usize, leave: bool) {
         for _ in 0..40 {
-            self.step_sync(at, StoreMood::Well, leave);
-            if self.entries[at].sync.is_none() {
+            self.step_sync(index, StoreFault::NoFault, leave);
+            if self.entries[index].sync.is_none() {
                 return;
             }
         }
     }
 
-    /// Opens a tenure with some grant at every entry.
+    /// Opens a tenure with a grant at every entry.
     pub fn open_tenures(&mut self) {
-        for at in 0..self.entries.len() {
+        for index in 0..self.entries.len() {
             for customer in self.customers.clone() {
-                self.entries[at].table.add_shortage(&customer, 100);
+                self.entries[index].table.begin_wait(&customer, 100);
             }
-            self.run_sync(at, false);
+            self.run_sync(index, false);
         }
     }
 
-    /// One step of moving old keys to the archive.
-    pub fn step_archive(&mut self, at: usize, mood: StoreMood) {
+    /// Performs one step of moving old keys to the archive.
+    pub fn step_archive(&mut self, index: usize, fault: StoreFault) {
         let shard = Arc::clone(&self.shard);
-        let entry = &mut self.entries[at];
+        let entry = &mut self.entries[index];
         if !entry.alive {
             return;
         }
         let machine = entry.archive.take();
         let mut machine = machine.unwrap_or_else(|| ArchiveMachine::new(shard, RECENT_KEYS));
         if let Some(call) = machine.next_call() {
-            machine.handle_reply(self.store.call(&call, mood));
+            machine.handle_reply(self.store.call(&call, fault));
             entry.archive = Some(machine);
         }
     }
 
-    /// Agents drop what an entry has settled.
-    pub fn send_acks(&mut self, at: usize) {
-        let entry = &mut self.entries[at];
+    /// Lets agents drop the runs that an entry has settled.
+    pub fn send_acks(&mut self, index: usize) {
+        let entry = &mut self.entries[index];
         if !entry.alive {
             return;
         }
-        for (agent, runs) in entry.table.due_acks() {
-            let found = self.agents.iter_mut().find(|sim| *sim.ledger.agent() == agent);
+        for (agent, runs) in entry.table.pending_acks() {
+            let found = self.agents.iter_mut().find(|agent_sim| *agent_sim.ledger.agent() == agent);
             match found {
-                Some(sim) if sim.reachable => {
-                    sim.ledger.acknowledge(&runs);
+                Some(agent_sim) if agent_sim.reachable => {
+                    agent_sim.ledger.acknowledge(&runs);
                     let dropped = runs.into_iter().collect();
-                    entry.table.note_acked(&agent, &dropped, false);
+                    entry.table.record_acked(&agent, &dropped, false);
                 }
                 Some(_) => {}
-                None => entry.table.note_acked(&agent, &BTreeSet::new(), true),
+                None => entry.table.record_acked(&agent, &BTreeSet::new(), true),
             }
         }
     }
 
-    /// The process dies with all that it knew; its streams end at the agents by themselves.
-    pub fn kill_entry(&mut self, at: usize) {
-        let entry = &mut self.entries[at];
+    /// Kills an entry with all its state. Its runs end at the agents on their own.
+    pub fn kill_entry(&mut self, index: usize) {
+        let entry = &mut self.entries[index];
         entry.alive = false;
         entry.sync = None;
         entry.archive = None;
@@ -422,20 +426,21 @@
         entry.flights.retain(|flight| !flight.delivered);
     }
 
-    /// The agent dies with its ledger; what its engine had begun is spent and known to nobody.
-    pub fn kill_agent(&mut self, at: usize) {
-        let dead = self.agents.remove(at);
+    /// Kills an agent with its ledger. The tokens of its running requests are used, but nothing
+    /// records them.
+    pub fn kill_agent(&mut self, index: usize) {
+        let dead = self.agents.remove(index);
         let id = Arc::clone(dead.ledger.agent());
         for order in dead.running {
-            let run = TrueRun {
+            let run = ActualRun {
                 request: order.request,
                 customer: order.customer,
                 used: order.hold / 2,
                 agent: order.agent,
             };
-            self.truth.insert(order.run, run);
+            self.actual_runs.insert(order.run, run);
         }
-        // What the entry had in flight there cannot be known any more.
+        // The usage of requests in flight at this agent can no longer be determined.
         for entry in &mut self.entries {
             let (lost, kept): (Vec<_>, Vec<_>) = std::mem::take(&mut entry.flights)
                 .into_iter()
@@ -446,19 +451,20 @@
                 row.unproved = if flight.delivered { flight.hold.amount } else { 0 };
                 entry.table.mark_agent(&flight.hold.shard, &id, false);
                 let bill = Some(row).filter(|_| flight.delivered);
-                entry.table.finish(&flight.hold, bill);
+                entry.table.end_hold(&flight.hold, bill);
             }
         }
         self.lost_agents.insert(id);
         self.add_agent();
     }
 
-    /// One step of a reclaim of `dead`'s tenure by the entry at `by`.
+    /// Performs one step of the reclaim of `dead`'s tenure by the entry `by`. Returns the outcome
+    /// once it has ended.
     pub fn step_reclaim(
         &mut self,
         by: usize,
         dead: usize,
-        mood: StoreMood,
+        fault: StoreFault,
     ) -> Option<ReclaimOutcome> {
         let dead = Arc::clone(&self.entries[dead].id);
         let shard = Arc::clone(&self.shard);
@@ -475,7 +481,7 @@
             return Some(machine.into_outcome());
         };
         let reply = match call {
-            ReclaimCall::Store(call) => ReclaimReply::Store(self.store.call(&call, mood)),
+            ReclaimCall::Store(call) => ReclaimReply::Store(self.store.call(&call, fault)),
             ReclaimCall::Fence { agent, shard, epoch } => self.fence(&agent, &shard, epoch),
         };
         machine.handle_reply(reply);
@@ -483,16 +489,18 @@
         None
     }
 
-    fn is_revoked(&self, at: usize) -> bool {
+    fn is_revoked(&self, index: usize) -> bool {
         let shard = self.read_shard();
-        let row = shard.holders.get(&self.entries[at].id);
+        let row = shard.holders.get(&self.entries[index].id);
         row.is_some_and(|row| row.state != HolderState::Live)
     }
 
     fn fence(&mut self, agent: &AgentId, shard: &ShardName, epoch: u64) -> ReclaimReply {
-        let found = self.agents.iter_mut().find(|sim| sim.ledger.agent() == agent);
+        let found = self.agents.iter_mut().find(|agent_sim| agent_sim.ledger.agent() == agent);
         match found {
-            Some(sim) if sim.reachable => ReclaimReply::Fenced(sim.ledger.fence(shard, epoch)),
+            Some(agent_sim) if agent_sim.reachable => {
+                ReclaimReply::Fenced(agent_sim.ledger.fence(shard, epoch))
+            }
             Some(_) => ReclaimReply::Unreachable,
             None => ReclaimReply::Gone,
         }
@@ -501,26 +509,27 @@
     pub fn run_reclaim(&mut self, by: usize, dead: usize) -> ReclaimOutcome {
         self.entries[by].reclaim = None;
         loop {
-            if let Some(outcome) = self.step_reclaim(by, dead, StoreMood::Well) {
+            if let Some(outcome) = self.step_reclaim(by, dead, StoreFault::NoFault) {
                 return outcome;
             }
         }
     }
 
-    /// Returns what engines truly spent for a customer.
-    pub fn spent(&self, customer: &CustomerId) -> Tokens {
-        let runs = self.truth.values();
+    /// Returns the tokens that engines have really used for a customer.
+    pub fn actual_spent(&self, customer: &CustomerId) -> Tokens {
+        let runs = self.actual_runs.values();
         runs.filter(|run| run.customer == *customer).map(|run| run.used).sum()
     }
 
-    /// Returns what engines have spent and may still spend on what runs.
-    pub fn most_spent(&self, customer: &CustomerId) -> Tokens {
+    /// Returns the tokens that engines have used for a customer, plus those that running requests
+    /// may still use.
+    pub fn max_spent(&self, customer: &CustomerId) -> Tokens {
         let running = self.agents.iter().flat_map(|agent| &agent.running);
         let running = running.filter(|order| order.customer == *customer);
-        self.spent(customer) + running.map(|order| order.hold).sum::<Tokens>()
+        self.actual_spent(customer) + running.map(|order| order.hold).sum::<Tokens>()
     }
 
-    /// Returns the bills that count, as the shard says.
+    /// Returns the bills that count according to the shard.
     pub fn counted_bills(&self) -> Vec<BillRow> {
         let shard = self.read_shard();
         let prefix = format!("{}/", paths::BILLS);
@@ -537,20 +546,21 @@
         rows
     }
 
-    /// Lets everything come to rest: messages arrive, the dead are reclaimed, the rest settles.
+    /// Ends all activity: delivers messages, finishes runs, reclaims the tenures of dead entries
+    /// and settles those of the others.
     pub fn settle_all(&mut self) {
-        self.store.land_late();
+        self.store.apply_delayed();
         for agent in &mut self.agents {
             agent.reachable = true;
         }
-        for at in 0..self.entries.len() {
-            for which in 0..self.entries[at].flights.len() {
-                self.deliver(at, which);
+        for index in 0..self.entries.len() {
+            for number in 0..self.entries[index].flights.len() {
+                self.deliver(index, number);
             }
         }
-        for at in 0..self.agents.len() {
-            while !self.agents[at].running.is_empty() {
-                self.finish_run(at, 0, 50);
+        for index in 0..self.agents.len() {
+            while !self.agents[index].running.is_empty() {
+                self.finish_run(index, 0, 50);
             }
         }
         if self.entries.iter().all(|entry| !entry.alive) {
@@ -563,21 +573,21 @@
             }
         }
         for _ in 0..4 {
-            for at in 0..self.entries.len() {
-                self.take_results(at);
-                self.run_sync(at, false);
-                if self.is_revoked(at) {
-                    self.run_reclaim(at, at);
+            for index in 0..self.entries.len() {
+                self.take_results(index);
+                self.run_sync(index, false);
+                if self.is_revoked(index) {
+                    self.run_reclaim(index, index);
                 }
-                self.send_acks(at);
+                self.send_acks(index);
             }
         }
     }
 }
 
-/// Makes an order with nothing special about it.
-pub fn plain_order(run: RunId, agent: AgentId) -> RunOrder {
-    RunOrder {
+/// Returns a run with default values.
+pub fn plain_order(run: RunId, agent: AgentId) -> RunCommand {
+    RunCommand {
         request: Arc::from("request"),
         run,
         agent,
@@ -601,7 +611,7 @@
     }
 }
 
-fn bill_row(order: &RunOrder, used: Tokens) -> BillRow {
+fn bill_row(order: &RunCommand, used: Tokens) -> BillRow {
     BillRow {
         request: Arc::clone(&order.request),
         customer: Arc::clone(&order.customer),
@@ -611,6 +621,10 @@
         billed: used,
         written_off: 0,
         unproved: 0,
-        runs: vec![RunNote { run: Arc::clone(&order.run), agent: Arc::clone(&order.agent), used }],
+        runs: vec![BilledRun {
+            run: Arc::clone(&order.run),
+            agent: Arc::clone(&order.agent),
+            used,
+        }],
     }
 }
