--- a/toucanrail-daemons/src/watching.rs
+++ b/toucanrail-daemons/src/watching.rs
@@ -154,7 +154,7 @@
         entry.board.count_event("heartbeats_lost");
         return;
     };
-    entry.lock().members.record_answer(&peer, &news.id, entry.now());
+    entry.lock().members.record_response(&peer, &news.id, entry.now());
     entry.mirrors.take_news(news);
 }
 
--- a/toucanrail-gateway/src/dispatching.rs
+++ b/toucanrail-gateway/src/dispatching.rs
@@ -162,7 +162,7 @@
         PlacementQuery {
             data_centre: &self.gateway.settings.data_centre,
             parts: prompt.map_or(&[], |prompt| &prompt.parts),
-            prompt: prompt.map_or(0, |prompt| prompt.prompt),
+            prompt_tokens: prompt.map_or(0, |prompt| prompt.prompt),
             now: self.gateway.now(),
             random: fastrand::f64(),
         }
--- a/toucanrail-gateway/src/storing.rs
+++ b/toucanrail-gateway/src/storing.rs
@@ -156,7 +156,7 @@
             patience.record_timeout(wait);
             self.note_failure(&way);
         } else {
-            patience.record_answer(self.now().saturating_sub(asked));
+            patience.record_response(self.now().saturating_sub(asked));
         }
         self.patience.set(patience);
         reply
--- a/toucanrail/src/backends.rs
+++ b/toucanrail/src/backends.rs
@@ -162,8 +162,8 @@
     }
 
     /// Returns the number of prompt tokens that the server must prefill.
-    pub fn uncached_tokens(&self, parts: &[PromptPart], prompt: Tokens) -> Tokens {
-        prompt.saturating_sub(self.cached_tokens(parts))
+    pub fn uncached_tokens(&self, parts: &[PromptPart], prompt_tokens: Tokens) -> Tokens {
+        prompt_tokens.saturating_sub(self.cached_tokens(parts))
     }
 
     fn record_parts(&mut self, parts: &[PromptPart], now: Duration) {
--- a/toucanrail/src/members.rs
+++ b/toucanrail/src/members.rs
@@ -127,9 +127,9 @@
     }
 
     /// Records which entry answered at a peer's address.
-    pub fn record_answer(&mut self, peer: &EntryId, answered: &EntryId, now: Duration) {
+    pub fn record_response(&mut self, peer: &EntryId, responder: &EntryId, now: Duration) {
         if let Some(row) = self.peers.get_mut(peer) {
-            if answered == peer {
+            if responder == peer {
                 row.heard_at = now;
             } else {
                 row.gone = true;
--- a/toucanrail/src/placement.rs
+++ b/toucanrail/src/placement.rs
@@ -41,7 +41,7 @@
     /// Parts of the prompt in order, the request's own part last; empty for a plain service.
     pub parts: &'request [PromptPart],
     /// Number of prompt tokens; 0 for a plain service.
-    pub prompt: Tokens,
+    pub prompt_tokens: Tokens,
     /// Time since the start of the process.
     pub now: Duration,
     /// Random number in `0..1` that decides whether a server returning from an ejection is
@@ -55,7 +55,7 @@
 /// ```
 /// use toucanrail::placement::{self, PlacementQuery};
 /// let query = PlacementQuery {
-///     data_centre: "a", parts: &[], prompt: 0, now: Default::default(), random: 0.5,
+///     data_centre: "a", parts: &[], prompt_tokens: 0, now: Default::default(), random: 0.5,
 /// };
 /// assert!(placement::pick_backend(&[], &query).is_none());
 /// ```
@@ -95,7 +95,7 @@
     target: &BackendRow,
 ) -> Option<&'rows BackendRow> {
     let key = session_key(query)?;
-    let shared = query.prompt.saturating_sub(own_tokens(query));
+    let shared = query.prompt_tokens.saturating_sub(own_tokens(query));
     if shared < MIN_FETCH {
         return None;
     }
@@ -121,7 +121,7 @@
 /// Returns the prompt's tokens after its shared parts, which no server has cached.
 fn own_tokens(query: &PlacementQuery<'_>) -> Tokens {
     let shared = query.parts.split_last().map_or(&[][..], |(_, shared)| shared);
-    query.prompt.saturating_sub(shared.iter().map(|part| part.tokens).sum())
+    query.prompt_tokens.saturating_sub(shared.iter().map(|part| part.tokens).sum())
 }
 
 /// Returns the key that determines a session's preferred server: the id of its last shared part.
@@ -139,13 +139,13 @@
     let cold = if row.is_cold(query.now) { COLD_COST } else { 0.0 };
     let permit = row.permit_delay(query.now).as_secs_f64() * 1_000.0;
     let base = base + cold + permit;
-    if query.prompt == 0 {
+    if query.prompt_tokens == 0 {
         let slots = row.entry.slots.max(1) as f64;
         return base + in_flight / slots * PLAIN_REQUEST_COST + row.latency * 1_000.0 * 0.1;
     }
     let own = own_tokens(query) as f64;
     // The other entries send the shared parts to their preferred server too, so it has them cached.
-    let missing = row.uncached_tokens(query.parts, query.prompt) as f64 - own;
+    let missing = row.uncached_tokens(query.parts, query.prompt_tokens) as f64 - own;
     let recomputed = if is_preferred { 0.0 } else { missing.max(0.0) };
     let fetches = recomputed >= MIN_FETCH as f64;
     let (recomputed, fetch) = if fetches { (0.0, FETCH_COST) } else { (recomputed, 0.0) };
--- a/toucanrail/src/probes.rs
+++ b/toucanrail/src/probes.rs
@@ -79,8 +79,8 @@
 /// ```
 /// assert!(toucanrail::probes::is_long(40_000) && !toucanrail::probes::is_long(4_000));
 /// ```
-pub fn is_long(prompt: Tokens) -> bool {
-    prompt >= LONG_PROMPT
+pub fn is_long(prompt_tokens: Tokens) -> bool {
+    prompt_tokens >= LONG_PROMPT
 }
 
 /// A probed server, with its report if the server and its relay answered.
@@ -93,7 +93,7 @@
 /// ```
 /// use toucanrail::{placement::PlacementQuery, probes};
 /// let query = PlacementQuery {
-///     data_centre: "a", parts: &[], prompt: 0, now: Default::default(), random: 0.5,
+///     data_centre: "a", parts: &[], prompt_tokens: 0, now: Default::default(), random: 0.5,
 /// };
 /// assert!(probes::pick_candidates(&[], &query, &[0.2, 0.7]).is_empty());
 /// ```
@@ -130,7 +130,7 @@
 /// use std::time::Duration;
 /// use toucanrail::{placement::PlacementQuery, probes};
 /// let query = PlacementQuery {
-///     data_centre: "a", parts: &[], prompt: 0, now: Default::default(), random: 0.5,
+///     data_centre: "a", parts: &[], prompt_tokens: 0, now: Default::default(), random: 0.5,
 /// };
 /// assert!(probes::pick_probed(&[], &query, &[], Duration::from_secs(1)).is_none());
 /// ```
@@ -148,7 +148,8 @@
         let (_, report) = probed.iter().find(|(entry, _)| entry.id == row.entry.id)?;
         let report = report.as_ref();
         let wait = report.map_or(0.0, |report| estimate_wait(&row.entry, report, latency_target));
-        let interference = report.map_or(0.0, |report| estimate_interference(report, query.prompt));
+        let interference =
+            report.map_or(0.0, |report| estimate_interference(report, query.prompt_tokens));
         Some((*row, cost + wait + interference))
     });
     let best = probed_rows.min_by(|(_, cost), (_, other)| cost.total_cmp(other));
@@ -157,13 +158,14 @@
 
 /// Returns the cost of a long prompt to the streams of its server, and the cost of the prompts
 /// before it, in milliseconds.
-fn estimate_interference(report: &BackendReport, prompt: Tokens) -> f64 {
-    if !is_long(prompt) {
+fn estimate_interference(report: &BackendReport, prompt_tokens: Tokens) -> f64 {
+    if !is_long(prompt_tokens) {
         return 0.0;
     }
     let prefilling = report.count_prefilling() as f64;
     let streams = report.runs.iter().filter(|run| run.events > 0).count() as f64;
-    placement::prefill_time(prompt) * (STREAM_FRACTION * streams + QUEUED_FRACTION * prefilling)
+    placement::prefill_time(prompt_tokens)
+        * (STREAM_FRACTION * streams + QUEUED_FRACTION * prefilling)
 }
 
 /// Returns the expected wait for a free slot at a server, in milliseconds.
--- a/toucanrail/src/timeouts.rs
+++ b/toucanrail/src/timeouts.rs
@@ -10,7 +10,7 @@
 const MIN_WAIT: Duration = Duration::from_millis(300);
 const MAX_WAIT: Duration = Duration::from_millis(1_500);
 /// Timeout as a multiple of the latest answer time.
-const ANSWER_TIME_FACTOR: u32 = 3;
+const RESPONSE_TIME_FACTOR: u32 = 3;
 /// Factor by which the timeout shrinks after an answer, if the answer time allows it.
 const DECAY_FACTOR: f64 = 0.8;
 
@@ -40,11 +40,11 @@
     /// ```
     /// use std::time::Duration;
     /// let mut timeout = toucanrail::timeouts::AdaptiveTimeout::new();
-    /// timeout.record_answer(Duration::from_millis(400));
+    /// timeout.record_response(Duration::from_millis(400));
     /// assert_eq!(timeout.wait(), Duration::from_millis(1_200));
     /// ```
-    pub fn record_answer(&mut self, took: Duration) {
-        let wait = self.wait.mul_f64(DECAY_FACTOR).max(took * ANSWER_TIME_FACTOR);
+    pub fn record_response(&mut self, took: Duration) {
+        let wait = self.wait.mul_f64(DECAY_FACTOR).max(took * RESPONSE_TIME_FACTOR);
         self.wait = wait.clamp(MIN_WAIT, MAX_WAIT);
     }
 
--- a/toucanrail/tests/backend_placement.rs
+++ b/toucanrail/tests/backend_placement.rs
@@ -49,8 +49,8 @@
 
 /// Creates the query of a request whose prompt consists of `parts`.
 fn make_query<'call>(data_centre: &'call str, parts: &'call [PromptPart]) -> PlacementQuery<'call> {
-    let prompt = parts.iter().map(|part| part.tokens).sum();
-    PlacementQuery { data_centre, parts, prompt, now: NOW, random: 0.5 }
+    let prompt_tokens = parts.iter().map(|part| part.tokens).sum();
+    PlacementQuery { data_centre, parts, prompt_tokens, now: NOW, random: 0.5 }
 }
 
 fn in_flight(uncached: u64) -> FlightRow {
@@ -83,7 +83,7 @@
 /// according to its pace. When servers were reserved for long prompts and slow servers for short
 /// ones, four of nine servers were idle while prompts at the others waited for half a second.
 #[test]
-fn whole_fleet() {
+fn balanced_load() {
     let mut table = addressed_table();
     let slow = BTreeSet::from(["s1", "s4", "s7"].map(String::from));
     make_slow(&mut table, &slow);
--- a/toucanrail/tests/centre_evacuations.rs
+++ b/toucanrail/tests/centre_evacuations.rs
@@ -109,8 +109,13 @@
     let parts = [(1, 500), (100, 4_900), (7, 6_600)];
     let parts = parts.map(|(id, tokens)| PromptPart { id, tokens });
     let source = |table: &BackendTable, now: Duration| {
-        let query =
-            PlacementQuery { data_centre: "a", parts: &parts, prompt: 12_000, now, random: 0.5 };
+        let query = PlacementQuery {
+            data_centre: "a",
+            parts: &parts,
+            prompt_tokens: 12_000,
+            now,
+            random: 0.5,
+        };
         let eligible = table.eligible("llm", &[], now);
         let sources = table.fetch_sources("llm", &[], now);
         let target = placement::pick_backend(&eligible, &query).expect("a server");
--- a/toucanrail/tests/cold_starts.rs
+++ b/toucanrail/tests/cold_starts.rs
@@ -77,7 +77,7 @@
 /// All entries use one server whose permits are exhausted. The delay they are told must lead to the
 /// next available permit.
 #[test]
-fn told_delay() {
+fn advised_delay() {
     let mut table = PermitTable::new(Duration::ZERO);
     let now = PermitTable::WINDOW * 2;
     for _ in 0..permit_request().limit {
--- a/toucanrail/tests/fleet_members.rs
+++ b/toucanrail/tests/fleet_members.rs
@@ -37,7 +37,7 @@
     table.apply_nodes(me, nodes.iter(), Duration::ZERO);
     for tick in 0..20 {
         for (peer, _) in table.update_heartbeat_targets(me, second * tick) {
-            table.record_answer(&peer, &peer, second * tick);
+            table.record_response(&peer, &peer, second * tick);
         }
     }
     assert!(table.lost_peers(second * 20).is_empty());
--- a/toucanrail/tests/load_probes.rs
+++ b/toucanrail/tests/load_probes.rs
@@ -48,8 +48,8 @@
 }
 
 fn make_query(parts: &[PromptPart], now: Duration) -> PlacementQuery<'_> {
-    let prompt = parts.iter().map(|part| part.tokens).sum();
-    PlacementQuery { data_centre: "a", parts, prompt, now, random: 0.5 }
+    let prompt_tokens = parts.iter().map(|part| part.tokens).sum();
+    PlacementQuery { data_centre: "a", parts, prompt_tokens, now, random: 0.5 }
 }
 
 fn make_parts(session: u64, own: u64) -> [PromptPart; 3] {
--- a/toucanrail/tests/store_detours.rs
+++ b/toucanrail/tests/store_detours.rs
@@ -108,13 +108,13 @@
         if silent {
             patience.record_timeout(patience.wait());
         } else {
-            patience.record_answer(answer);
+            patience.record_response(answer);
         }
         silent
     });
     assert_eq!(given_up.count(), 1);
     for _ in 0..12 {
-        patience.record_answer(Duration::from_millis(4));
+        patience.record_response(Duration::from_millis(4));
     }
     assert_eq!(patience.wait(), Duration::from_millis(300));
 }
