--- a/toucanrail/src/attempts.rs
+++ b/toucanrail/src/attempts.rs
@@ -1,7 +1,7 @@
 //! Decides what follows an attempt at a backend server: another attempt, the server's own failure,
 //! or a failure of the router's.
 //!
-//! Servers may fail some of their requests, lose answers or disappear. Two guarantees limit the
+//! Servers may fail some of their requests, lose responses or disappear. Two guarantees limit the
 //! reaction: a request that must run at most once is never sent again after it may have run, and
 //! "not run" is reported only if nothing was sent or every server declined.
 
@@ -23,9 +23,9 @@
     Withheld,
     /// The server stated that it did not run the request and never will.
     Declined,
-    /// The server answered with a failure of its own.
+    /// The server responded with a failure of its own.
     Failed,
-    /// The request was sent, but no complete answer arrived; nothing was forwarded to the caller.
+    /// The request was sent, but no complete response arrived; nothing was forwarded to the caller.
     Lost,
     /// Part of a stream was forwarded, and the rest did not arrive.
     Broken,
@@ -44,7 +44,7 @@
     pub sent: u32,
     /// Whether a server may have run the request.
     pub may_have_run: bool,
-    /// Whether part of the answer was forwarded to the caller.
+    /// Whether part of the response was forwarded to the caller.
     pub begun: bool,
 }
 
@@ -55,7 +55,7 @@
     Retry,
     /// Forward the server's own failure unchanged.
     Forward,
-    /// Answer with a failure or refusal of the router's own.
+    /// Respond with a failure or refusal of the router's own.
     Fail(ResultCode),
     /// End the stream so that the caller can see that it is truncated.
     Truncate,
--- a/toucanrail/src/backends.rs
+++ b/toucanrail/src/backends.rs
@@ -78,7 +78,7 @@
     /// Prompt tokens that the server must prefill.
     #[serde(rename = "fresh")]
     pub uncached: Tokens,
-    /// Whether the answer has begun.
+    /// Whether the response has begun.
     pub begun: bool,
 }
 
@@ -100,7 +100,7 @@
     /// Time before which no permit for the server is requested.
     #[serde(rename = "permits_until")]
     pub permit_retry_at: Duration,
-    /// Smoothed time to an answer, or to a stream's first event, in seconds.
+    /// Smoothed time to a response, or to a stream's first event, in seconds.
     pub latency: f64,
     /// When the server's entry went missing, if it did; the entry may come back.
     pub missing_since: Option<Duration>,
@@ -225,7 +225,7 @@
     ///
     /// A server that ended without notice keeps its entry for some seconds, while its successor at
     /// the same address registers an entry of its own. After a power loss of all VMs, half of the
-    /// requests went to addresses of servers that no longer existed; the successors answered them
+    /// requests went to addresses of servers that no longer existed; the successors rejected them
     /// with 421 because of the other id, and the requests were refused.
     fn mark_replaced(&mut self, address: SocketAddr) {
         let at_address = |row: &&mut BackendRow| row.entry.address == address;
@@ -350,7 +350,7 @@
         self.next_flight
     }
 
-    /// Records that the answer to a request has begun.
+    /// Records that the response to a request has begun.
     pub fn record_first_event(&mut self, id: &str, number: FlightId, now: Duration) {
         let Some(row) = self.rows.get_mut(id) else {
             return;
@@ -430,8 +430,8 @@
         }
     }
 
-    /// Records that a server declared in an answer that it is leaving, or that it is not the server
-    /// named in its entry.
+    /// Records that a server declared in a response that it is leaving, or that it is not the
+    /// server named in its entry.
     pub fn record_leaving(&mut self, id: &str) {
         if let Some(row) = self.rows.get_mut(id) {
             row.entry.draining = true;
--- a/toucanrail/src/boards.rs
+++ b/toucanrail/src/boards.rs
@@ -17,9 +17,9 @@
 use crate::loans;
 use crate::messages::{MirrorChange, MirrorObject, NewsReply};
 
-/// Default time since the store's last answer after which a board is stale and returns no objects.
-/// Entries then ask the store themselves, well within the two seconds in which a change must be
-/// known. A board's watch waits for less than this.
+/// Default time since the store's last response after which a board is stale and returns no
+/// objects. Entries then ask the store themselves, well within the two seconds in which a change
+/// must be known. A board's watch waits for less than this.
 pub const MAX_AGE: Duration = Duration::from_millis(900);
 /// Number of changes kept for entries that lag behind; a release of a large service makes some
 /// hundreds.
@@ -39,7 +39,7 @@
 /// The objects of one kind, as last seen by a relay.
 #[derive(Debug, Serialize)]
 pub struct BoardTable {
-    /// Time since the store's last answer after which the table is stale.
+    /// Time since the store's last response after which the table is stale.
     #[serde(rename = "fresh")]
     max_age: Duration,
     objects: BTreeMap<Arc<str>, MirrorObject>,
@@ -57,7 +57,7 @@
         Self::with_max_age(MAX_AGE)
     }
 
-    /// Creates an empty table that becomes stale `max_age` after the store's last answer.
+    /// Creates an empty table that becomes stale `max_age` after the store's last response.
     pub fn with_max_age(max_age: Duration) -> Self {
         Self {
             max_age,
@@ -86,7 +86,7 @@
         self.is_silent = false;
     }
 
-    /// Records that the store did not answer: the board is stale until it does.
+    /// Records that the store did not respond: the board is stale until it does.
     pub fn record_store_failure(&mut self) {
         self.is_silent = true;
     }
@@ -112,14 +112,14 @@
         }
     }
 
-    /// Returns whether the store's last call failed or its last answer is too old.
+    /// Returns whether the store's last call failed or its last response is too old.
     pub fn is_stale(&self, now: Duration) -> bool {
         let expired = self.heard_at.is_none_or(|heard| now.saturating_sub(heard) > self.max_age);
         expired || self.is_silent
     }
 
     /// Returns the updates for an entry that has seen everything up to `after`; `None` if there are
-    /// none yet, such as before the store's first answer.
+    /// none yet, such as before the store's first response.
     ///
     /// # Examples
     /// ```
@@ -191,7 +191,7 @@
         now >= self.until
     }
 
-    /// Records that the store did not answer; `random` in `0..1` spreads entries.
+    /// Records that the store did not respond; `random` in `0..1` spreads entries.
     pub fn record_failure(&mut self, now: Duration, random: f64) {
         self.until = now + MAX_OUTAGE_PAUSE.mul_f64(0.5 + 0.5 * random);
     }
--- a/toucanrail/src/coldstarts.rs
+++ b/toucanrail/src/coldstarts.rs
@@ -69,7 +69,7 @@
     pub limit: usize,
 }
 
-/// A relay's answer to a permit request.
+/// A relay's reply to a permit request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PermitReply {
     /// The request may be sent now.
--- a/toucanrail/src/evacuations.rs
+++ b/toucanrail/src/evacuations.rs
@@ -2,7 +2,7 @@
 //! operator ends the evacuation.
 //!
 //! An evacuation may remove a third of all servers while their streams still run. Sessions that
-//! move all at once would be prefilled anew at the same time by servers that were already busy, so
+//! move all at once would be prefilled again at the same time by servers that were already busy, so
 //! the servers of a data centre close one by one, in an order that is the same at all entries.
 
 use std::collections::{BTreeMap, BTreeSet};
--- a/toucanrail/src/members.rs
+++ b/toucanrail/src/members.rs
@@ -17,7 +17,7 @@
 pub const WATCHER_COUNT: usize = 2;
 /// Number of peers to which each entry sends heartbeats; all of them in a small fleet.
 pub const HEARTBEAT_TARGETS: usize = 8;
-/// Time without an answer after which a peer counts as gone, unless other evidence shows it
+/// Time without a response after which a peer counts as gone, unless other evidence shows it
 /// earlier.
 pub const PEER_TIMEOUT: Duration = Duration::from_secs(3);
 
@@ -73,7 +73,7 @@
     pub node: NodeEntry,
     /// When the peer was last heard from; initially, when it became known.
     pub heard_at: Duration,
-    /// Whether the peer is known to be gone: another incarnation answers at its address, or its VM
+    /// Whether the peer is known to be gone: another incarnation responds at its address, or its VM
     /// has left the VM list.
     pub gone: bool,
 }
@@ -126,7 +126,7 @@
         }
     }
 
-    /// Records which entry answered at a peer's address.
+    /// Records which entry responded at a peer's address.
     pub fn record_response(&mut self, peer: &EntryId, responder: &EntryId, now: Duration) {
         if let Some(row) = self.peers.get_mut(peer) {
             if responder == peer {
@@ -175,7 +175,7 @@
         rows.collect()
     }
 
-    /// Returns the peers that are gone or have not answered for too long.
+    /// Returns the peers that are gone or have not responded for too long.
     ///
     /// Only peers that this entry sends heartbeats to can time out: in a larger fleet it never
     /// hears from the others, which proves nothing.
--- a/toucanrail/src/paces.rs
+++ b/toucanrail/src/paces.rs
@@ -39,7 +39,7 @@
 pub struct RunProgress {
     /// Id of the request.
     pub request: RequestId,
-    /// Events of the answer so far; 0 during prefill.
+    /// Events of the response so far; 0 during prefill.
     pub events: u64,
 }
 
--- a/toucanrail/src/placement.rs
+++ b/toucanrail/src/placement.rs
@@ -25,7 +25,7 @@
 const COLD_COST: f64 = 100.0;
 /// Cost of prefilling a shared token that another server has cached, as a multiple of its prefill
 /// time. It delays every stream at the server and evicts other parts from its cache, so a session
-/// leaves its server only if waiting there would make the answer late.
+/// leaves its server only if waiting there would make the response late.
 const RECOMPUTE_FACTOR: f64 = 6.0;
 /// Cost of fetching shared parts from the server that has them cached, in milliseconds: about five
 /// for the transfer, the rest for its price.
--- a/toucanrail/src/probes.rs
+++ b/toucanrail/src/probes.rs
@@ -83,7 +83,7 @@
     prompt_tokens >= LONG_PROMPT
 }
 
-/// A probed server, with its report if the server and its relay answered.
+/// A probed server, with its report if the server and its relay responded.
 pub type ProbeRow = (BackendEntry, Option<BackendReport>);
 
 /// Returns the servers to probe: the one with the lowest expected cost, and one more for each
--- a/toucanrail/src/retries.rs
+++ b/toucanrail/src/retries.rs
@@ -1,4 +1,4 @@
-//! Retry budgets and back-off.
+//! Retry budgets and backoff.
 
 use std::collections::VecDeque;
 use std::time::Duration;
--- a/toucanrail/src/servers.rs
+++ b/toucanrail/src/servers.rs
@@ -181,7 +181,7 @@
         }
     }
 
-    /// Records the first token of an answer, which arrived after `wait`.
+    /// Records the first token of a response, which arrived after `wait`.
     pub fn record_first_token(&mut self, agent: &AgentId, wait: Duration, now: Duration) {
         if let Some(row) = self.rows.get_mut(agent) {
             let wait = wait.as_secs_f64();
--- a/toucanrail/src/silences.rs
+++ b/toucanrail/src/silences.rs
@@ -1,4 +1,4 @@
-//! Decides whether a server that sends no answer still works on a request.
+//! Decides whether a server that sends no response still works on a request.
 //!
 //! When prompts arrive faster than the servers can prefill them, a request in a server's queue
 //! looks like one at a dead server. If it were given up, its prompt would be prefilled for nothing,
@@ -9,7 +9,7 @@
 use crate::paces::BackendReport;
 
 /// Consecutive checks that must find no trace of a request before it is given up; after the first
-/// one, the answer may still be on its way.
+/// one, the response may still be on its way.
 const MAX_MISSES: u32 = 2;
 
 /// State of one request at its server, as seen by the relay beside the server.
@@ -52,10 +52,10 @@
 pub enum SilenceVerdict {
     /// The request is running or may be queued.
     Works,
-    /// The server does not know the request, or produced events that did not arrive; no answer is
-    /// expected.
+    /// The server does not know the request, or produced events that did not arrive; no response
+    /// is expected.
     Lost,
-    /// Nothing is known about the server; it may still answer.
+    /// Nothing is known about the server; it may still respond.
     Unseen,
 }
 
@@ -66,8 +66,8 @@
 }
 
 impl SilenceDetector {
-    /// Evaluates a check of a request of which `received` events have arrived; `status` is `None` if
-    /// the server or its relay did not answer.
+    /// Evaluates a check of a request of which `received` events have arrived; `status` is `None`
+    /// if the server or its relay did not respond.
     ///
     /// # Examples
     /// ```
--- a/toucanrail/src/timeouts.rs
+++ b/toucanrail/src/timeouts.rs
@@ -9,9 +9,9 @@
 /// milliseconds while it is slow.
 const MIN_WAIT: Duration = Duration::from_millis(300);
 const MAX_WAIT: Duration = Duration::from_millis(1_500);
-/// Timeout as a multiple of the latest answer time.
+/// Timeout as a multiple of the latest response time.
 const RESPONSE_TIME_FACTOR: u32 = 3;
-/// Factor by which the timeout shrinks after an answer, if the answer time allows it.
+/// Factor by which the timeout shrinks after a response, if the response time allows it.
 const DECAY_FACTOR: f64 = 0.8;
 
 /// Timeout of the next call.
@@ -26,14 +26,15 @@
         Self { wait: MIN_WAIT }
     }
 
-    /// Returns how long to wait for an answer.
+    /// Returns how long to wait for a response.
     pub fn wait(&self) -> Duration {
         self.wait
     }
 
-    /// Records an answer and the time it took. The timeout shrinks, but stays well above that time.
+    /// Records a response and the time it took. The timeout shrinks, but stays well above that
+    /// time.
     ///
-    /// When the timeout shrank after every answer, every third call to a store that took 356 ms
+    /// When the timeout shrank after every response, every third call to a store that took 356 ms
     /// timed out.
     ///
     /// # Examples
@@ -48,7 +49,7 @@
         self.wait = wait.clamp(MIN_WAIT, MAX_WAIT);
     }
 
-    /// Records that no answer arrived within the time that a call waited. Concurrent calls that
+    /// Records that no response arrived within the time that a call waited. Concurrent calls that
     /// fail together increase the timeout only once.
     pub fn record_timeout(&mut self, waited: Duration) {
         self.wait = self.wait.max(waited * 2).min(MAX_WAIT);
--- a/toucanrail/tests/attempt_steps.rs
+++ b/toucanrail/tests/attempt_steps.rs
@@ -112,7 +112,7 @@
     }
 }
 
-/// Lookups fail one time in seven, in groups of three, and another server would have answered.
+/// Lookups fail one time in seven, in groups of three, and another server would have responded.
 /// Guards against a budget that forgets what quiet seconds have earned: an entry whose part of the
 /// fleet's reserve is 1.4 then retries only the first of each group, and callers get the other
 /// failures.
--- a/toucanrail/tests/backend_placement.rs
+++ b/toucanrail/tests/backend_placement.rs
@@ -164,7 +164,7 @@
         let parts = parts.map(|(id, tokens)| PromptPart { id, tokens });
         let query = make_query("a", &parts);
         let target = placement::pick_backend(&eligible, &query).expect("a server");
-        let source = placement::pick_fetch_source(&eligible, &query, target).expect("a holder");
+        let source = placement::pick_fetch_source(&eligible, &query, target).expect("a source");
         assert_eq!(*source.entry.id, *preferred_servers[session as usize - 100]);
     }
 }
--- a/toucanrail/tests/board_updates.rs
+++ b/toucanrail/tests/board_updates.rs
@@ -19,7 +19,7 @@
     MirrorChange { object: object(name, version), removed }
 }
 
-/// A board that is cut off from the store must say that it is stale. If it answered that nothing
+/// A board that is cut off from the store must say that it is stale. If it reported that nothing
 /// changed, its entries would send requests to servers that have left, although they can reach the
 /// store themselves.
 #[test]
@@ -54,7 +54,7 @@
     assert_eq!(table.empty_update(9, NOW), NewsReply::Changes { changes: Vec::new(), revision: 9 });
 }
 
-/// The store lost its history, and the board was listed anew. An entry that is further behind must
+/// The store lost its history, and the board was listed again. An entry that is further behind must
 /// get the listing, because no change contains the removals in between.
 #[test]
 fn forgotten_history() {
--- a/toucanrail/tests/cold_starts.rs
+++ b/toucanrail/tests/cold_starts.rs
@@ -74,8 +74,8 @@
     assert!(given as f64 >= RULE.rate * 3.0, "{given}");
 }
 
-/// All entries use one server whose permits are exhausted. The delay they are told must lead to the
-/// next available permit.
+/// All entries use one server whose permits are exhausted. The delay they are given must lead to
+/// the next available permit.
 #[test]
 fn advised_delay() {
     let mut table = PermitTable::new(Duration::ZERO);
--- a/toucanrail/tests/fleet_members.rs
+++ b/toucanrail/tests/fleet_members.rs
@@ -42,7 +42,7 @@
     }
     assert!(table.lost_peers(second * 20).is_empty());
     let lost = table.lost_peers(second * 25);
-    assert_eq!(lost.len(), members::HEARTBEAT_TARGETS, "the peers that stopped answering");
+    assert_eq!(lost.len(), members::HEARTBEAT_TARGETS, "the peers that stopped responding");
 }
 
 /// Each failed entry of a large fleet is detected by several others, and they agree on which one
--- a/toucanrail/tests/server_choice.rs
+++ b/toucanrail/tests/server_choice.rs
@@ -116,7 +116,7 @@
     };
     assert_eq!(names(&table, NOW), ["agent-4"]);
     let silent = NOW + Duration::from_millis(2_001);
-    assert!(names(&table, silent).is_empty(), "an agent that fell silent gets no work");
+    assert!(names(&table, silent).is_empty(), "an agent that stopped reporting gets no work");
     // The ejected server returns gradually: this random number still excludes it, a lower one does
     // not.
     let later = NOW + Duration::from_secs(3);
