--- a/toucanrail-gateway/src/accepting.rs
+++ b/toucanrail-gateway/src/accepting.rs
@@ -10,7 +10,7 @@
 use toucanrail::codes::{ResultCode, RunState};
 use toucanrail::codetable;
 use toucanrail::framing::BodyDecoder;
-use toucanrail::matching::CallerBounds;
+use toucanrail::matching::CallerLimits;
 use toucanrail_platform::requests;
 use toucanrail_wire::channels::BufferedChannel;
 use toucanrail_wire::clocks;
@@ -74,7 +74,7 @@
     let mut channel = BufferedChannel::new(socket)?;
     let mut served = false;
     loop {
-        let bounds = gateway.tables.borrow().routes.bounds();
+        let bounds = gateway.tables.borrow().routes.limits();
         let is_idle = channel.buffer.is_empty();
         if is_idle && !wait_for_request(gateway, &mut channel, bounds.idle, served).await? {
             return Ok(());
@@ -138,7 +138,7 @@
 
 async fn read_request(
     channel: &mut BufferedChannel,
-    bounds: CallerBounds,
+    bounds: CallerLimits,
 ) -> Result<(RequestHead, Vec<u8>), ReadError> {
     let bytes = clocks::within(bounds.arrival, channel.read_head(bounds.head)).await?;
     let head = RequestHead::parse(&bytes.ok_or(ReadError::Disconnected)?)?;
--- a/toucanrail-gateway/src/dispatching.rs
+++ b/toucanrail-gateway/src/dispatching.rs
@@ -131,8 +131,8 @@
             return true;
         }
         let wait = wait + PERMIT_JITTER.mul_f64(fastrand::f64());
-        let fits =
-            self.plan.arrived.elapsed() + wait < self.plan.route.aim.mul_f64(PERMIT_WAIT_RATIO);
+        let fits = self.plan.arrived.elapsed() + wait
+            < self.plan.route.latency_target.mul_f64(PERMIT_WAIT_RATIO);
         if fits {
             smol::Timer::after(wait).await;
         }
@@ -234,7 +234,7 @@
         let query = self.place_query();
         let tables = self.gateway.tables.borrow();
         let eligible = self.list_eligible(&tables.backends, query.now);
-        let chosen = probes::pick_probed(&eligible, &query, probed, self.plan.route.aim);
+        let chosen = probes::pick_probed(&eligible, &query, probed, self.plan.route.latency_target);
         let row = chosen.or_else(|| placing::pick_backend(&eligible, &query))?;
         let mut sources = tables.backends.sources(&self.plan.service, &self.tried, query.now);
         sources.retain(|row| self.is_region_allowed(row));
--- a/toucanrail-gateway/src/forwarding.rs
+++ b/toucanrail-gateway/src/forwarding.rs
@@ -84,7 +84,7 @@
 ) -> AttemptResult {
     let AttemptContext { gateway, plan, .. } = *context;
     let tokens_per_event = gateway.tables.borrow().routes.tokens_per_event(&plan.service);
-    let stall = (plan.route.gap * STALL_FACTOR).max(MIN_STALL);
+    let stall = (plan.route.gap_target * STALL_FACTOR).max(MIN_STALL);
     let mut tick = Timer::interval(CHECK_INTERVAL);
     let mut pending = Vec::new();
     let mut last_event_at = Instant::now();
--- a/toucanrail-gateway/src/sending.rs
+++ b/toucanrail-gateway/src/sending.rs
@@ -83,7 +83,7 @@
     });
     let row = FlightRow { sent_at: gateway.now(), fresh, begun: false };
     let number = tables.backends.note_sent(&target.id, row, parts);
-    let row = WaitRow { sent_at: row.sent_at, aim: plan.route.aim };
+    let row = WaitRow { sent_at: row.sent_at, aim: plan.route.latency_target };
     tables.limits.entry(Arc::clone(&target.service)).or_default().note_sent(number, row);
     drop(tables);
     FlightGuard::new(gateway, target, number)
@@ -95,7 +95,8 @@
     if !context.may_fail_over {
         std::future::pending::<()>().await;
     }
-    let timeout = (context.plan.route.aim * SILENCE_TIMEOUT_FACTOR).max(MIN_SILENCE_TIMEOUT);
+    let timeout =
+        (context.plan.route.latency_target * SILENCE_TIMEOUT_FACTOR).max(MIN_SILENCE_TIMEOUT);
     liveness::wait_until_lost(context, timeout).await;
     Err(io::ErrorKind::TimedOut.into())
 }
--- a/toucanrail/src/matching.rs
+++ b/toucanrail/src/matching.rs
@@ -13,7 +13,7 @@
 /// Minimum time without an event, the first event included, after which callers abandon a stream.
 const MIN_EVENT_TIMEOUT: Duration = Duration::from_secs(2);
 /// Multiple of a route's latency target after which callers abandon a stream.
-const AIM_FACTOR: u32 = 4;
+const LATENCY_FACTOR: u32 = 4;
 /// Multiple of a route's accepted pause between events after which callers abandon a stream.
 const GAP_FACTOR: u32 = 8;
 
@@ -68,9 +68,11 @@
     /// Maximum duration of a request.
     pub timeout: Duration,
     /// Latency target of the response or, for a stream, of its first event.
-    pub aim: Duration,
+    #[serde(rename = "aim")]
+    pub latency_target: Duration,
     /// Target for the longest pause between the events of a stream.
-    pub gap: Duration,
+    #[serde(rename = "gap")]
+    pub gap_target: Duration,
     /// Priority; 0 is the highest.
     pub priority: u8,
     /// Maximum number of servers that one attempt of a caller is sent to.
@@ -91,7 +93,9 @@
         if !self.kind.is_stream() {
             return self.timeout;
         }
-        MIN_EVENT_TIMEOUT.max(self.aim * AIM_FACTOR).max(self.gap * GAP_FACTOR)
+        MIN_EVENT_TIMEOUT
+            .max(self.latency_target * LATENCY_FACTOR)
+            .max(self.gap_target * GAP_FACTOR)
     }
 
     /// Picks the service for a request by weight; `random` is uniform in `0..1`.
@@ -114,9 +118,11 @@
     /// Maximum number of sequences in a batch.
     pub slots: u64,
     /// Capacity of the KV cache, in tokens.
-    pub memory: Tokens,
+    #[serde(rename = "memory")]
+    pub kv_tokens: Tokens,
     /// Number of tokens in one event of a stream.
-    pub stride: Tokens,
+    #[serde(rename = "stride")]
+    pub tokens_per_event: Tokens,
 }
 
 /// A service.
@@ -152,7 +158,7 @@
 
 /// Limits on requests and connections of callers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
-pub struct CallerBounds {
+pub struct CallerLimits {
     /// Maximum size of a request head, in bytes.
     pub head: usize,
     /// Maximum size of a request body, in bytes.
@@ -163,7 +169,7 @@
     pub idle: Duration,
 }
 
-impl Default for CallerBounds {
+impl Default for CallerLimits {
     fn default() -> Self {
         Self {
             head: 16 * 1024,
@@ -186,7 +192,8 @@
     /// All customers.
     pub customers: Vec<CustomerRule>,
     /// Limits on callers.
-    pub bounds: CallerBounds,
+    #[serde(rename = "bounds")]
+    pub limits: CallerLimits,
 }
 
 /// The properties of a customer that apply to its requests: a [`CustomerRule`] without its keys.
@@ -231,7 +238,7 @@
     services: BTreeMap<ServiceName, ServiceRule>,
     keys: BTreeMap<Arc<str>, Arc<CustomerProfile>>,
     customers: BTreeMap<CustomerId, Arc<CustomerProfile>>,
-    bounds: CallerBounds,
+    limits: CallerLimits,
 }
 
 impl RouteTable {
@@ -258,7 +265,7 @@
         if config.version <= self.version {
             return false;
         }
-        let mut table = Self { version: config.version, bounds: config.bounds, ..Self::default() };
+        let mut table = Self { version: config.version, limits: config.limits, ..Self::default() };
         for rule in config.routes {
             let host = table.routes.entry(Arc::clone(&rule.host)).or_default();
             host.insert(Arc::clone(&rule.prefix), Arc::new(rule));
@@ -293,8 +300,8 @@
     }
 
     /// Returns the limits on callers.
-    pub fn bounds(&self) -> CallerBounds {
-        self.bounds
+    pub fn limits(&self) -> CallerLimits {
+        self.limits
     }
 
     /// Returns the route of a request: the one of the host with the longest prefix of the path.
@@ -344,7 +351,7 @@
     /// Returns the number of tokens in one event of a service's streams; 1 if it is not known.
     pub fn tokens_per_event(&self, service: &str) -> u64 {
         let engine = self.service(service).and_then(|service| service.engine.as_ref());
-        engine.map_or(1, |engine| engine.stride)
+        engine.map_or(1, |engine| engine.tokens_per_event)
     }
 
     /// Returns the cold start behaviour of a service's servers, if they are slow at first.
