--- a/toucanrail-gateway/src/state.rs
+++ b/toucanrail-gateway/src/state.rs
@@ -202,7 +202,7 @@
         let parts = relays.max(MIN_ENTRY_COUNT) as f64;
         RetryBounds {
             share: self.settings.retry_share * FLEET_RETRY_FRACTION,
-            reserve: self.settings.retry_slack * FLEET_RETRY_FRACTION / parts,
+            reserve: self.settings.retry_reserve * FLEET_RETRY_FRACTION / parts,
             window: self.settings.retry_window,
         }
     }
