--- a/toucanrail-wire/src/clients.rs
+++ b/toucanrail-wire/src/clients.rs
@@ -1,4 +1,5 @@
-//! The calling side: one exchange at a time on a connection, and a pool that trusts none blindly.
+//! HTTP client: one exchange at a time per connection, and a pool that checks connections before
+//! their reuse.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -20,18 +21,18 @@
 
 const READ_SIZE: usize = 8 * 1024;
 const HEAD_READ_SIZE: usize = 2 * 1024;
-const NO_BODY_STATUSES: [u16; 2] = [204, 304];
+const STATUSES_WITHOUT_BODY: [u16; 2] = [204, 304];
 
-/// Bounds of calls through one pool.
+/// Limits of the requests through one pool.
 #[derive(Debug, Clone)]
 pub struct ClientLimits {
-    /// Largest head of an answer, in bytes.
+    /// Maximum size of a response's head, in bytes.
     pub max_head: usize,
-    /// Longest wait for a connection.
+    /// Timeout for opening a connection.
     pub connect_timeout: Duration,
-    /// Oldest idle connection that is used again.
+    /// Time after which an idle connection is not reused.
     pub idle_timeout: Duration,
-    /// Most idle connections kept an address.
+    /// Maximum number of idle connections per address.
     pub max_idle: usize,
 }
 
@@ -47,16 +48,17 @@
 }
 
 quick_error! {
-    /// Why a call has no answer.
+    /// Error of a request without a response.
     #[derive(Debug)]
     pub enum RequestError {
-        /// No connection: nothing was sent, so the call provably did not arrive.
+        /// No connection was established: nothing was sent, so the server cannot have received it.
         NotSent(error: io::Error) {
             display("not sent: {error}")
         }
-        /// The connection failed after the call, or part of it, was sent.
+        /// The exchange failed after a connection was established: the server may have received the
+        /// request or a part of it.
         MaybeSent(error: io::Error) {
-            display("sent, then: {error}")
+            display("failed after connecting: {error}")
         }
     }
 }
@@ -69,23 +71,23 @@
     }
 }
 
-/// One call to make.
+/// A request to send.
 #[derive(Debug, Clone)]
 pub struct OutboundRequest {
     /// The method.
     pub method: Method,
-    /// Path and query.
+    /// The path and query.
     pub path: String,
-    /// Fields, by name.
+    /// The names and values of the fields.
     pub fields: Vec<(String, String)>,
     /// The whole body.
     pub body: Vec<u8>,
-    /// Whether to open a connection for this call alone.
+    /// Whether to open a new connection instead of reusing an idle one.
     pub new_connection: bool,
 }
 
 impl OutboundRequest {
-    /// Makes a call without a body.
+    /// Makes a request without a body.
     pub fn new(method: Method, path: impl Into<String>) -> Self {
         Self {
             method,
@@ -96,16 +98,16 @@
         }
     }
 
-    /// Makes a `GET`.
+    /// Makes a `GET` request.
     pub fn get(path: impl Into<String>) -> Self {
         Self::new(Method::Get, path)
     }
 
-    /// Makes a `POST` with a body.
+    /// Makes a `POST` request with a body.
     pub fn post(path: impl Into<String>, body: Vec<u8>) -> Self {
-        let mut call = Self::new(Method::Post, path);
-        call.body = body;
-        call
+        let mut request = Self::new(Method::Post, path);
+        request.body = body;
+        request
     }
 
     /// Adds a field.
@@ -115,7 +117,7 @@
         self
     }
 
-    /// Asks for a connection of its own.
+    /// Sends the request on a new connection.
     #[must_use]
     pub fn on_new_connection(mut self) -> Self {
         self.new_connection = true;
@@ -123,13 +125,14 @@
     }
 }
 
-/// An answer whose body is read as it comes.
+/// A response whose body is read as it arrives.
 ///
-/// Its connection goes back to the pool only after [`StreamingResponse::release`]; dropped before,
-/// it is closed, so that late bytes of a cancelled exchange can reach nobody.
+/// Only [`StreamingResponse::release`] returns its connection to the pool. If the response is
+/// dropped before, the connection is closed, so that no other exchange receives the rest of its
+/// body.
 #[derive(Debug)]
 pub struct StreamingResponse {
-    /// Status and fields.
+    /// The status and the fields.
     pub response: Response,
     replay: Option<MessageStream>,
     stream: TcpStream,
@@ -139,47 +142,49 @@
     pool: ConnectionPool,
 }
 
-/// An answer read to its end.
+/// A response whose body has been read completely.
 #[derive(Debug)]
 pub struct CompleteResponse {
-    /// The status number.
+    /// The status code.
     pub status: u16,
-    /// Status and fields, the body taken out.
+    /// The status and the fields; the body has been removed.
     pub response: Response,
     /// The whole body.
     pub body: Vec<u8>,
 }
 
 impl CompleteResponse {
-    /// Returns a field's last value.
+    /// Returns the last value of a field.
     pub fn field(&self, name: &str) -> Option<&str> {
         self.response.header(name).map(|values| values.last().as_str())
     }
 }
 
 impl StreamingResponse {
-    /// Returns the status number.
+    /// Returns the status code.
     pub fn status(&self) -> u16 {
         self.response.status().into()
     }
 
-    /// Reads the next bytes of the body; empty at its proved end.
-    pub async fn read_chunk(&mut self, idle: Duration) -> io::Result<Vec<u8>> {
+    /// Reads the next bytes of the body, waiting at most `idle_timeout`. Returns no bytes at the
+    /// end of a complete body, and `UnexpectedEof` if the body is truncated.
+    pub async fn read_chunk(&mut self, idle_timeout: Duration) -> io::Result<Vec<u8>> {
         self.buffer.resize(READ_SIZE, 0);
-        let count = time_limits::io_timeout(idle, self.response.read(&mut self.buffer)).await?;
+        let count =
+            time_limits::io_timeout(idle_timeout, self.response.read(&mut self.buffer)).await?;
         if count == 0 && !self.replay.as_ref().is_none_or(MessageStream::is_complete) {
             return Err(io::ErrorKind::UnexpectedEof.into());
         }
         Ok(self.buffer[..count].to_vec())
     }
 
-    /// Gives the connection back to the pool if the answer was read to its end.
+    /// Returns the connection to the pool if the body was read completely and no bytes follow it.
     pub fn release(self) {
-        let whole = self
+        let complete = self
             .replay
             .as_ref()
             .is_none_or(|replay| replay.is_complete() && replay.take_leftover().is_empty());
-        if whole && self.reusable {
+        if complete && self.reusable {
             self.pool.put(self.address, self.stream);
         }
     }
@@ -188,74 +193,78 @@
 #[derive(Debug)]
 struct IdleConnection {
     stream: TcpStream,
-    since: Instant,
+    idle_since: Instant,
 }
 
-/// Idle connections by address.
+/// Pool of idle connections by address.
 #[derive(Debug, Clone)]
 pub struct ConnectionPool {
     limits: Arc<ClientLimits>,
-    idle: Arc<Mutex<BTreeMap<SocketAddr, Vec<IdleConnection>>>>,
+    idle_connections: Arc<Mutex<BTreeMap<SocketAddr, Vec<IdleConnection>>>>,
 }
 
 impl ConnectionPool {
     /// Makes an empty pool.
     pub fn new(limits: ClientLimits) -> Self {
-        Self { limits: Arc::new(limits), idle: Arc::default() }
+        Self { limits: Arc::new(limits), idle_connections: Arc::default() }
     }
 
-    /// Makes a call and reads its answer whole, all within `bound`.
+    /// Sends a request and reads the complete response, all within `timeout`.
     pub async fn fetch(
         &self,
         address: SocketAddr,
-        call: OutboundRequest,
-        bound: Duration,
+        request: OutboundRequest,
+        timeout: Duration,
     ) -> io::Result<CompleteResponse> {
-        let fetching = async {
-            let mut answer = self.open(address, call, bound).await?;
+        let exchange = async {
+            let mut open_response = self.open(address, request, timeout).await?;
             let mut body = Vec::new();
             loop {
-                let chunk = answer.read_chunk(bound).await?;
+                let chunk = open_response.read_chunk(timeout).await?;
                 if chunk.is_empty() {
                     break;
                 }
                 body.extend_from_slice(&chunk);
             }
-            let status = answer.status();
-            let response = Response::new(answer.response.status());
-            let response = std::mem::replace(&mut answer.response, response);
-            answer.release();
+            let status = open_response.status();
+            let response = Response::new(open_response.response.status());
+            let response = std::mem::replace(&mut open_response.response, response);
+            open_response.release();
             Ok(CompleteResponse { status, response, body })
         };
-        time_limits::io_timeout(bound, fetching).await
+        time_limits::io_timeout(timeout, exchange).await
     }
 
-    /// Makes a call and waits at most `bound` for the head of its answer.
+    /// Sends a request and waits at most `timeout` for the head of the response. Connecting has its
+    /// own limit, [`ClientLimits::connect_timeout`].
     pub async fn open(
         &self,
         address: SocketAddr,
-        call: OutboundRequest,
-        bound: Duration,
+        request: OutboundRequest,
+        timeout: Duration,
     ) -> Result<StreamingResponse, RequestError> {
-        let connected = self.connect(address, call.new_connection).await;
+        let connected = self.connect(address, request.new_connection).await;
         let stream = connected.map_err(RequestError::NotSent)?;
-        // Boxed, since the decoder's state is large and every wrapper would move it.
-        let exchange = Box::pin(self.exchange(address, stream, call));
-        time_limits::io_timeout(bound, exchange).await.map_err(RequestError::MaybeSent)
+        // Boxed because the decoder's state is large and each wrapping future would copy it.
+        let exchange = Box::pin(self.exchange(address, stream, request));
+        time_limits::io_timeout(timeout, exchange).await.map_err(RequestError::MaybeSent)
     }
 
-    /// Takes a checked idle connection or opens one.
+    /// Takes an idle connection or opens a new one.
     ///
-    /// Guards against a connection that died or turned silent while idle: one that is too old, has
-    /// ended, or holds bytes nobody asked for is dropped.
+    /// Idle connections that are too old, that the server has closed or that have unread bytes are
+    /// dropped: a request on them could fail or get the wrong response. The age counts because a
+    /// connection can be lost without notice while it is idle.
     pub async fn connect(
         &self,
         address: SocketAddr,
         new_connection: bool,
     ) -> io::Result<TcpStream> {
-        while let Some(kept) = self.take(address).filter(|_| !new_connection) {
-            if kept.since.elapsed() < self.limits.idle_timeout && is_quiet(&kept.stream).await {
-                return Ok(kept.stream);
+        while let Some(idle) = self.take(address).filter(|_| !new_connection) {
+            if idle.idle_since.elapsed() < self.limits.idle_timeout
+                && is_reusable(&idle.stream).await
+            {
+                return Ok(idle.stream);
             }
         }
         let stream =
@@ -274,23 +283,23 @@
         &self,
         address: SocketAddr,
         stream: TcpStream,
-        call: OutboundRequest,
+        request: OutboundRequest,
     ) -> io::Result<StreamingResponse> {
-        let head_only = call.method == Method::Head;
-        send_call(&stream, address, call).await?;
-        let (bytes, end, facts) = read_answer_head(&stream, self.limits.max_head).await?;
-        let bodiless = head_only || is_bodiless(&bytes);
-        if facts.length == BodyLength::Absent && !bodiless {
-            return Err(invalid("an answer with neither length nor chunks"));
+        let head_only = request.method == Method::Head;
+        send_request(&stream, address, request).await?;
+        let (bytes, end, facts) = read_response_head(&stream, self.limits.max_head).await?;
+        let has_no_body = head_only || is_status_without_body(&bytes);
+        if facts.length == BodyLength::Absent && !has_no_body {
+            return Err(invalid("response has neither Content-Length nor chunked encoding"));
         }
-        let length = if bodiless { BodyLength::Absent } else { facts.length };
+        let length = if has_no_body { BodyLength::Absent } else { facts.length };
         let replay = MessageStream::new(bytes, end, length, stream.clone());
         let response = Box::pin(client::decode(replay.clone()))
             .await
             .map_err(|error| io::Error::new(io::ErrorKind::InvalidData, format!("{error}")))?;
         Ok(StreamingResponse {
             response,
-            replay: Some(replay).filter(|_| !bodiless),
+            replay: Some(replay).filter(|_| !has_no_body),
             stream,
             buffer: Vec::new(),
             reusable: !facts.close,
@@ -303,60 +312,60 @@
         self.lock().get_mut(&address).and_then(Vec::pop)
     }
 
-    /// Puts a connection that nothing is due on back.
+    /// Returns a connection that has no response outstanding.
     pub fn put(&self, address: SocketAddr, stream: TcpStream) {
-        let mut idle = self.lock();
-        let kept = idle.entry(address).or_default();
-        if kept.len() < self.limits.max_idle {
-            kept.push(IdleConnection { stream, since: Instant::now() });
+        let mut idle_connections = self.lock();
+        let connections = idle_connections.entry(address).or_default();
+        if connections.len() < self.limits.max_idle {
+            connections.push(IdleConnection { stream, idle_since: Instant::now() });
         }
     }
 
     fn lock(&self) -> MutexGuard<'_, BTreeMap<SocketAddr, Vec<IdleConnection>>> {
-        self.idle.lock().unwrap_or_else(PoisonError::into_inner)
+        self.idle_connections.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// Tells whether a connection is open and holds no unread bytes.
-async fn is_quiet(stream: &TcpStream) -> bool {
+/// Returns whether a connection is open and has no unread bytes.
+async fn is_reusable(stream: &TcpStream) -> bool {
     let mut probe = [0; 1];
     let peeked = async { Some(stream.peek(&mut probe).await) };
     peeked.or(async { None }).await.is_none()
 }
 
-fn is_bodiless(head: &[u8]) -> bool {
+fn is_status_without_body(head: &[u8]) -> bool {
     let status = head.split(|byte| *byte == b' ').nth(1);
     let status = status.and_then(|word| std::str::from_utf8(word).ok());
     let status = status.and_then(|word| word.get(..3)).and_then(|word| word.parse().ok());
-    status.is_some_and(|number: u16| NO_BODY_STATUSES.contains(&number))
+    status.is_some_and(|number: u16| STATUSES_WITHOUT_BODY.contains(&number))
 }
 
 fn invalid(reason: &str) -> io::Error {
     io::Error::new(io::ErrorKind::InvalidData, reason)
 }
 
-async fn send_call(
+async fn send_request(
     stream: &TcpStream,
     address: SocketAddr,
-    call: OutboundRequest,
+    request: OutboundRequest,
 ) -> io::Result<()> {
-    let url = Url::parse(&format!("http://{address}{}", call.path))
+    let url = Url::parse(&format!("http://{address}{}", request.path))
         .map_err(|error| io::Error::new(io::ErrorKind::InvalidInput, error))?;
-    let mut request = Request::new(call.method, url);
-    for (name, value) in &call.fields {
-        request.insert_header(name.as_str(), value.as_str());
+    let mut http_request = Request::new(request.method, url);
+    for (name, value) in &request.fields {
+        http_request.insert_header(name.as_str(), value.as_str());
     }
-    request.set_body(call.body);
-    if let Some((_, kind)) = call.fields.iter().find(|(name, _)| name == "content-type") {
-        request.insert_header("content-type", kind.as_str());
+    http_request.set_body(request.body);
+    if let Some((_, kind)) = request.fields.iter().find(|(name, _)| name == "content-type") {
+        http_request.insert_header("content-type", kind.as_str());
     }
-    let mut encoder = client::Encoder::new(request);
+    let mut encoder = client::Encoder::new(http_request);
     let mut bytes = Vec::new();
     encoder.read_to_end(&mut bytes).await?;
     stream.clone().write_all(&bytes).await
 }
 
-async fn read_answer_head(
+async fn read_response_head(
     stream: &TcpStream,
     limit: usize,
 ) -> io::Result<(Vec<u8>, usize, HeadFacts)> {
@@ -370,7 +379,7 @@
             return Ok((bytes, end, facts));
         }
         if bytes.len() > limit {
-            return Err(invalid("an answer's head over the limit"));
+            return Err(invalid("response head exceeds the size limit"));
         }
         match reader.read(&mut chunk).await? {
             0 => return Err(io::ErrorKind::UnexpectedEof.into()),
--- a/toucanrail-wire/src/connections.rs
+++ b/toucanrail-wire/src/connections.rs
@@ -1,4 +1,4 @@
-//! One TCP connection with its read buffer, for messages that are passed on as they come.
+//! A TCP connection with a read buffer, for messages that are forwarded as they arrive.
 
 use std::io::{self, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
@@ -7,19 +7,20 @@
 use smol::Async;
 use toucanrail::scanners;
 
-/// Bytes asked for in one read: a whole prompt of the usual size, or some hundred events.
+/// Bytes requested per read: enough for a complete prompt of the usual size or a few hundred
+/// events.
 const READ_SIZE: usize = 16 * 1024;
 
-/// A connection and the bytes read from it that nobody has taken yet.
+/// A connection and the bytes read from it that have not been consumed yet.
 #[derive(Debug)]
 pub struct BufferedConnection {
     socket: Arc<Async<TcpStream>>,
-    /// Bytes read and not taken.
+    /// Bytes read but not consumed.
     pub buffer: Vec<u8>,
 }
 
 impl BufferedConnection {
-    /// Wraps a connected socket.
+    /// Wraps a connected socket and disables Nagle's algorithm on it.
     pub fn new(socket: Async<TcpStream>) -> io::Result<Self> {
         socket.get_ref().set_nodelay(true)?;
         Ok(Self { socket: Arc::new(socket), buffer: Vec::new() })
@@ -30,27 +31,28 @@
         Self::new(Async::<TcpStream>::connect(address).await?)
     }
 
-    /// Returns the writing side.
+    /// Returns a handle for writing.
     pub fn writer(&self) -> ConnectionWriter {
         ConnectionWriter { socket: Arc::clone(&self.socket) }
     }
 
-    /// Reads more bytes into the buffer; 0 at the end of the connection.
+    /// Reads more bytes into the buffer and returns their number; 0 at the end of the connection.
     pub async fn fill(&mut self) -> io::Result<usize> {
         let buffer = &mut self.buffer;
-        let held = buffer.len();
+        let start = buffer.len();
         self.socket
             .read_with(|mut socket| {
-                buffer.resize(held + READ_SIZE, 0);
-                let read = socket.read(&mut buffer[held..]);
-                buffer.truncate(held + read.as_ref().map_or(0, |count| *count));
+                buffer.resize(start + READ_SIZE, 0);
+                let read = socket.read(&mut buffer[start..]);
+                buffer.truncate(start + read.as_ref().map_or(0, |count| *count));
                 read
             })
             .await
     }
 
-    /// Reads until the buffer holds a whole head, and takes it; none at a clean end between
-    /// messages.
+    /// Reads until the buffer holds a complete head, and removes it from the buffer. Returns none
+    /// if the connection ends between messages, and `FileTooLarge` for a head of more than `limit`
+    /// bytes.
     pub async fn read_head(&mut self, limit: usize) -> io::Result<Option<Vec<u8>>> {
         loop {
             if let Some(end) = scanners::scan_head_end(&self.buffer) {
@@ -64,14 +66,18 @@
                 return Err(io::ErrorKind::FileTooLarge.into());
             }
             if self.fill().await? == 0 {
-                let clean = self.buffer.is_empty();
-                return if clean { Ok(None) } else { Err(io::ErrorKind::UnexpectedEof.into()) };
+                let between_messages = self.buffer.is_empty();
+                return if between_messages {
+                    Ok(None)
+                } else {
+                    Err(io::ErrorKind::UnexpectedEof.into())
+                };
             }
         }
     }
 
-    /// Tells whether the connection is open and silent, as one must be that is used again.
-    pub fn is_quiet(&self) -> bool {
+    /// Returns whether the connection is open and has no unread bytes, so that it can be reused.
+    pub fn is_reusable(&self) -> bool {
         let mut probe = [0; 1];
         let peeked = self.socket.get_ref().peek(&mut probe);
         self.buffer.is_empty()
@@ -79,7 +85,7 @@
     }
 }
 
-/// The writing side of a connection.
+/// The write half of a connection.
 #[derive(Debug, Clone)]
 pub struct ConnectionWriter {
     socket: Arc<Async<TcpStream>>,
@@ -98,7 +104,7 @@
         Ok(())
     }
 
-    /// Ends the writing side: the peer reads all that was written, then the end.
+    /// Shuts down the write half: the peer reads everything written so far, then the end.
     pub fn finish(&self) -> io::Result<()> {
         self.socket.get_ref().shutdown(Shutdown::Write)
     }
--- a/toucanrail-wire/src/heads.rs
+++ b/toucanrail-wire/src/heads.rs
@@ -1,8 +1,9 @@
-//! Heads of HTTP/1.1 messages, kept as the bytes that came.
+//! Heads of HTTP/1.1 messages, kept as the received bytes.
 //!
-//! The direct way to a backend server passes method, target and fields on unchanged, which
-//! `http-types` cannot: it rewrites targets and joins fields. `httparse`, which `async-h1` is
-//! built on, finds the parts; [`toucanrail::scanners`] checks what it lets pass.
+//! Requests that are forwarded directly to a backend server keep their method, target and fields
+//! unchanged. `http-types` cannot do that: it normalizes targets and joins fields. `httparse`, on
+//! which `async-h1` is built, splits a head into its parts, and [`toucanrail::scanners`] rejects
+//! malformed heads that `httparse` accepts.
 
 use std::ops::Range;
 
@@ -11,11 +12,11 @@
 use toucanrail::codetable;
 use toucanrail::scanners::{self, BodyLength};
 
-/// Most fields of a head.
+/// Maximum number of fields in a head.
 const FIELD_LIMIT: usize = 96;
 
-/// Fields that concern one connection only and are not passed on.
-const HOP_FIELDS: [&str; 9] = [
+/// Fields that apply to one connection and are not forwarded.
+const HOP_BY_HOP_FIELDS: [&str; 9] = [
     "connection",
     "keep-alive",
     "proxy-connection",
@@ -28,17 +29,17 @@
 ];
 
 quick_error! {
-    /// Why bytes are no head.
+    /// Error from parsing a head.
     #[derive(Debug, Clone, Copy, PartialEq, Eq)]
     pub enum HeadError {
-        /// A request or answer that cannot be read.
+        /// The head is malformed or ambiguous; the code names the reason.
         Malformed(code: ResultCode) {
             display("{}", code.row().text)
         }
     }
 }
 
-/// The fields of a head.
+/// The fields of a head in the order received.
 #[derive(Debug, Clone)]
 pub struct FieldList {
     bytes: Vec<u8>,
@@ -69,23 +70,24 @@
         std::str::from_utf8(&self.bytes[range.clone()]).unwrap_or_default()
     }
 
-    /// Returns all fields in order.
+    /// Returns the names and values of all fields in order.
     pub fn iter(&self) -> impl Iterator<Item = (&str, &str)> {
         self.rows.iter().map(|row| (self.text(&row.name), self.text(&row.value)))
     }
 
-    /// Returns the first value of a field.
+    /// Returns the first value of a field; names are compared without case.
     pub fn get(&self, name: &str) -> Option<&str> {
         self.iter().find(|(known, _)| known.eq_ignore_ascii_case(name)).map(|(_, value)| value)
     }
 
-    /// Returns the fields that are passed on to the next connection.
+    /// Returns the fields that are forwarded to the next connection: neither hop-by-hop fields nor
+    /// those that `Connection` names.
     pub fn end_to_end(&self) -> impl Iterator<Item = (&str, &str)> {
-        let named = self.get("connection").unwrap_or_default();
+        let connection = self.get("connection").unwrap_or_default();
         self.iter().filter(move |(name, _)| {
-            let hop = HOP_FIELDS.iter().any(|hop| hop.eq_ignore_ascii_case(name));
-            let mut options = named.split(',').map(str::trim);
-            !hop && !options.any(|option| option.eq_ignore_ascii_case(name))
+            let hop_by_hop = HOP_BY_HOP_FIELDS.iter().any(|hop| hop.eq_ignore_ascii_case(name));
+            let mut options = connection.split(',').map(str::trim);
+            !hop_by_hop && !options.any(|option| option.eq_ignore_ascii_case(name))
         })
     }
 }
@@ -104,7 +106,7 @@
 }
 
 impl RequestHead {
-    /// Reads a whole head.
+    /// Parses a complete head, including the empty line at its end.
     ///
     /// # Examples
     /// ```
@@ -146,29 +148,29 @@
         self.fields.text(&self.method)
     }
 
-    /// Returns path and query as they came.
+    /// Returns the path and query as received.
     pub fn target(&self) -> &str {
         self.fields.text(&self.target)
     }
 
-    /// Returns the path.
+    /// Returns the path without the query.
     pub fn path(&self) -> &str {
         let target = self.target();
         target.split_once('?').map_or(target, |(path, _)| path)
     }
 
-    /// Returns the host.
+    /// Returns the value of the `Host` field; empty if there is none.
     pub fn host(&self) -> &str {
         self.fields.get("host").unwrap_or_default()
     }
 }
 
-/// The head of an answer.
+/// The head of a response.
 #[derive(Debug, Clone)]
 pub struct ResponseHead {
     /// Its fields.
     pub fields: FieldList,
-    /// The status.
+    /// The status code.
     pub status: u16,
     reason: Range<usize>,
     /// How the body's length is stated.
@@ -178,7 +180,7 @@
 }
 
 impl ResponseHead {
-    /// Reads a whole head.
+    /// Parses a complete head, including the empty line at its end.
     ///
     /// # Examples
     /// ```
@@ -189,24 +191,24 @@
     pub fn parse(bytes: &[u8]) -> Result<Self, HeadError> {
         let facts = scanners::scan_head(bytes).map_err(HeadError::Malformed)?;
         let mut fields = [httparse::EMPTY_HEADER; FIELD_LIMIT];
-        let mut answer = httparse::Response::new(&mut fields);
+        let mut response = httparse::Response::new(&mut fields);
         let malformed = HeadError::Malformed(codetable::BAD_REQUEST);
-        answer.parse(bytes).map_err(|_| malformed)?;
-        let (Some(status), Some(minor)) = (answer.code, answer.version) else {
+        response.parse(bytes).map_err(|_| malformed)?;
+        let (Some(status), Some(minor)) = (response.code, response.version) else {
             return Err(malformed);
         };
         let base = bytes.as_ptr().addr();
-        let reason = answer.reason.filter(|reason| !reason.is_empty()).map_or(0..0, |reason| {
+        let reason = response.reason.filter(|reason| !reason.is_empty()).map_or(0..0, |reason| {
             let start = reason.as_ptr().addr() - base;
             start..start + reason.len()
         });
-        let bodiless = status < 200 || status == 204 || status == 304;
+        let has_no_body = status < 200 || status == 204 || status == 304;
         Ok(Self {
             status,
             reason,
-            length: if bodiless { BodyLength::Exact(0) } else { facts.length },
+            length: if has_no_body { BodyLength::Exact(0) } else { facts.length },
             close: facts.close || minor == 0,
-            fields: FieldList::new(bytes, answer.headers),
+            fields: FieldList::new(bytes, response.headers),
         })
     }
 
--- a/toucanrail-wire/src/keepalive.rs
+++ b/toucanrail-wire/src/keepalive.rs
@@ -1,4 +1,4 @@
-//! Connections to backend servers that are kept for the next request.
+//! Idle connections to backend servers, kept for later requests.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -8,27 +8,28 @@
 
 use crate::connections::BufferedConnection;
 
-/// Longest idle time where the server states none.
-const DEFAULT_IDLE: Duration = Duration::from_secs(2);
-/// Taken off a stated idle time: a request must not cross the server's close.
-const IDLE_MARGIN: Duration = Duration::from_millis(600);
-/// Most connections kept a server; more are closed, so that the server's limit is left to others.
-const KEPT_LIMIT: usize = 24;
+/// Idle timeout for servers that state none.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(2);
+/// Subtracted from a stated idle timeout, so that no request is sent while the server closes the
+/// connection.
+const CLOSE_MARGIN: Duration = Duration::from_millis(600);
+/// Maximum number of idle connections per server. Further ones are closed, to leave room for other
+/// clients within the server's connection limit.
+const MAX_IDLE_PER_SERVER: usize = 24;
 
 #[derive(Debug)]
-struct KeptChannel {
-    channel: BufferedConnection,
-    since: Instant,
-    until: Instant,
+struct KeepAliveConnection {
+    connection: BufferedConnection,
+    idle_since: Instant,
+    expires_at: Instant,
 }
 
-/// Kept connections by server.
+/// Pool of idle connections by server id.
 ///
-/// Servers are named by their ids and not by their addresses, which the platform gives to other
-/// servers later.
+/// The key is not the address, because the platform reuses addresses for other servers.
 #[derive(Debug, Clone, Default)]
 pub struct KeepAlivePool {
-    kept: Rc<RefCell<BTreeMap<Arc<str>, Vec<KeptChannel>>>>,
+    idle_connections: Rc<RefCell<BTreeMap<Arc<str>, Vec<KeepAliveConnection>>>>,
 }
 
 impl KeepAlivePool {
@@ -37,54 +38,62 @@
         Self::default()
     }
 
-    /// Takes the connection used last, if it has been idle for at most `idle`.
+    /// Takes the most recently used connection, if it has been idle for at most `max_idle`.
     ///
-    /// Guards against a connection that was closed or turned silent while idle: one that is too
-    /// old, has ended, or holds bytes nobody asked for is dropped.
-    pub fn take(&self, id: &str, idle: Duration) -> Option<BufferedConnection> {
+    /// Connections whose idle timeout has expired, that the server has closed or that have unread
+    /// bytes are dropped: a request on them could fail or get the wrong response. `max_idle` limits
+    /// the risk that a connection has been lost without notice.
+    pub fn take(&self, id: &str, max_idle: Duration) -> Option<BufferedConnection> {
         let now = Instant::now();
-        let mut kept = self.kept.borrow_mut();
-        let channels = kept.get_mut(id)?;
-        while let Some(found) = channels.pop() {
-            if now.saturating_duration_since(found.since) > idle {
-                channels.push(found);
+        let mut idle_connections = self.idle_connections.borrow_mut();
+        let connections = idle_connections.get_mut(id)?;
+        while let Some(candidate) = connections.pop() {
+            if now.saturating_duration_since(candidate.idle_since) > max_idle {
+                connections.push(candidate);
                 return None;
             }
-            if now < found.until && found.channel.is_quiet() {
-                return Some(found.channel);
+            if now < candidate.expires_at && candidate.connection.is_reusable() {
+                return Some(candidate.connection);
             }
         }
         None
     }
 
-    /// Keeps a connection on which nothing is due; `stated` is the server's idle timeout.
-    pub fn put(&self, id: &Arc<str>, channel: BufferedConnection, stated: Option<Duration>) {
-        let idle = stated.map_or(DEFAULT_IDLE, |stated| stated.saturating_sub(IDLE_MARGIN));
+    /// Keeps a connection that has no response outstanding; `stated` is the server's idle timeout.
+    pub fn put(&self, id: &Arc<str>, connection: BufferedConnection, stated: Option<Duration>) {
+        let idle =
+            stated.map_or(DEFAULT_IDLE_TIMEOUT, |stated| stated.saturating_sub(CLOSE_MARGIN));
         let now = Instant::now();
-        let mut kept = self.kept.borrow_mut();
-        let channels = kept.entry(Arc::clone(id)).or_default();
-        if channels.len() < KEPT_LIMIT && !idle.is_zero() {
-            channels.push(KeptChannel { channel, since: now, until: now + idle });
+        let mut idle_connections = self.idle_connections.borrow_mut();
+        let connections = idle_connections.entry(Arc::clone(id)).or_default();
+        if connections.len() < MAX_IDLE_PER_SERVER && !idle.is_zero() {
+            connections.push(KeepAliveConnection {
+                connection,
+                idle_since: now,
+                expires_at: now + idle,
+            });
         }
     }
 
     /// Drops all connections to a server.
     pub fn evict(&self, id: &str) {
-        self.kept.borrow_mut().remove(id);
+        self.idle_connections.borrow_mut().remove(id);
     }
 
-    /// Drops the connections that are too old to be used again.
+    /// Drops the connections that cannot be reused.
     pub fn evict_expired(&self) {
         let now = Instant::now();
-        let mut kept = self.kept.borrow_mut();
-        for channels in kept.values_mut() {
-            channels.retain(|found| now < found.until && found.channel.is_quiet());
+        let mut idle_connections = self.idle_connections.borrow_mut();
+        for connections in idle_connections.values_mut() {
+            connections.retain(|candidate| {
+                now < candidate.expires_at && candidate.connection.is_reusable()
+            });
         }
-        kept.retain(|_, channels| !channels.is_empty());
+        idle_connections.retain(|_, connections| !connections.is_empty());
     }
 }
 
-/// Reads the idle timeout out of a `Keep-Alive` field.
+/// Parses the idle timeout of a `Keep-Alive` field.
 ///
 /// # Examples
 /// ```
--- a/toucanrail-wire/src/lib.rs
+++ b/toucanrail-wire/src/lib.rs
@@ -1,8 +1,11 @@
-//! Guarded HTTP/1.1 exchanges on `async-h1` and `smol`, shared by every program of the project.
+//! HTTP/1.1 client and server on `async-h1` and `smol`, shared by all programs of the project.
 //!
-//! `async-h1` encodes and decodes; this crate guards what it lets pass (`docs/HTTP-EDGES.md`):
-//! a cut message never looks whole, an ambiguous length is refused, and a connection with bytes
-//! left over is not used again.
+//! `async-h1` encodes and decodes messages. This crate adds checks that it lacks
+//! (`docs/HTTP-EDGES.md`): a truncated message is never reported as complete, an ambiguous length
+//! is rejected, and a connection with leftover bytes is not reused.
+//!
+//! [`clients`] and [`listeners`] are the two sides of such exchanges. [`connections`], [`heads`]
+//! and [`keepalive`] are for messages that are forwarded unchanged, without `async-h1`.
 //!
 //! # Examples
 //! ```
@@ -13,14 +16,14 @@
 //!     let listener = listeners::bind("127.0.0.1:0")?;
 //!     let address = listener.local_addr()?;
 //!     let limits = listeners::ServerLimits::default();
-//!     smol::spawn(listeners::serve(listener, limits, |_received| async {
+//!     smol::spawn(listeners::serve(listener, limits, |_request| async {
 //!         responses::text(200, "hello")
 //!     }))
 //!     .detach();
 //!     let pool = clients::ConnectionPool::new(clients::ClientLimits::default());
-//!     let call = clients::OutboundRequest::get("/");
-//!     let answer = pool.fetch(address, call, Duration::from_secs(5)).await?;
-//!     assert_eq!(answer.body, b"hello");
+//!     let request = clients::OutboundRequest::get("/");
+//!     let response = pool.fetch(address, request, Duration::from_secs(5)).await?;
+//!     assert_eq!(response.body, b"hello");
 //!     Ok::<(), Box<dyn std::error::Error>>(())
 //! })
 //! .unwrap();
--- a/toucanrail-wire/src/listeners.rs
+++ b/toucanrail-wire/src/listeners.rs
@@ -1,4 +1,4 @@
-//! The serving side: reads a request whole, calls the handler, writes its answer.
+//! HTTP server: reads a complete request, calls the handler and writes its response.
 
 use std::io;
 use std::sync::Arc;
@@ -19,23 +19,23 @@
 use crate::time_limits;
 
 const READ_SIZE: usize = 8 * 1024;
-/// Pause after a failed accept, usually for want of file descriptors.
+/// Pause after a failed accept, which usually means that no file descriptor is available.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// Bounds of one listening socket.
+/// Limits of one listening socket.
 #[derive(Debug, Clone)]
 pub struct ServerLimits {
-    /// Largest head, in bytes.
+    /// Maximum size of a request's head, in bytes.
     pub max_head: usize,
-    /// Largest body, in bytes.
+    /// Maximum size of a request's body, in bytes.
     pub max_body: usize,
-    /// Most connections at once.
+    /// Maximum number of open connections.
     pub max_connections: usize,
-    /// Longest time from a request's first byte to its last.
+    /// Timeout of each read of a request's head, and of reading its complete body.
     pub request_timeout: Duration,
-    /// Longest idle time between requests.
+    /// Maximum idle time between requests.
     pub idle_timeout: Duration,
-    /// Longest time in which a write makes no progress.
+    /// Maximum time for writing one block of a response.
     pub write_timeout: Duration,
 }
 
@@ -52,17 +52,17 @@
     }
 }
 
-/// A request whose head and body have arrived whole.
+/// A request whose head and body have arrived completely.
 #[derive(Debug)]
 pub struct ReceivedRequest {
-    /// Method, URL and fields.
+    /// The method, URL and fields.
     pub request: Request,
     /// The whole body.
     pub body: Vec<u8>,
 }
 
 impl ReceivedRequest {
-    /// Returns a field's first value.
+    /// Returns the last value of a field.
     pub fn field(&self, name: &str) -> Option<&str> {
         self.request.header(name).map(|values| values.last().as_str())
     }
@@ -72,14 +72,14 @@
         self.request.url().path()
     }
 
-    /// Returns a value of the query.
+    /// Returns the first value of a query parameter.
     pub fn query(&self, name: &str) -> Option<String> {
         let mut pairs = self.request.url().query_pairs();
         pairs.find(|(key, _)| key == name).map(|(_, value)| value.into_owned())
     }
 }
 
-/// Opens a listening socket.
+/// Opens a non-blocking listening socket.
 pub fn bind(address: &str) -> io::Result<TcpListener> {
     let listener = std::net::TcpListener::bind(address)?;
     listener.set_nonblocking(true)?;
@@ -87,13 +87,10 @@
 }
 
 /// Serves connections until the future is dropped.
-pub async fn serve<Handler, Answering>(
-    listener: TcpListener,
-    limits: ServerLimits,
-    handler: Handler,
-) where
-    Handler: Fn(ReceivedRequest) -> Answering + Clone + Send + Sync + 'static,
-    Answering: Future<Output = Response> + Send + 'static,
+pub async fn serve<Handler, Handling>(listener: TcpListener, limits: ServerLimits, handler: Handler)
+where
+    Handler: Fn(ReceivedRequest) -> Handling + Clone + Send + Sync + 'static,
+    Handling: Future<Output = Response> + Send + 'static,
 {
     let open = Arc::new(AtomicUsize::new(0));
     let limits = Arc::new(limits);
@@ -106,9 +103,10 @@
         let limits = Arc::clone(&limits);
         let handler = handler.clone();
         smol::spawn(async move {
-            let crowded = guard.count() > limits.max_connections;
-            // A broken connection has nobody left to tell.
-            serve_connection(stream, &limits, handler, crowded).await.ok();
+            let over_limit = guard.count() > limits.max_connections;
+            // An I/O error means that the connection is broken, so it cannot be reported to the
+            // peer.
+            serve_connection(stream, &limits, handler, over_limit).await.ok();
         })
         .detach();
     }
@@ -136,47 +134,49 @@
     }
 }
 
-async fn serve_connection<Handler, Answering>(
+async fn serve_connection<Handler, Handling>(
     stream: TcpStream,
     limits: &ServerLimits,
     handler: Handler,
-    crowded: bool,
+    over_limit: bool,
 ) -> io::Result<()>
 where
-    Handler: Fn(ReceivedRequest) -> Answering,
-    Answering: Future<Output = Response>,
+    Handler: Fn(ReceivedRequest) -> Handling,
+    Handling: Future<Output = Response>,
 {
     stream.set_nodelay(true)?;
-    if crowded {
-        return refuse(stream, limits, codetable::TOO_MANY_CONNECTIONS).await;
+    if over_limit {
+        return reject(stream, limits, codetable::TOO_MANY_CONNECTIONS).await;
     }
     let mut buffered = Vec::new();
     let mut chunk = vec![0; READ_SIZE];
     while let Some(head) = read_head(&stream, &mut buffered, &mut chunk, limits).await? {
         let (end, facts) = match head {
             Ok(found) => found,
-            Err(code) => return refuse(stream, limits, code).await,
+            Err(code) => return reject(stream, limits, code).await,
         };
         let bytes = std::mem::take(&mut buffered);
         let replay = MessageStream::new(bytes, end, facts.length, stream.clone());
         let received = time_limits::timeout(limits.request_timeout, receive(&replay, limits)).await;
         let received = match received.unwrap_or(Err(codetable::SLOW_SENDER)) {
             Ok(received) => received,
-            Err(code) => return refuse(stream, limits, code).await,
+            Err(code) => return reject(stream, limits, code).await,
         };
         buffered = replay.take_leftover();
         let method = received.request.method();
-        // async-h1 gives no end of a chunked request, so what follows it is not trusted.
+        // async-h1 does not report where a chunked request ends, so the bytes after it are not
+        // used.
         let close = facts.close || facts.length == BodyLength::Chunked;
-        let answered = answer(&stream, handler(received), method, limits, close, &buffered).await?;
-        if close || !answered {
+        let responded =
+            respond(&stream, handler(received), method, limits, close, &buffered).await?;
+        if close || !responded {
             break;
         }
     }
     Ok(())
 }
 
-/// Reads until a head is whole; `None` where the peer closed between requests.
+/// Reads until a head is complete; none if the peer closed the connection between requests.
 async fn read_head(
     stream: &TcpStream,
     buffered: &mut Vec<u8>,
@@ -224,7 +224,7 @@
     replay: &MessageStream,
     limits: &ServerLimits,
 ) -> Result<ReceivedRequest, ResultCode> {
-    // Boxed, since the decoder's state is large and every wrapper would move it.
+    // Boxed because the decoder's state is large and each wrapping future would copy it.
     let decoded = Box::pin(server::decode(replay.clone())).await;
     let Ok(Some((mut request, _))) = decoded else {
         return Err(codetable::BAD_REQUEST);
@@ -244,15 +244,15 @@
     }
 }
 
-async fn refuse(stream: TcpStream, limits: &ServerLimits, code: ResultCode) -> io::Result<()> {
+async fn reject(stream: TcpStream, limits: &ServerLimits, code: ResultCode) -> io::Result<()> {
     let response = responses::error(&ErrorDetails::new(code));
-    write_answer(&stream, response, Method::Get, limits, true).await?;
+    write_response(&stream, response, Method::Get, limits, true).await?;
     discard_input(stream).await;
     Ok(())
 }
 
-/// Reads on for a moment after a refusal: closing with unread bytes resets the connection, and
-/// the peer would lose the answer.
+/// Continues to read for a short time after an error response: closing a socket with unread bytes
+/// resets the connection, and the peer could lose the response.
 async fn discard_input(mut stream: TcpStream) {
     const LINGER: Duration = Duration::from_millis(200);
     stream.shutdown(std::net::Shutdown::Write).ok();
@@ -264,30 +264,30 @@
     time_limits::io_timeout(LINGER, reading).await.ok();
 }
 
-/// Runs the handler and writes its answer; false where the caller went away first.
-async fn answer<Answering>(
+/// Runs the handler and writes its response; false if the caller disconnected before.
+async fn respond<Handling>(
     stream: &TcpStream,
-    answering: Answering,
+    handling: Handling,
     method: Method,
     limits: &ServerLimits,
     close: bool,
     buffered: &[u8],
 ) -> io::Result<bool>
 where
-    Answering: Future<Output = Response>,
+    Handling: Future<Output = Response>,
 {
-    let answered = async {
-        let response = answering.await;
-        write_answer(stream, response, method, limits, close).await?;
+    let responded = async {
+        let response = handling.await;
+        write_response(stream, response, method, limits, close).await?;
         Ok(true)
     };
     let pipelined = !buffered.is_empty();
-    answered.or(watch_departure(stream, pipelined)).await
+    responded.or(wait_for_disconnect(stream, pipelined)).await
 }
 
-/// Ends when the peer closes its side, so that work for a caller who went away stops even while
-/// there is nothing to write. A peer that sends its next request early is left alone.
-async fn watch_departure(stream: &TcpStream, pipelined: bool) -> io::Result<bool> {
+/// Completes when the peer closes its side, so that work for a caller that disconnected stops even
+/// while there is nothing to write. A peer that pipelines its next request is not watched.
+async fn wait_for_disconnect(stream: &TcpStream, pipelined: bool) -> io::Result<bool> {
     let mut probe = [0; 1];
     if !pipelined && matches!(stream.peek(&mut probe).await, Ok(0) | Err(_)) {
         return Ok(false);
@@ -295,7 +295,7 @@
     std::future::pending().await
 }
 
-async fn write_answer(
+async fn write_response(
     stream: &TcpStream,
     mut response: Response,
     method: Method,
--- a/toucanrail-wire/src/message_streams.rs
+++ b/toucanrail-wire/src/message_streams.rs
@@ -1,4 +1,5 @@
-//! The stream handed to `async-h1`: a head already read, then exactly the body's bytes.
+//! The stream passed to `async-h1`: a head that has already been read, followed by exactly the
+//! bytes of the body.
 
 use std::io;
 use std::pin::Pin;
@@ -9,10 +10,10 @@
 use smol::net::TcpStream;
 use toucanrail::scanners::{BodyLength, ChunkScanner};
 
-/// Gives `async-h1` the bytes of one message and nothing after it.
+/// Provides the bytes of one message and nothing after it.
 ///
-/// Guards against a cut message that passes as whole: `async-h1` reports a clean end when the
-/// peer closes early, so this stream fails with `UnexpectedEof` unless the body has fully passed.
+/// `async-h1` reports a regular end when the peer closes the connection early. To make truncated
+/// messages visible, this stream fails with `UnexpectedEof` unless the body is complete.
 #[derive(Debug, Clone)]
 pub struct MessageStream {
     state: Arc<Mutex<MessageState>>,
@@ -22,8 +23,8 @@
 #[derive(Debug)]
 struct MessageState {
     prefix: Vec<u8>,
-    at: usize,
-    head: usize,
+    position: usize,
+    head_length: usize,
     body: BodyState,
 }
 
@@ -36,53 +37,53 @@
 impl BodyState {
     fn is_done(&self) -> bool {
         match self {
-            Self::Exact(left) => *left == 0,
+            Self::Exact(remaining) => *remaining == 0,
             Self::Chunked(scanner) => scanner.is_done(),
         }
     }
 
-    fn pass(&mut self, bytes: &[u8]) -> usize {
+    fn consume(&mut self, bytes: &[u8]) -> usize {
         match self {
-            Self::Exact(left) => {
-                let taken = (*left).min(bytes.len() as u64);
-                *left -= taken;
-                taken as usize
+            Self::Exact(remaining) => {
+                let consumed = (*remaining).min(bytes.len() as u64);
+                *remaining -= consumed;
+                consumed as usize
             }
             Self::Chunked(scanner) => scanner.feed(bytes),
         }
     }
 
-    fn next_read(&self, room: usize) -> usize {
+    fn max_read(&self, limit: usize) -> usize {
         match self {
-            Self::Exact(left) => (*left).min(room as u64) as usize,
-            Self::Chunked(_) => room,
+            Self::Exact(remaining) => (*remaining).min(limit as u64) as usize,
+            Self::Chunked(_) => limit,
         }
     }
 }
 
 impl MessageStream {
-    /// Makes a stream over a head of `head` bytes at the start of `prefix`, which may hold the
-    /// first bytes of the body too.
-    pub fn new(prefix: Vec<u8>, head: usize, length: BodyLength, stream: TcpStream) -> Self {
+    /// Makes a stream of a message whose first bytes, `prefix`, have been read from `stream`: a
+    /// head of `head_length` bytes and possibly the start of the body.
+    pub fn new(prefix: Vec<u8>, head_length: usize, length: BodyLength, stream: TcpStream) -> Self {
         let body = match length {
             BodyLength::Absent => BodyState::Exact(0),
             BodyLength::Exact(count) => BodyState::Exact(count),
             BodyLength::Chunked => BodyState::Chunked(ChunkScanner::new()),
         };
-        let state = MessageState { prefix, at: 0, head, body };
+        let state = MessageState { prefix, position: 0, head_length, body };
         Self { state: Arc::new(Mutex::new(state)), stream }
     }
 
-    /// Tells whether the whole body has passed.
+    /// Returns whether the complete body has been read.
     pub fn is_complete(&self) -> bool {
         self.lock().body.is_done()
     }
 
-    /// Returns the bytes received behind the message.
+    /// Returns the bytes received after the message.
     pub fn take_leftover(&self) -> Vec<u8> {
         let mut state = self.lock();
-        let at = state.at;
-        state.prefix.split_off(at)
+        let position = state.position;
+        state.prefix.split_off(position)
     }
 
     fn lock(&self) -> MutexGuard<'_, MessageState> {
@@ -92,17 +93,17 @@
 
 impl MessageState {
     fn copy_prefix(&mut self, buffer: &mut [u8]) -> usize {
-        let wanted = buffer.len().min(self.prefix.len() - self.at);
-        let from = self.at;
-        let taken = if from < self.head {
-            wanted.min(self.head - from)
+        let available = buffer.len().min(self.prefix.len() - self.position);
+        let start = self.position;
+        let consumed = if start < self.head_length {
+            available.min(self.head_length - start)
         } else {
             let Self { prefix, body, .. } = self;
-            body.pass(&prefix[from..from + wanted])
+            body.consume(&prefix[start..start + available])
         };
-        buffer[..taken].copy_from_slice(&self.prefix[from..from + taken]);
-        self.at += taken;
-        taken
+        buffer[..consumed].copy_from_slice(&self.prefix[start..start + consumed]);
+        self.position += consumed;
+        consumed
     }
 }
 
@@ -114,22 +115,24 @@
     ) -> Poll<io::Result<usize>> {
         let Self { state, stream } = self.get_mut();
         let mut state = state.lock().unwrap_or_else(PoisonError::into_inner);
-        if state.at < state.head || (state.at < state.prefix.len() && !state.body.is_done()) {
+        if state.position < state.head_length
+            || (state.position < state.prefix.len() && !state.body.is_done())
+        {
             return Poll::Ready(Ok(state.copy_prefix(buffer)));
         }
         if state.body.is_done() {
             return Poll::Ready(Ok(0));
         }
-        let room = state.body.next_read(buffer.len());
-        match Pin::new(stream).poll_read(context, &mut buffer[..room]) {
+        let limit = state.body.max_read(buffer.len());
+        match Pin::new(stream).poll_read(context, &mut buffer[..limit]) {
             Poll::Ready(Ok(0)) => Poll::Ready(Err(io::ErrorKind::UnexpectedEof.into())),
             Poll::Ready(Ok(count)) => {
-                let taken = state.body.pass(&buffer[..count]);
-                let head = state.head;
-                state.prefix.truncate(head);
-                state.at = head;
-                state.prefix.extend_from_slice(&buffer[taken..count]);
-                Poll::Ready(Ok(taken))
+                let consumed = state.body.consume(&buffer[..count]);
+                let head_length = state.head_length;
+                state.prefix.truncate(head_length);
+                state.position = head_length;
+                state.prefix.extend_from_slice(&buffer[consumed..count]);
+                Poll::Ready(Ok(consumed))
             }
             other => other,
         }
--- a/toucanrail-wire/src/pipes.rs
+++ b/toucanrail-wire/src/pipes.rs
@@ -1,4 +1,4 @@
-//! A body that is written while it is read, with back pressure and a visible failure.
+//! A body that is written while it is read, with back pressure and error propagation.
 
 use std::io;
 use std::pin::Pin;
@@ -7,10 +7,10 @@
 use smol::io::{AsyncBufRead, AsyncRead};
 use smol::stream::Stream;
 
-/// Chunks a [`BodyPipe`] holds before its writer waits.
+/// Number of chunks that a [`BodyPipe`] buffers before its writer has to wait.
 const PIPE_DEPTH: usize = 16;
 
-/// The writing end; dropping it without [`PipeWriter::finish`] cuts the body visibly.
+/// The writing end; dropping it without [`PipeWriter::finish`] makes the reader fail.
 #[derive(Debug)]
 pub struct PipeWriter {
     sender: async_channel::Sender<PipeItem>,
@@ -22,20 +22,20 @@
     End,
 }
 
-/// The reading end, a body for an answer.
+/// The reading end, used as the body of a response.
 ///
-/// Guards against a cut answer that passes as whole: it ends cleanly only after
-/// [`PipeWriter::finish`]; a writer dropped on any error path makes the read fail, and the
-/// connection then ends without the last chunk.
+/// The body ends only after [`PipeWriter::finish`]. If the writer is dropped on an error path,
+/// reading fails and the connection is closed without the last chunk, so that a truncated response
+/// never looks complete.
 #[derive(Debug)]
 pub struct BodyPipe {
     items: Pin<Box<async_channel::Receiver<PipeItem>>>,
     chunk: Vec<u8>,
-    at: usize,
-    ended: bool,
+    position: usize,
+    finished: bool,
 }
 
-/// Makes both ends of a body.
+/// Makes both ends of a pipe.
 ///
 /// # Examples
 /// ```
@@ -51,22 +51,23 @@
 /// ```
 pub fn make_pipe() -> (PipeWriter, BodyPipe) {
     let (sender, receiver) = async_channel::bounded(PIPE_DEPTH);
-    let body = BodyPipe { items: Box::pin(receiver), chunk: Vec::new(), at: 0, ended: false };
+    let body =
+        BodyPipe { items: Box::pin(receiver), chunk: Vec::new(), position: 0, finished: false };
     (PipeWriter { sender }, body)
 }
 
 impl PipeWriter {
-    /// Passes a chunk on; false once the reader is gone.
+    /// Sends a chunk; false if the reader has been dropped.
     pub async fn send(&self, chunk: Vec<u8>) -> bool {
         self.sender.send(PipeItem::Chunk(chunk)).await.is_ok()
     }
 
-    /// Ends the body as whole.
+    /// Marks the body as complete.
     pub async fn finish(&self) {
         self.sender.send(PipeItem::End).await.ok();
     }
 
-    /// Waits until the reader is gone.
+    /// Waits until the reader has been dropped.
     pub async fn wait_closed(&self) {
         let sender = self.sender.clone();
         sender.closed().await;
@@ -76,24 +77,24 @@
 impl AsyncBufRead for BodyPipe {
     fn poll_fill_buf(self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<&[u8]>> {
         let this = self.get_mut();
-        while this.at == this.chunk.len() && !this.ended {
+        while this.position == this.chunk.len() && !this.finished {
             match this.items.as_mut().poll_next(context) {
                 Poll::Pending => return Poll::Pending,
                 Poll::Ready(Some(PipeItem::Chunk(chunk))) => {
                     this.chunk = chunk;
-                    this.at = 0;
+                    this.position = 0;
                 }
-                Poll::Ready(Some(PipeItem::End)) => this.ended = true,
+                Poll::Ready(Some(PipeItem::End)) => this.finished = true,
                 Poll::Ready(None) => {
                     return Poll::Ready(Err(io::ErrorKind::UnexpectedEof.into()));
                 }
             }
         }
-        Poll::Ready(Ok(&this.chunk[this.at..]))
+        Poll::Ready(Ok(&this.chunk[this.position..]))
     }
 
     fn consume(self: Pin<&mut Self>, amount: usize) {
-        self.get_mut().at += amount;
+        self.get_mut().position += amount;
     }
 }
 
--- a/toucanrail-wire/src/responses.rs
+++ b/toucanrail-wire/src/responses.rs
@@ -1,4 +1,4 @@
-//! Short constructors of answers.
+//! Constructors of responses.
 
 use std::time::Duration;
 
@@ -8,63 +8,63 @@
 
 use crate::pipes::BodyPipe;
 
-/// Header with the numbered result.
+/// Header with the number of the result code.
 pub const RESULT_HEADER: &str = "toucanrail-result";
-/// Header that says whether the request ran.
+/// Header that states whether the request ran.
 pub const RUN_HEADER: &str = "toucanrail-run";
 /// Header with the id of the request, for `toucanrail explain`.
 pub const REQUEST_HEADER: &str = "toucanrail-request";
 
-/// A refusal, as it goes to a caller.
+/// Content of an error response to a caller.
 #[derive(Debug, Clone)]
 pub struct ErrorDetails {
-    /// The numbered result.
+    /// The result code.
     pub code: ResultCode,
     /// Whether the request ran.
     pub run: RunState,
-    /// When to come back, where that helps.
+    /// Time after which the caller may retry, if a retry can help.
     pub retry_after: Option<Duration>,
-    /// Detail for the caller, behind the code's sentence.
+    /// Detail that follows the code's message; may be empty.
     pub detail: String,
-    /// The field of the caller's body that is at fault.
+    /// The invalid field of the caller's body.
     pub field: Option<&'static str>,
 }
 
 impl ErrorDetails {
-    /// Makes a refusal as the code's row of the table has it.
+    /// Makes an error with the defaults of its result code.
     ///
     /// # Examples
     /// ```
     /// use toucanrail::codetable;
-    /// let note = toucanrail_wire::responses::ErrorDetails::new(codetable::OVERLOADED);
-    /// assert_eq!(note.run, toucanrail::codes::RunState::NotRun);
+    /// let error = toucanrail_wire::responses::ErrorDetails::new(codetable::OVERLOADED);
+    /// assert_eq!(error.run, toucanrail::codes::RunState::NotRun);
     /// ```
     pub fn new(code: ResultCode) -> Self {
         Self { code, run: code.row().run, retry_after: None, detail: String::new(), field: None }
     }
 
-    /// Adds when to come back.
+    /// Sets the time after which the caller may retry.
     #[must_use]
     pub fn retry_after(mut self, wait: Duration) -> Self {
         self.retry_after = Some(wait);
         self
     }
 
-    /// Replaces what the table says about the run.
+    /// Overrides the result code's default for whether the request ran.
     #[must_use]
     pub fn run(mut self, run: RunState) -> Self {
         self.run = run;
         self
     }
 
-    /// Names the field of the caller's body that is at fault.
+    /// Names the invalid field of the caller's body.
     #[must_use]
     pub fn field(mut self, name: &'static str) -> Self {
         self.field = Some(name);
         self
     }
 
-    /// Adds detail for the caller.
+    /// Sets the detail that follows the code's message.
     #[must_use]
     pub fn detail(mut self, detail: impl Into<String>) -> Self {
         self.detail = detail.into();
@@ -88,26 +88,26 @@
     run: &'static str,
 }
 
-/// Makes an answer with a status number; an unknown number becomes 500.
+/// Makes an empty response; an unknown status code becomes 500.
 pub fn status(number: u16) -> Response {
     Response::new(StatusCode::try_from(number).unwrap_or(StatusCode::InternalServerError))
 }
 
-/// Makes an answer of plain text.
+/// Makes a response with plain text.
 pub fn text(number: u16, text: impl Into<String>) -> Response {
     let mut response = status(number);
     response.set_body(Body::from_string(text.into()));
     response
 }
 
-/// Makes an answer of bytes.
+/// Makes a response with bytes.
 pub fn bytes(number: u16, bytes: Vec<u8>) -> Response {
     let mut response = status(number);
     response.set_body(Body::from_bytes(bytes));
     response
 }
 
-/// Makes an answer of JSON.
+/// Makes a response with JSON.
 pub fn json<Value>(number: u16, value: &Value) -> Response
 where
     Value: Serialize,
@@ -122,7 +122,7 @@
     }
 }
 
-/// Makes an answer of `rmp-serde`, the codec between the system's own processes.
+/// Makes a response with `MessagePack`, the format between the system's own processes.
 pub fn msgpack<Value>(value: &Value) -> Response
 where
     Value: Serialize,
@@ -133,45 +133,45 @@
     }
 }
 
-/// Makes an answer whose body streams.
+/// Makes a response with a streamed body.
 pub fn stream(number: u16, body: BodyPipe) -> Response {
     let mut response = status(number);
     response.set_body(Body::from_reader(body, None));
     response
 }
 
-/// Returns the body of a refusal: a JSON error in the callers' usual form.
-pub fn error_body(note: &ErrorDetails) -> Vec<u8> {
-    // Only maps with keys other than text can fail here.
-    serde_json::to_vec(&error_envelope(note)).unwrap_or_default()
+/// Returns the body of an error response: JSON in the format of the model APIs that callers use.
+pub fn error_body(details: &ErrorDetails) -> Vec<u8> {
+    // Serialization cannot fail: it does so only for maps whose keys are not strings.
+    serde_json::to_vec(&error_envelope(details)).unwrap_or_default()
 }
 
-fn error_envelope(note: &ErrorDetails) -> ErrorEnvelope {
-    let row = note.code.row();
-    let message = if note.detail.is_empty() {
+fn error_envelope(details: &ErrorDetails) -> ErrorEnvelope {
+    let row = details.code.row();
+    let message = if details.detail.is_empty() {
         row.text.to_owned()
     } else {
-        format!("{} {}", row.text, note.detail)
+        format!("{} {}", row.text, details.detail)
     };
     let error = ErrorBody {
         message,
         kind: "toucanrail_error",
-        param: note.field,
+        param: details.field,
         code: row.name,
         result: row.number,
-        run: note.run.as_str(),
+        run: details.run.as_str(),
     };
     ErrorEnvelope { error }
 }
 
-/// Makes the answer of a refusal: a JSON error in the callers' usual form, and the headers that
-/// say the result, the run and when to come back.
-pub fn error(note: &ErrorDetails) -> Response {
-    let row = note.code.row();
-    let mut response = json(row.status, &error_envelope(note));
+/// Makes an error response: the body of [`error_body`], and headers with the result code, whether
+/// the request ran, and the time after which to retry.
+pub fn error(details: &ErrorDetails) -> Response {
+    let row = details.code.row();
+    let mut response = json(row.status, &error_envelope(details));
     response.insert_header(RESULT_HEADER, row.number.to_string());
-    response.insert_header(RUN_HEADER, note.run.as_str());
-    if let Some(wait) = note.retry_after {
+    response.insert_header(RUN_HEADER, details.run.as_str());
+    if let Some(wait) = details.retry_after {
         let seconds = wait.as_secs_f64().ceil().max(1.0) as u64;
         response.insert_header("retry-after", seconds.to_string());
     }
--- a/toucanrail-wire/src/rpc.rs
+++ b/toucanrail-wire/src/rpc.rs
@@ -1,4 +1,5 @@
-//! Calls between the system's own processes: HTTP with `rmp-serde`, one at a time on a connection.
+//! Remote calls between the system's own processes: HTTP with `MessagePack` bodies, one call at a
+//! time per connection.
 
 use std::io;
 
@@ -10,21 +11,22 @@
 use crate::connections::BufferedConnection;
 use crate::heads::{RequestHead, ResponseHead};
 
-/// Largest head and body of such a message.
+/// Maximum size of a message's head, in bytes.
 const HEAD_LIMIT: usize = 4 * 1024;
+/// Maximum size of a message's body, in bytes.
 const BODY_LIMIT: usize = 1024 * 1024;
 
-/// Makes one call.
-pub async fn call<Order, Reply>(
+/// Makes one call and decodes its reply. A status other than 200 gives `InvalidData`.
+pub async fn call<Request, Reply>(
     channel: &mut BufferedConnection,
     path: &str,
-    order: &Order,
+    request: &Request,
 ) -> io::Result<Reply>
 where
-    Order: Serialize,
+    Request: Serialize,
     Reply: DeserializeOwned,
 {
-    let body = rmp_serde::to_vec_named(order).map_err(io::Error::other)?;
+    let body = rmp_serde::to_vec_named(request).map_err(io::Error::other)?;
     let head =
         format!("POST {path} HTTP/1.1\r\nHost: fleet\r\nContent-Length: {}\r\n\r\n", body.len());
     let mut bytes = head.into_bytes();
@@ -38,7 +40,7 @@
     decode(&read_body(channel, head.length).await?)
 }
 
-/// Reads one call; none at the end of the connection.
+/// Reads the head and body of one call; none if the peer closed the connection after the last one.
 pub async fn read_call(
     channel: &mut BufferedConnection,
 ) -> io::Result<Option<(RequestHead, Vec<u8>)>> {
@@ -50,7 +52,7 @@
     Ok(Some((head, body)))
 }
 
-/// Answers one call.
+/// Writes the reply to one call.
 pub async fn reply<Reply>(channel: &BufferedConnection, reply: &Reply) -> io::Result<()>
 where
     Reply: Serialize,
@@ -62,7 +64,7 @@
     channel.writer().write_all(&bytes).await
 }
 
-/// Decodes the body of a call.
+/// Decodes the body of a call or of a reply.
 pub fn decode<Message>(body: &[u8]) -> io::Result<Message>
 where
     Message: DeserializeOwned,
--- a/toucanrail-wire/src/stores.rs
+++ b/toucanrail-wire/src/stores.rs
@@ -1,4 +1,4 @@
-//! The client of the platform's object API and VM list (`docs/PLATFORM.md` gives the protocol).
+//! Client of the object API and the VM list (`docs/PLATFORM.md` describes the protocol).
 
 use std::io;
 use std::net::SocketAddr;
@@ -14,22 +14,23 @@
 
 use crate::clients::{ClientLimits, CompleteResponse, ConnectionPool, OutboundRequest};
 
-/// Longest wait for an answer of the object API before its effect counts as unknown.
-const CALL_BOUND: Duration = Duration::from_secs(1);
-/// Added to a watch's own wait before its connection counts as silent.
-const WATCH_SLACK: Duration = Duration::from_secs(1);
+/// Timeout of a call to the object API; after it, the effect of a write is unknown.
+const CALL_TIMEOUT: Duration = Duration::from_secs(1);
+/// Added to the wait of a watch for the timeout of its call.
+const WATCH_MARGIN: Duration = Duration::from_secs(1);
 
-/// The object API, as the system uses it.
+/// The operations of the object API that the system uses.
 pub trait ObjectStore: Send + Sync + 'static {
     /// Makes one read or conditional write.
     fn call(&self, call: &StoreCall) -> impl Future<Output = StoreReply> + Send;
 
-    /// Lists a kind's objects changed after a version; none if there is no answer.
+    /// Lists the objects of a kind that changed after a version; none if the call fails.
     fn list(&self, kind: &str, after: Version) -> impl Future<Output = Option<MirrorReply>> + Send;
 
-    /// Waits until a kind has a change after a version, or `wait` is over.
+    /// Waits at most `wait` for a change of a kind after a version.
     ///
-    /// A hint only: the platform's watches may leave out changes, so the caller lists anyway.
+    /// The result is only a hint: watches may miss changes, so callers list the objects in any
+    /// case.
     fn watch(
         &self,
         kind: &str,
@@ -37,32 +38,32 @@
         wait: Duration,
     ) -> impl Future<Output = bool> + Send;
 
-    /// Reads the VM list; none if there is no answer.
+    /// Fetches the VM list; none if the call fails.
     fn list_vms(&self) -> impl Future<Output = Option<Vec<VmRow>>> + Send;
 }
 
-/// A row of the platform's VM list.
+/// An entry of the VM list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VmRow {
     /// The VM.
     pub vm: VmId,
-    /// Whether it is about to leave.
+    /// Whether the VM is about to be removed.
     pub leaving: bool,
 }
 
 /// The body of a listing.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ListBody {
-    /// The version up to which the listing is complete.
+    /// The version up to which the listing contains all changes.
     pub revision: Version,
-    /// The objects, by version.
+    /// The objects in the order of their versions.
     pub objects: Vec<ListedObject>,
 }
 
 /// One object of a listing.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ListedObject {
-    /// Its name in the kind.
+    /// Its name, unique within the kind.
     pub name: Arc<str>,
     /// Its version.
     pub version: Version,
@@ -70,7 +71,7 @@
     pub value: String,
 }
 
-/// The object API over HTTP.
+/// HTTP client of the object API.
 #[derive(Debug, Clone)]
 pub struct HttpStore {
     address: SocketAddr,
@@ -82,33 +83,37 @@
 impl HttpStore {
     /// Makes a client of the object API at an address.
     pub fn new(address: SocketAddr) -> Self {
-        let limits = ClientLimits { connect_timeout: CALL_BOUND, ..ClientLimits::default() };
+        let limits = ClientLimits { connect_timeout: CALL_TIMEOUT, ..ClientLimits::default() };
         let pool = ConnectionPool::new(limits);
         Self { address, pool, reads: Arc::default(), writes: Arc::default() }
     }
 
-    /// Returns the reads and the writes made so far, a watch counting as a read.
+    /// Returns the number of reads and of writes made so far; a watch counts as a read.
     pub fn counts(&self) -> (u64, u64) {
         (self.reads.load(Ordering::Relaxed), self.writes.load(Ordering::Relaxed))
     }
 
-    async fn fetch(&self, call: OutboundRequest, bound: Duration) -> io::Result<CompleteResponse> {
+    async fn fetch(
+        &self,
+        call: OutboundRequest,
+        timeout: Duration,
+    ) -> io::Result<CompleteResponse> {
         match call.method {
             Method::Put => self.writes.fetch_add(1, Ordering::Relaxed),
             _ => self.reads.fetch_add(1, Ordering::Relaxed),
         };
-        let answer = self.pool.fetch(self.address, call, bound).await;
-        if answer.is_err() {
-            // One silent connection speaks for the others that idle beside it.
+        let response = self.pool.fetch(self.address, call, timeout).await;
+        if response.is_err() {
+            // If this connection failed, the idle ones to the same address may be dead too.
             self.pool.evict(self.address);
         }
-        answer
+        response
     }
 
     async fn list_once(&self, kind: &str, after: Version) -> Option<MirrorReply> {
         let call = OutboundRequest::get(format!("/v1/list/{kind}?after={after}"));
-        let answer = self.fetch(call, CALL_BOUND).await.ok()?;
-        let body: ListBody = serde_json::from_slice(&answer.body).ok()?;
+        let response = self.fetch(call, CALL_TIMEOUT).await.ok()?;
+        let body: ListBody = serde_json::from_slice(&response.body).ok()?;
         let objects = body.objects.into_iter().map(|object| MirrorObject {
             name: object.name,
             version: object.version,
@@ -118,7 +123,7 @@
     }
 }
 
-fn outbound(call: &StoreCall) -> OutboundRequest {
+fn encode_call(call: &StoreCall) -> OutboundRequest {
     match call {
         StoreCall::Get { path } => OutboundRequest::get(format!("/v1/objects/{path}")),
         StoreCall::Put { path, expect, value } => {
@@ -133,12 +138,12 @@
     }
 }
 
-fn read_reply(call: &StoreCall, answer: CompleteResponse) -> StoreReply {
-    let tag = answer.field("etag").map(|tag| tag.trim_matches('"'));
+fn convert_reply(call: &StoreCall, response: CompleteResponse) -> StoreReply {
+    let tag = response.field("etag").map(|tag| tag.trim_matches('"'));
     let version = tag.and_then(|tag| tag.parse().ok());
-    match (call, answer.status, version) {
+    match (call, response.status, version) {
         (StoreCall::Get { .. }, 200, Some(version)) => {
-            StoreReply::Found { version, value: answer.body }
+            StoreReply::Found { version, value: response.body }
         }
         (StoreCall::Get { .. }, 404, _) => StoreReply::Missing,
         (StoreCall::Put { .. }, 200, Some(version)) => StoreReply::Written { version },
@@ -149,15 +154,15 @@
 
 impl ObjectStore for HttpStore {
     async fn call(&self, call: &StoreCall) -> StoreReply {
-        let first = self.fetch(outbound(call), CALL_BOUND).await;
-        let answer = match (first, call) {
-            // A read may go again at once, on a fresh connection.
+        let first = self.fetch(encode_call(call), CALL_TIMEOUT).await;
+        let response = match (first, call) {
+            // A read is safe to repeat; the new connection rules out a dead idle one.
             (Err(_), StoreCall::Get { .. }) => {
-                self.fetch(outbound(call).on_new_connection(), CALL_BOUND).await
+                self.fetch(encode_call(call).on_new_connection(), CALL_TIMEOUT).await
             }
             (first, _) => first,
         };
-        answer.map_or(StoreReply::Unavailable, |answer| read_reply(call, answer))
+        response.map_or(StoreReply::Unavailable, |response| convert_reply(call, response))
     }
 
     async fn list(&self, kind: &str, after: Version) -> Option<MirrorReply> {
@@ -167,12 +172,12 @@
     async fn watch(&self, kind: &str, after: Version, wait: Duration) -> bool {
         let millis = wait.as_millis();
         let call = OutboundRequest::get(format!("/v1/watch/{kind}?after={after}&wait={millis}"));
-        let answer = self.fetch(call, wait + WATCH_SLACK).await;
-        answer.is_ok_and(|answer| answer.status == 200)
+        let response = self.fetch(call, wait + WATCH_MARGIN).await;
+        response.is_ok_and(|response| response.status == 200)
     }
 
     async fn list_vms(&self) -> Option<Vec<VmRow>> {
-        let answer = self.fetch(OutboundRequest::get("/v1/vms"), CALL_BOUND).await.ok()?;
-        serde_json::from_slice(&answer.body).ok()
+        let response = self.fetch(OutboundRequest::get("/v1/vms"), CALL_TIMEOUT).await.ok()?;
+        serde_json::from_slice(&response.body).ok()
     }
 }
--- a/toucanrail-wire/src/time_limits.rs
+++ b/toucanrail-wire/src/time_limits.rs
@@ -1,40 +1,41 @@
-//! Time bounds around futures.
+//! Timeouts for futures.
 
 use std::io;
 use std::time::Duration;
 
 use smol::future::FutureExt;
 
-/// Waits for a future of I/O at most `bound`, then gives `TimedOut`.
+/// Waits at most `limit` for an I/O future, then fails with `TimedOut`.
 ///
 /// # Examples
 /// ```
 /// use std::time::Duration;
-/// let waited = smol::block_on(toucanrail_wire::time_limits::io_timeout(
+/// let result = smol::block_on(toucanrail_wire::time_limits::io_timeout(
 ///     Duration::from_millis(1),
 ///     std::future::pending::<std::io::Result<()>>(),
 /// ));
-/// assert_eq!(waited.unwrap_err().kind(), std::io::ErrorKind::TimedOut);
+/// assert_eq!(result.unwrap_err().kind(), std::io::ErrorKind::TimedOut);
 /// ```
-pub async fn io_timeout<Value, Work>(bound: Duration, work: Work) -> io::Result<Value>
+pub async fn io_timeout<Value, Fut>(limit: Duration, future: Fut) -> io::Result<Value>
 where
-    Work: Future<Output = io::Result<Value>>,
+    Fut: Future<Output = io::Result<Value>>,
 {
-    work.or(async {
-        smol::Timer::after(bound).await;
-        Err(io::ErrorKind::TimedOut.into())
-    })
-    .await
+    future
+        .or(async {
+            smol::Timer::after(limit).await;
+            Err(io::ErrorKind::TimedOut.into())
+        })
+        .await
 }
 
-/// Waits for any future at most `bound`.
-pub async fn timeout<Value, Work>(bound: Duration, work: Work) -> Option<Value>
+/// Waits at most `limit` for any future; none if it does not complete in time.
+pub async fn timeout<Value, Fut>(limit: Duration, future: Fut) -> Option<Value>
 where
-    Work: Future<Output = Value>,
+    Fut: Future<Output = Value>,
 {
-    async { Some(work.await) }
+    async { Some(future.await) }
         .or(async {
-            smol::Timer::after(bound).await;
+            smol::Timer::after(limit).await;
             None
         })
         .await
--- a/toucanrail-wire/tests/http_edges.rs
+++ b/toucanrail-wire/tests/http_edges.rs
@@ -1,6 +1,6 @@
-//! What `async-h1` lets pass, guarded at both ends.
+//! Malformed and truncated messages that `async-h1` accepts must be rejected by client and server.
 
-// A test stops at the first thing that is not as it should be.
+// Tests panic at the first unexpected result.
 #![allow(clippy::unwrap_used)]
 
 use std::net::{Shutdown, SocketAddr};
@@ -14,82 +14,83 @@
 use toucanrail_wire::listeners::{self, ServerLimits};
 use toucanrail_wire::{pipes, responses};
 
-const BOUND: Duration = Duration::from_secs(10);
+const TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Starts a server that echoes a body's length and counts the calls that reach its handler.
-fn echo_server(limits: ServerLimits) -> (SocketAddr, Arc<AtomicUsize>) {
+/// Starts a server that responds with the path and the body's length, and counts the requests that
+/// reach its handler.
+fn start_echo_server(limits: ServerLimits) -> (SocketAddr, Arc<AtomicUsize>) {
     let listener = listeners::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
-    let handled = Arc::new(AtomicUsize::new(0));
-    let count = Arc::clone(&handled);
-    let answer = move |call: listeners::ReceivedRequest| {
+    let request_count = Arc::new(AtomicUsize::new(0));
+    let count = Arc::clone(&request_count);
+    let handler = move |request: listeners::ReceivedRequest| {
         count.fetch_add(1, Ordering::SeqCst);
-        let text = format!("{} {}", call.path(), call.body.len());
+        let text = format!("{} {}", request.path(), request.body.len());
         async move { responses::text(200, text) }
     };
-    smol::spawn(listeners::serve(listener, limits, answer)).detach();
-    (address, handled)
+    smol::spawn(listeners::serve(listener, limits, handler)).detach();
+    (address, request_count)
 }
 
-/// Sends raw bytes, ends the sending side if asked to, and reads all that comes.
+/// Sends raw bytes, shuts down the write half if `end`, and reads until the connection ends.
 async fn exchange(address: SocketAddr, bytes: &[u8], end: bool) -> String {
     let mut stream = TcpStream::connect(address).await.unwrap();
     stream.write_all(bytes).await.unwrap();
     if end {
         stream.shutdown(Shutdown::Write).unwrap();
     }
-    let mut answer = Vec::new();
-    stream.read_to_end(&mut answer).await.ok();
-    String::from_utf8_lossy(&answer).into_owned()
+    let mut response = Vec::new();
+    stream.read_to_end(&mut response).await.ok();
+    String::from_utf8_lossy(&response).into_owned()
 }
 
-async fn check_refused(bytes: &[u8], end: bool, status: &str, code: &str) {
-    let (address, handled) = echo_server(ServerLimits::default());
-    let answer = exchange(address, bytes, end).await;
-    assert!(answer.starts_with(&format!("HTTP/1.1 {status}")), "{answer}");
-    assert!(answer.contains(&format!("toucanrail-result: {code}")), "{answer}");
-    assert!(answer.contains("toucanrail-run: not-run"), "{answer}");
-    assert_eq!(handled.load(Ordering::SeqCst), 0, "the handler got it");
+async fn check_rejected(bytes: &[u8], end: bool, status: &str, result: &str) {
+    let (address, request_count) = start_echo_server(ServerLimits::default());
+    let response = exchange(address, bytes, end).await;
+    assert!(response.starts_with(&format!("HTTP/1.1 {status}")), "{response}");
+    assert!(response.contains(&format!("toucanrail-result: {result}")), "{response}");
+    assert!(response.contains("toucanrail-run: not-run"), "{response}");
+    assert_eq!(request_count.load(Ordering::SeqCst), 0, "the request reached the handler");
 }
 
-/// A caller's connection breaks behind two of nine bytes: the handler must not take them for the
-/// whole body.
+/// A caller's connection breaks after two of nine bytes of the body: the handler must not receive
+/// them as the complete body.
 #[test]
-fn cut_request() {
+fn truncated_request() {
     let bytes = b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 9\r\n\r\nab";
-    smol::block_on(check_refused(bytes, true, "400", "2006"));
+    smol::block_on(check_rejected(bytes, true, "400", "2006"));
 }
 
-/// The body is cut inside a chunk.
+/// The connection breaks inside a chunk of the body.
 #[test]
-fn cut_chunk() {
+fn truncated_chunk() {
     let bytes = b"POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nab";
-    smol::block_on(check_refused(bytes, true, "400", "2006"));
+    smol::block_on(check_rejected(bytes, true, "400", "2006"));
 }
 
-/// Two lengths are how one request is smuggled inside another.
+/// Ambiguous lengths allow request smuggling: two servers see different ends of the body.
 #[test]
-fn two_lengths() {
+fn ambiguous_request_length() {
     let bytes = b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\nContent-Length: 2\r\n\r\nabc";
-    smol::block_on(check_refused(bytes, false, "400", "2002"));
+    smol::block_on(check_rejected(bytes, false, "400", "2002"));
     let bytes =
         b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n";
-    smol::block_on(check_refused(bytes, false, "400", "2002"));
+    smol::block_on(check_rejected(bytes, false, "400", "2002"));
     let bytes = b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: +3\r\n\r\nabc";
-    smol::block_on(check_refused(bytes, false, "400", "2002"));
+    smol::block_on(check_rejected(bytes, false, "400", "2002"));
 }
 
-/// A garbage head was closed without a word; a caller must hear what is wrong.
+/// A malformed head closed the connection without a response; the caller must get an error.
 #[test]
-fn garbage_head() {
-    smol::block_on(check_refused(b"hello there\r\n\r\n", false, "400", "2001"));
+fn malformed_head() {
+    smol::block_on(check_rejected(b"hello there\r\n\r\n", false, "400", "2001"));
     let bytes = b"GET / HTTP/1.1\r\nHost: a\r\nno colon\r\n\r\n";
-    smol::block_on(check_refused(bytes, false, "400", "2001"));
+    smol::block_on(check_rejected(bytes, false, "400", "2001"));
 }
 
 #[test]
 fn missing_host() {
-    smol::block_on(check_refused(b"GET / HTTP/1.1\r\n\r\n", false, "400", "2007"));
+    smol::block_on(check_rejected(b"GET / HTTP/1.1\r\n\r\n", false, "400", "2007"));
 }
 
 #[test]
@@ -97,35 +98,36 @@
     let mut bytes = b"GET / HTTP/1.1\r\nHost: a\r\nX: ".to_vec();
     bytes.extend([b'x'; 9_000]);
     bytes.extend(b"\r\n\r\n");
-    smol::block_on(check_refused(&bytes, false, "431", "2003"));
+    smol::block_on(check_rejected(&bytes, false, "431", "2003"));
 }
 
 #[test]
 fn large_body() {
     let bytes = b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 9999999\r\n\r\n";
-    smol::block_on(check_refused(bytes, false, "413", "2004"));
+    smol::block_on(check_rejected(bytes, false, "413", "2004"));
 }
 
-/// A sender that never finishes its request holds a connection for the arrival bound, no longer.
+/// A sender that stops in the middle of a request must not hold the connection longer than
+/// `request_timeout`.
 #[test]
 fn slow_sender() {
     smol::block_on(async {
         let request_timeout = Duration::from_millis(50);
         let limits = ServerLimits { request_timeout, ..ServerLimits::default() };
-        let (address, handled) = echo_server(limits);
+        let (address, request_count) = start_echo_server(limits);
         let head = b"POST / HTTP/1.1\r\nHost: a\r\nContent-Le";
         assert!(exchange(address, head, false).await.starts_with("HTTP/1.1 408"));
         let body = b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 9\r\n\r\nab";
         assert!(exchange(address, body, false).await.starts_with("HTTP/1.1 408"));
-        assert_eq!(handled.load(Ordering::SeqCst), 0);
+        assert_eq!(request_count.load(Ordering::SeqCst), 0);
     });
 }
 
 #[test]
-fn crowded_server() {
+fn connection_limit() {
     smol::block_on(async {
         let (address, _) =
-            echo_server(ServerLimits { max_connections: 1, ..ServerLimits::default() });
+            start_echo_server(ServerLimits { max_connections: 1, ..ServerLimits::default() });
         let mut first = TcpStream::connect(address).await.unwrap();
         let request = b"GET / HTTP/1.1\r\nHost: a\r\n\r\n";
         first.write_all(request).await.unwrap();
@@ -136,21 +138,21 @@
     });
 }
 
-/// Two requests come in one segment; the second was lost.
+/// Two requests arrive in one segment; the second used to be lost.
 #[test]
 fn pipelined_requests() {
     smol::block_on(async {
-        let (address, _) = echo_server(ServerLimits::default());
+        let (address, _) = start_echo_server(ServerLimits::default());
         let bytes = b"POST /a HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n\r\nab\
             GET /b HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n";
-        let answer = exchange(address, bytes, false).await;
-        assert!(answer.contains("/a 2") && answer.contains("/b 0"), "{answer}");
+        let response = exchange(address, bytes, false).await;
+        assert!(response.contains("/a 2") && response.contains("/b 0"), "{response}");
     });
 }
 
-/// A body whose writer gives up must end without its last chunk.
+/// A body whose writer is dropped early must reach the client as truncated, without its last chunk.
 #[test]
-fn failed_body() {
+fn dropped_writer() {
     smol::block_on(async {
         let listener = listeners::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
@@ -162,13 +164,14 @@
         };
         smol::spawn(listeners::serve(listener, ServerLimits::default(), handler)).detach();
         let pool = ConnectionPool::new(ClientLimits::default());
-        let answer = pool.fetch(address, OutboundRequest::get("/"), BOUND).await;
-        assert_eq!(answer.unwrap_err().kind(), std::io::ErrorKind::UnexpectedEof);
+        let response = pool.fetch(address, OutboundRequest::get("/"), TIMEOUT).await;
+        assert_eq!(response.unwrap_err().kind(), std::io::ErrorKind::UnexpectedEof);
     });
 }
 
-/// Starts a server that sends these bytes for each request, then closes if asked to.
-async fn fixed_server(bytes: &'static [u8], close: bool) -> (SocketAddr, Arc<AtomicUsize>) {
+/// Starts a server that sends these bytes for each read, then closes the connection if `close`.
+/// Returns its address and the number of connections it has accepted.
+async fn start_fixed_server(bytes: &'static [u8], close: bool) -> (SocketAddr, Arc<AtomicUsize>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let connections = Arc::new(AtomicUsize::new(0));
@@ -193,15 +196,15 @@
 }
 
 async fn check_failed(bytes: &'static [u8]) {
-    let (address, _) = fixed_server(bytes, true).await;
+    let (address, _) = start_fixed_server(bytes, true).await;
     let pool = ConnectionPool::new(ClientLimits::default());
-    let answer = pool.fetch(address, OutboundRequest::get("/"), BOUND).await;
-    assert!(answer.is_err(), "{:?}", answer.unwrap().body);
+    let response = pool.fetch(address, OutboundRequest::get("/"), TIMEOUT).await;
+    assert!(response.is_err(), "{:?}", response.unwrap().body);
 }
 
-/// An answer of 20 bytes is cut behind 5: it must not pass as whole, wherever it is cut.
+/// Responses that are truncated in the head, in the body or in the last chunk must fail.
 #[test]
-fn cut_answer() {
+fn truncated_response() {
     smol::block_on(async {
         check_failed(b"HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\nabcde").await;
         check_failed(b"HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\n").await;
@@ -212,38 +215,44 @@
     });
 }
 
-/// An answer with neither length nor chunks was taken as empty.
+/// A response with neither Content-Length nor chunked encoding used to be read as empty.
 #[test]
-fn unmeasured_answer() {
+fn response_without_length() {
     smol::block_on(check_failed(b"HTTP/1.1 200 OK\r\n\r\nabcde"));
 }
 
 #[test]
-fn ambiguous_answer() {
+fn ambiguous_response_length() {
     let bytes = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 5\r\n\r\nabcde";
     smol::block_on(check_failed(bytes));
 }
 
 async fn count_connections(bytes: &'static [u8]) -> usize {
-    let (address, connections) = fixed_server(bytes, false).await;
+    let (address, connections) = start_fixed_server(bytes, false).await;
     let pool = ConnectionPool::new(ClientLimits::default());
     for _ in 0..3 {
-        let answer = pool.fetch(address, OutboundRequest::get("/"), BOUND).await.unwrap();
-        assert_eq!(answer.body, b"ab");
+        let response = pool.fetch(address, OutboundRequest::get("/"), TIMEOUT).await.unwrap();
+        assert_eq!(response.body, b"ab");
     }
     connections.load(Ordering::SeqCst)
 }
 
-/// Bytes behind an answer belong to another one: the connection must not be used again.
+/// After a response with extra bytes, the connection must not be reused: the next exchange would
+/// read them as its response.
 #[test]
 fn leftover_bytes() {
     smol::block_on(async {
         let clean = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab";
-        assert_eq!(count_connections(clean).await, 1, "a clean connection is used again");
-        let clean = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n";
-        assert_eq!(count_connections(clean).await, 1, "a clean chunked one is used again");
-        let left = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nabHTTP/1.1 200 OK\r\n";
-        assert_eq!(count_connections(left).await, 3);
+        assert_eq!(count_connections(clean).await, 1, "a clean connection is reused");
+        let clean_chunked =
+            b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n";
+        assert_eq!(
+            count_connections(clean_chunked).await,
+            1,
+            "a clean chunked connection is reused"
+        );
+        let leftover = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nabHTTP/1.1 200 OK\r\n";
+        assert_eq!(count_connections(leftover).await, 3);
         let chunked =
             b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\nHT";
         assert_eq!(count_connections(chunked).await, 3);
@@ -252,24 +261,25 @@
     });
 }
 
-/// Without it, the second exchange on a kept connection waits 40 ms for a delayed acknowledgement.
+/// Connections set `TCP_NODELAY`: without it, the second exchange on a connection waits 40 ms for a
+/// delayed acknowledgement.
 #[test]
 fn no_delay() {
     smol::block_on(async {
-        let (address, _) = echo_server(ServerLimits::default());
+        let (address, _) = start_echo_server(ServerLimits::default());
         let pool = ConnectionPool::new(ClientLimits::default());
         assert!(pool.connect(address, false).await.unwrap().nodelay().unwrap());
     });
 }
 
-/// A server that takes a call and never answers: the caller waits for its bound, no longer.
+/// A server that accepts a request and never responds: the call ends with its timeout.
 #[test]
 fn silent_server() {
     smol::block_on(async {
-        let (address, _) = fixed_server(b"", false).await;
+        let (address, _) = start_fixed_server(b"", false).await;
         let pool = ConnectionPool::new(ClientLimits::default());
-        let bound = Duration::from_millis(50);
-        let answer = pool.fetch(address, OutboundRequest::get("/"), bound).await;
-        assert_eq!(answer.unwrap_err().kind(), std::io::ErrorKind::TimedOut);
+        let timeout = Duration::from_millis(50);
+        let response = pool.fetch(address, OutboundRequest::get("/"), timeout).await;
+        assert_eq!(response.unwrap_err().kind(), std::io::ErrorKind::TimedOut);
     });
 }
--- a/toucanrail-wire/tests/pool_interleavings.rs
+++ b/toucanrail-wire/tests/pool_interleavings.rs
@@ -1,6 +1,6 @@
-//! Many exchanges over one pool: each caller gets its own bytes, or a visible failure.
+//! Concurrent exchanges over one pool: each caller gets its own bytes or an error.
 
-// A test stops at the first thing that is not as it should be.
+// Tests panic at the first unexpected result.
 #![allow(clippy::unwrap_used)]
 
 use std::net::SocketAddr;
@@ -12,56 +12,56 @@
 use toucanrail_wire::listeners::{self, ReceivedRequest, ServerLimits};
 use toucanrail_wire::{pipes, responses};
 
-const BOUND: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 const CASES: u32 = 120;
 
-/// What a caller does with one exchange.
+/// Parameters of one exchange.
 #[derive(Debug, Clone, Copy)]
 struct Exchange {
-    /// Chunks of the whole answer.
+    /// Number of chunks of the complete response.
     chunks: usize,
-    /// Chunks after which the server dies, if before the end.
-    dies_after: usize,
-    /// Chunks after which the caller goes away, if before the end.
-    leaves_after: usize,
-    /// Whether the answer has its length stated instead of chunks.
-    sized: bool,
+    /// Number of chunks after which the server aborts, if it is less than `chunks`.
+    abort_after: usize,
+    /// Number of reads after which the caller drops the response, unless it ends before.
+    disconnect_after: usize,
+    /// Whether the response has a Content-Length instead of chunked encoding.
+    has_length: bool,
 }
 
-fn any_exchange() -> impl Strategy<Value = Exchange> {
+fn arbitrary_exchange() -> impl Strategy<Value = Exchange> {
     (1..8usize, 0..24usize, 0..24usize, any::<bool>()).prop_map(
-        |(chunks, dies_after, leaves_after, sized)| Exchange {
+        |(chunks, abort_after, disconnect_after, has_length)| Exchange {
             chunks,
-            dies_after,
-            leaves_after,
-            sized,
+            abort_after,
+            disconnect_after,
+            has_length,
         },
     )
 }
 
-fn chunk_of(id: usize, at: usize) -> Vec<u8> {
-    format!("<{id}:{at}>").repeat(1 + (id * 7 + at * 3) % 60).into_bytes()
+fn expected_chunk(id: usize, index: usize) -> Vec<u8> {
+    format!("<{id}:{index}>").repeat(1 + (id * 7 + index * 3) % 60).into_bytes()
 }
 
-fn answer_of(id: usize, chunks: usize) -> Vec<u8> {
-    (0..chunks).flat_map(|at| chunk_of(id, at)).collect()
+fn expected_body(id: usize, chunks: usize) -> Vec<u8> {
+    (0..chunks).flat_map(|index| expected_chunk(id, index)).collect()
 }
 
-async fn answer(call: ReceivedRequest) -> http_types::Response {
-    let number = |name: &str| call.query(name).unwrap().parse::<usize>().unwrap();
-    let (id, chunks, dies) = (number("id"), number("chunks"), number("dies"));
-    if call.query("sized").unwrap() == "true" {
-        return responses::bytes(200, answer_of(id, chunks));
+async fn respond(request: ReceivedRequest) -> http_types::Response {
+    let number = |name: &str| request.query(name).unwrap().parse::<usize>().unwrap();
+    let (id, chunks, abort_after) = (number("id"), number("chunks"), number("abort_after"));
+    if request.query("has_length").unwrap() == "true" {
+        return responses::bytes(200, expected_body(id, chunks));
     }
     let (writer, body) = pipes::make_pipe();
     smol::spawn(async move {
-        for at in 0..chunks.min(dies) {
-            if !writer.send(chunk_of(id, at)).await {
+        for index in 0..chunks.min(abort_after) {
+            if !writer.send(expected_chunk(id, index)).await {
                 return;
             }
             smol::future::yield_now().await;
         }
-        if dies >= chunks {
+        if abort_after >= chunks {
             writer.finish().await;
         }
     })
@@ -69,38 +69,40 @@
     responses::stream(200, body)
 }
 
-/// Makes one exchange and tells what is wrong with it, if anything.
+/// Makes one exchange; the error describes a response that is wrong or failed unexpectedly.
 async fn exchange(
     pool: ConnectionPool,
     address: SocketAddr,
     id: usize,
-    plan: Exchange,
+    parameters: Exchange,
 ) -> Result<(), String> {
-    let Exchange { chunks, dies_after, leaves_after, sized } = plan;
-    let path = format!("/?id={id}&chunks={chunks}&dies={dies_after}&sized={sized}");
-    let mut answer = pool.open(address, OutboundRequest::get(path), BOUND).await.unwrap();
+    let Exchange { chunks, abort_after, disconnect_after, has_length } = parameters;
+    let path =
+        format!("/?id={id}&chunks={chunks}&abort_after={abort_after}&has_length={has_length}");
+    let mut response = pool.open(address, OutboundRequest::get(path), TIMEOUT).await.unwrap();
     let mut body = Vec::new();
-    for _ in 0..leaves_after.max(1) {
-        match answer.read_chunk(BOUND).await {
+    for _ in 0..disconnect_after.max(1) {
+        match response.read_chunk(TIMEOUT).await {
             Ok(chunk) if chunk.is_empty() => {
-                answer.release();
-                let right = body == answer_of(id, chunks);
-                return if right { Ok(()) } else { Err(format!("{id} got other bytes")) };
+                response.release();
+                let matches = body == expected_body(id, chunks);
+                return if matches { Ok(()) } else { Err(format!("{id} got a wrong response")) };
             }
             Ok(chunk) => body.extend(chunk),
-            Err(_) if dies_after < chunks && !sized => return Ok(()),
+            Err(_) if abort_after < chunks && !has_length => return Ok(()),
             Err(error) => return Err(format!("{id} failed: {error}")),
         }
-        if !answer_of(id, chunks).starts_with(&body) {
-            return Err(format!("{id} got foreign bytes"));
+        if !expected_body(id, chunks).starts_with(&body) {
+            return Err(format!("{id} got bytes of another response"));
         }
     }
-    // Leaving drops the answer, and its connection with it.
+    // Dropping the response closes its connection.
     Ok(())
 }
 
-/// Callers share a pool; some leave in the middle, some servers die in the middle, connections are
-/// used again in any order. Nobody may get a byte of another's answer, nor a cut one as whole.
+/// Callers share a pool and reuse connections in any order, while some callers disconnect and some
+/// responses are aborted halfway. No caller may get bytes of another response, or a truncated
+/// response as complete.
 #[test]
 fn shared_pool() {
     let config = Config { cases: CASES, failure_persistence: None, ..Config::default() };
@@ -108,17 +110,17 @@
     let mut runner = TestRunner::new_with_rng(config, rng);
     let listener = listeners::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
-    smol::spawn(listeners::serve(listener, ServerLimits::default(), answer)).detach();
+    smol::spawn(listeners::serve(listener, ServerLimits::default(), respond)).detach();
     let pool = ConnectionPool::new(ClientLimits::default());
-    let callers = prop::collection::vec(prop::collection::vec(any_exchange(), 1..8), 1..8);
+    let callers = prop::collection::vec(prop::collection::vec(arbitrary_exchange(), 1..8), 1..8);
     let run = runner.run(&callers, |callers| {
         let pool = pool.clone();
         let results = smol::block_on(async move {
-            let tasks = callers.into_iter().enumerate().map(|(caller, plans)| {
+            let tasks = callers.into_iter().enumerate().map(|(caller, exchanges)| {
                 let pool = pool.clone();
                 smol::spawn(async move {
-                    for (at, plan) in plans.into_iter().enumerate() {
-                        exchange(pool.clone(), address, caller * 100 + at, plan).await?;
+                    for (index, parameters) in exchanges.into_iter().enumerate() {
+                        exchange(pool.clone(), address, caller * 100 + index, parameters).await?;
                     }
                     Ok::<(), String>(())
                 })
