--- a/toucanrail/tests/fleet_members.rs
+++ b/toucanrail/tests/fleet_members.rs
@@ -37,12 +37,12 @@
     table.apply_nodes(me, nodes.iter(), Duration::ZERO);
     for tick in 0..20 {
         for (peer, _) in table.update_heartbeat_targets(me, second * tick) {
-            table.record_answer(&peer, &peer, second * tick);
+            table.record_response(&peer, &peer, second * tick);
         }
     }
     assert!(table.lost_peers(second * 20).is_empty());
     let lost = table.lost_peers(second * 25);
-    assert_eq!(lost.len(), members::HEARTBEAT_TARGETS, "the peers that stopped answering");
+    assert_eq!(lost.len(), members::HEARTBEAT_TARGETS, "the peers that stopped responding");
 }
 
 /// Each failed entry of a large fleet is detected by several others, and they agree on which one
--- a/toucanrail/tests/store_endpoints.rs
+++ b/toucanrail/tests/store_endpoints.rs
@@ -109,13 +109,13 @@
         if timed_out {
             patience.record_timeout(patience.wait());
         } else {
-            patience.record_answer(response_time);
+            patience.record_response(response_time);
         }
         timed_out
     });
     assert_eq!(timeouts.count(), 1);
     for _ in 0..12 {
-        patience.record_answer(Duration::from_millis(4));
+        patience.record_response(Duration::from_millis(4));
     }
     assert_eq!(patience.wait(), Duration::from_millis(300));
 }
