--- a/toucanrail-daemons/src/serving.rs
+++ b/toucanrail-daemons/src/serving.rs
@@ -11,7 +11,7 @@
 use toucanrail::grants::GrantHold;
 use toucanrail::ids::{AgentId, RunId, Tokens, Version};
 use toucanrail::limits::ServiceLoad;
-use toucanrail::messages::{KeptAnswer, RunOrder};
+use toucanrail::messages::{RunCommand, StoredResponse};
 use toucanrail::records::{self, RecordOutcome, RecordState, RunRecord};
 use toucanrail::retries;
 use toucanrail::routing::{self, RouteQuery};
@@ -79,7 +79,7 @@
 enum RequestEnd {
     Whole,
     Refused(ErrorDetails),
-    Replayed(KeptAnswer),
+    Replayed(StoredResponse),
     CallerGone,
 }
 
@@ -115,7 +115,7 @@
         };
         self.reply_end(end).await;
         let steps = std::mem::take(&mut self.steps);
-        self.entry.lock().traces.keep(&self.plan.request, steps);
+        self.entry.lock().traces.append(&self.plan.request, steps);
     }
 
     fn note(&mut self, event: String) {
@@ -140,7 +140,7 @@
     }
 
     /// A keyed request that may be repeated is remembered here; one that may not, in its record.
-    fn begin_keyed(&mut self) -> Result<Option<KeptAnswer>, ResultCode> {
+    fn begin_keyed(&mut self) -> Result<Option<StoredResponse>, ResultCode> {
         if !self.plan.keyed || !self.plan.repeatable {
             return Ok(None);
         }
@@ -168,7 +168,7 @@
         let whole = matches!(end, RequestEnd::Whole);
         let body = self.caller.kept.take().filter(|_| whole);
         let answer = body.zip(self.caller.head.clone());
-        let answer = answer.map(|(body, (status, fields))| KeptAnswer { status, fields, body });
+        let answer = answer.map(|(body, (status, fields))| StoredResponse { status, fields, body });
         self.entry.lock().replays.end(&self.plan.request, answer);
     }
 
@@ -184,7 +184,7 @@
             if slots == 0 {
                 return Err(Box::new(self.refusal(codetable::NO_BACKEND_SERVER)));
             }
-            tables.retries.note_fresh(now);
+            tables.retries.record_request(now);
             let (class, weight) = (customer.class, customer.weight);
             tables.limits.admit(&service, &customer.name, class, weight, known)
         };
@@ -309,7 +309,7 @@
             return true;
         }
         // The tenure was lost meanwhile: what was used belongs to it, the rest begins anew.
-        self.entry.lock().grants.finish(&more, None);
+        self.entry.lock().grants.end_hold(&more, None);
         self.sum.write_off();
         self.settle();
         self.hold = self.take_hold(self.plan.hold).await.ok();
@@ -318,10 +318,13 @@
 
     fn pick_server(&mut self) -> Option<AttemptTarget> {
         let now = self.entry.now();
-        let query =
-            RouteQuery { prefix: self.plan.prefix, dice: [fastrand::f64(), fastrand::f64()], now };
+        let query = RouteQuery {
+            prefix: self.plan.prefix,
+            random: [fastrand::f64(), fastrand::f64()],
+            now,
+        };
         let mut tables = self.entry.lock();
-        tables.servers.turn = tables.servers.turn.wrapping_add(1);
+        tables.servers.next_index = tables.servers.next_index.wrapping_add(1);
         let usable = tables.grants.usable_agents(&self.plan.customer.name)?;
         let service = &self.plan.service.name;
         let eligible = tables.servers.eligible(service, usable, &self.tried, now, fastrand::f64());
@@ -359,7 +362,7 @@
         self.note(format!("sent to {} as {run}", target.agent));
         {
             let mut tables = self.entry.lock();
-            tables.servers.note_sent(&target.agent);
+            tables.servers.record_sent(&target.agent);
             tables.grants.mark_agent(&hold.shard, &target.agent, true);
         }
         let entry = Arc::clone(&self.entry);
@@ -368,10 +371,10 @@
         end
     }
 
-    fn build_order(&self, target: &AttemptTarget, run: &RunId, hold: &GrantHold) -> RunOrder {
+    fn build_order(&self, target: &AttemptTarget, run: &RunId, hold: &GrantHold) -> RunCommand {
         let plan = &self.plan;
         let resumed = if self.caller.is_begun() { self.caller.tokens } else { 0 };
-        RunOrder {
+        RunCommand {
             request: Arc::clone(&plan.request),
             run: Arc::clone(run),
             agent: Arc::clone(&target.agent),
@@ -408,15 +411,15 @@
         {
             let now = self.entry.now();
             let mut tables = self.entry.lock();
-            tables.servers.note_ended(&target.agent);
+            tables.servers.record_ended(&target.agent);
             match end {
                 AttemptEnd::NotRun { code, .. } if *code == codetable::STOPPING => {
-                    tables.servers.note_leaving(&target.agent);
+                    tables.servers.record_leaving(&target.agent);
                 }
                 AttemptEnd::Whole { .. } => {}
                 AttemptEnd::Lost { code, .. } | AttemptEnd::Open { code }
                     if *code == codetable::CANCELLED => {}
-                _ => tables.servers.note_failure(&target.agent, now),
+                _ => tables.servers.record_failure(&target.agent, now),
             }
             if !open {
                 tables.grants.mark_agent(&hold.shard, &target.agent, false);
@@ -496,7 +499,7 @@
             AttemptEnd::Whole { .. } => {
                 let body = self.caller.held.clone();
                 let (status, fields) = self.caller.head.clone().unwrap_or((200, Vec::new()));
-                records::finished_state(KeptAnswer { status, fields, body })
+                records::finished_state(StoredResponse { status, fields, body })
             }
             _ => billing::record_state(end),
         };
@@ -510,7 +513,7 @@
         smol::spawn(async move {
             recording::close_surely(&entry, &record, version, state).await;
             if let Some((bill, hold)) = bill {
-                entry.lock().grants.finish(&hold, bill);
+                entry.lock().grants.end_hold(&hold, bill);
             }
             drop(guard);
         })
@@ -534,7 +537,7 @@
             if let Some(row) = &bill {
                 self.note(format!("to be billed {}", row.billed));
             }
-            self.entry.lock().grants.finish(&hold, bill);
+            self.entry.lock().grants.end_hold(&hold, bill);
         }
     }
 
--- a/toucanrail-daemons/src/watching.rs
+++ b/toucanrail-daemons/src/watching.rs
@@ -7,7 +7,7 @@
 
 use toucanrail::ids::AgentId;
 use toucanrail::members;
-use toucanrail::messages::{LoadReport, MirrorNews};
+use toucanrail::messages::{LoadReport, PeerUpdate};
 use toucanrail::paths;
 use toucanrail::servers::{NodeEntry, NodeRole};
 use toucanrail_wire::stores::ObjectStore;
@@ -36,7 +36,7 @@
 fn is_watcher(entry: &Entry) -> bool {
     let tables = entry.lock();
     let data_centre = &entry.settings.common.data_centre;
-    let alive = tables.members.alive_in(&entry.id, data_centre, entry.now());
+    let alive = tables.members.live_entries(&entry.id, data_centre, entry.now());
     members::pick_watchers(&alive, data_centre).contains(&entry.id)
 }
 
@@ -68,7 +68,7 @@
     let watchers: Vec<SocketAddr> = {
         let tables = entry.lock();
         let data_centre = &entry.settings.common.data_centre;
-        let alive = tables.members.alive_in(&entry.id, data_centre, entry.now());
+        let alive = tables.members.live_entries(&entry.id, data_centre, entry.now());
         let watchers = members::pick_watchers(&alive, data_centre);
         let peers = tables.members.peers().filter(|peer| watchers.contains(&peer.node.id));
         peers.map(|peer| peer.node.address).collect()
@@ -88,13 +88,13 @@
     entry.board.in_force.set(version.cast_signed());
     {
         let mut tables = entry.lock();
-        tables.servers.take_nodes(nodes.iter());
-        tables.members.take_nodes(&entry.id, nodes.iter(), entry.now());
-        tables.members.take_vms(vms);
+        tables.servers.apply_nodes(nodes.iter());
+        tables.members.apply_nodes(&entry.id, nodes.iter(), entry.now());
+        tables.members.apply_vms(vms);
         let leaving = tables.members.leaving_vms();
-        tables.servers.take_leaving_vms(&leaving);
+        tables.servers.mark_leaving_vms(&leaving);
         let agents = tables.servers.choose_agents(&entry.id);
-        tables.grants.want_agents(agents);
+        tables.grants.set_wanted_agents(agents);
         for customer in customers {
             let shard = entry.shard_of(&customer);
             tables.grants.add_account(&customer, &shard);
@@ -113,7 +113,7 @@
     let gone: Vec<AgentId> = {
         let tables = entry.lock();
         let agents = nodes.iter().filter(|node| node.role == NodeRole::Agent);
-        let gone = agents.filter(|node| tables.members.is_gone_vm(&node.vm));
+        let gone = agents.filter(|node| tables.members.is_vm_gone(&node.vm));
         gone.map(|node| Arc::clone(&node.id)).collect()
     };
     for agent in gone {
@@ -138,7 +138,7 @@
 async fn send_heartbeats(entry: Arc<Entry>) {
     loop {
         let now = entry.now();
-        let targets = entry.lock().members.choose_heartbeats(&entry.id, now);
+        let targets = entry.lock().members.update_heartbeat_targets(&entry.id, now);
         for (peer, address) in targets {
             smol::spawn(send_heartbeat(Arc::clone(&entry), peer, address)).detach();
         }
@@ -148,13 +148,13 @@
 
 async fn send_heartbeat(entry: Arc<Entry>, peer: Arc<str>, address: SocketAddr) {
     let order = entry.mirrors.order(Some(entry.node().address));
-    let answer: std::io::Result<MirrorNews> =
+    let answer: std::io::Result<PeerUpdate> =
         entry.client.send(address, routes::MIRROR, &order, PEER_BOUND).await;
     let Ok(news) = answer else {
         entry.board.count_event("heartbeats_lost");
         return;
     };
-    entry.lock().members.note_answer(&peer, &news.id, entry.now());
+    entry.lock().members.record_answer(&peer, &news.id, entry.now());
     entry.mirrors.take_news(news);
 }
 
@@ -185,16 +185,16 @@
     if report.agent == agent {
         let now = entry.now();
         let mut tables = entry.lock();
-        tables.servers.take_report(&report, own, asked, now);
+        tables.servers.apply_report(&report, own, asked, now);
         let agents = tables.servers.choose_agents(&entry.id);
-        tables.grants.want_agents(agents);
+        tables.grants.set_wanted_agents(agents);
         return;
     }
     // Another incarnation answers: this one is gone, with all that it knew.
     {
         let mut tables = entry.lock();
-        tables.servers.note_leaving(&agent);
-        tables.grants.note_acked(&agent, &BTreeSet::new(), true);
+        tables.servers.record_leaving(&agent);
+        tables.grants.record_acked(&agent, &BTreeSet::new(), true);
     }
     registering::write_node(&entry.store, &agent, Vec::new()).await;
 }
@@ -203,7 +203,7 @@
     loop {
         smol::Timer::after(TICK).await;
         let mut tables = entry.lock();
-        tables.grants.smooth_burn(TICK);
+        tables.grants.update_burn_rates(TICK);
         tables.limits.update_drain_rates(TICK);
         let now = entry.now();
         tables.exhausted.retain(|_, (until, _)| *until > now);
--- a/toucanrail-gateway/src/accepting.rs
+++ b/toucanrail-gateway/src/accepting.rs
@@ -9,7 +9,7 @@
 use smol::future::FutureExt;
 use toucanrail::codes::{ResultCode, RunState};
 use toucanrail::codetable;
-use toucanrail::framing::BodyFramer;
+use toucanrail::framing::BodyDecoder;
 use toucanrail::matching::CallerBounds;
 use toucanrail_platform::requests;
 use toucanrail_wire::connections::BufferedConnection;
@@ -142,7 +142,7 @@
 ) -> Result<(RequestHead, Vec<u8>), ReadError> {
     let bytes = time_limits::io_timeout(bounds.arrival, channel.read_head(bounds.head)).await?;
     let head = RequestHead::parse(&bytes.ok_or(ReadError::Disconnected)?)?;
-    let mut framer = BodyFramer::of_request(head.length);
+    let mut framer = BodyDecoder::for_request(head.length);
     let mut body = Vec::new();
     if !framer.is_done() && head.fields.get("expect").is_some() {
         channel.writer().write_all(b"HTTP/1.1 100 Continue\r\n\r\n").await?;
@@ -151,7 +151,7 @@
         loop {
             let consumed = framer.feed(&channel.buffer, &mut body);
             channel.buffer.drain(..consumed);
-            if framer.is_broken() {
+            if framer.is_malformed() {
                 return Err(ReadError::Refused(codetable::BAD_REQUEST));
             }
             if body.len() > bounds.body {
@@ -185,8 +185,8 @@
 
 /// Closes a connection. After a complete response, closes it gracefully so that the caller receives
 /// all of it.
-async fn close_connection(mut channel: BufferedConnection, whole: bool) -> io::Result<()> {
-    if !whole {
+async fn close_connection(mut channel: BufferedConnection, complete: bool) -> io::Result<()> {
+    if !complete {
         return Ok(());
     }
     channel.writer().finish()?;
--- a/toucanrail-gateway/src/forwarding.rs
+++ b/toucanrail-gateway/src/forwarding.rs
@@ -5,9 +5,9 @@
 
 use smol::Timer;
 use smol::future::FutureExt;
-use toucanrail::attempting::AttemptFate;
-use toucanrail::framing::BodyFramer;
-use toucanrail::silences::SilenceWatch;
+use toucanrail::attempts::AttemptOutcome;
+use toucanrail::framing::BodyDecoder;
+use toucanrail::silences::SilenceDetector;
 use toucanrail_wire::time_limits;
 
 use crate::liveness;
@@ -36,7 +36,7 @@
         if exchange.framer.is_done() {
             return Ok(());
         }
-        if exchange.framer.is_broken() || body.len() > MAX_BUFFERED_BODY {
+        if exchange.framer.is_malformed() || body.len() > MAX_BUFFERED_BODY {
             return Err(io::ErrorKind::InvalidData.into());
         }
         if exchange.channel.fill().await? == 0 {
@@ -60,9 +60,9 @@
     {
         Ok(()) => {}
         Err(error) if error.kind() == io::ErrorKind::TimedOut => {
-            return AttemptResult::Incomplete(AttemptFate::TimedOut);
+            return AttemptResult::Incomplete(AttemptOutcome::TimedOut);
         }
-        Err(_) => return AttemptResult::Incomplete(AttemptFate::Lost),
+        Err(_) => return AttemptResult::Incomplete(AttemptOutcome::Lost),
     }
     let head = exchange.head.clone();
     exchange.release_channel(context.gateway, &context.target.id);
@@ -85,12 +85,12 @@
     flight: &FlightGuard,
 ) -> AttemptResult {
     let AttemptContext { gateway, plan, .. } = *context;
-    let tokens_per_event = gateway.tables.borrow().routes.stride(&plan.service);
+    let tokens_per_event = gateway.tables.borrow().routes.tokens_per_event(&plan.service);
     let stall = (plan.route.gap * STALL_FACTOR).max(MIN_STALL);
     let mut tick = Timer::interval(CHECK_INTERVAL);
     let mut pending = Vec::new();
     let mut last_event_at = Instant::now();
-    let mut detector = SilenceWatch::default();
+    let mut detector = SilenceDetector::default();
     let events_before = stream.scanner.count;
     loop {
         let consumed = exchange.framer.feed(&exchange.channel.buffer, &mut pending);
@@ -104,7 +104,7 @@
             last_event_at = Instant::now();
             flight.record_response_start();
             if let Some(budget) = &plan.budget {
-                budget.add_output((stream.scanner.count - events_known) * tokens_per_event);
+                budget.add_output_tokens((stream.scanner.count - events_known) * tokens_per_event);
             }
         }
         if exchange.framer.is_done() {
@@ -116,14 +116,14 @@
             return AttemptResult::CallerGone;
         }
         pending.drain(..complete_len);
-        if exchange.framer.is_broken() {
+        if exchange.framer.is_malformed() {
             return AttemptResult::Incomplete(truncation_fate(writer));
         }
         match read_more(&mut exchange, &mut tick).await {
             ReadOutcome::Bytes => {}
             ReadOutcome::Tick => {
                 if plan.time_left().is_zero() {
-                    return AttemptResult::Incomplete(AttemptFate::TimedOut);
+                    return AttemptResult::Incomplete(AttemptOutcome::TimedOut);
                 }
                 let received = stream.scanner.count - events_before;
                 let stalled = context.may_fail_over && last_event_at.elapsed() > stall;
@@ -153,7 +153,7 @@
             Err(_) => {
                 // A reset never ends a body properly, not even one that is delimited by the end of
                 // its connection.
-                exchange.framer = BodyFramer::Exact(u64::MAX);
+                exchange.framer = BodyDecoder::Exact(u64::MAX);
                 ReadOutcome::End
             }
         }
@@ -165,8 +165,8 @@
     reading.or(ticking).await
 }
 
-fn truncation_fate(writer: &ResponseWriter) -> AttemptFate {
-    if writer.started { AttemptFate::Broken } else { AttemptFate::Lost }
+fn truncation_fate(writer: &ResponseWriter) -> AttemptOutcome {
+    if writer.started { AttemptOutcome::Broken } else { AttemptOutcome::Lost }
 }
 
 async fn forward_events(
--- a/toucanrail-gateway/src/request_context.rs
+++ b/toucanrail-gateway/src/request_context.rs
@@ -6,19 +6,19 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use toucanrail::attempting::AttemptFate;
+use toucanrail::attempts::AttemptOutcome;
 use toucanrail::backends::BackendEntry;
-use toucanrail::events::EventScanner;
-use toucanrail::framing::BodyFramer;
+use toucanrail::framing::BodyDecoder;
 use toucanrail::ids::ServiceName;
-use toucanrail::matching::{CustomerFacts, RouteRule};
+use toucanrail::matching::{CustomerProfile, RouteRule};
+use toucanrail::sse::EventScanner;
 use toucanrail_platform::requests::RequestInfo;
 use toucanrail_wire::connections::BufferedConnection;
 use toucanrail_wire::heads::{RequestHead, ResponseHead};
 use toucanrail_wire::keepalive;
 
-use crate::borrowing::BudgetGuard;
-use crate::permitting::SendPermit;
+use crate::loan_client::BudgetGuard;
+use crate::permits::SendPermit;
 use crate::state::Gateway;
 
 /// Subtracted from the time that a caller waits, so that it has its response before it gives up on
@@ -38,7 +38,7 @@
     /// Matched route.
     pub route: Arc<RouteRule>,
     /// Customer that pays; `None` on a public route.
-    pub customer: Option<Arc<CustomerFacts>>,
+    pub customer: Option<Arc<CustomerProfile>>,
     /// Service chosen among the route's targets.
     pub service: ServiceName,
     /// Time at which the request arrived.
@@ -61,7 +61,7 @@
     /// the response does not start.
     pub fn time_left_to_first_byte(&self) -> Duration {
         let first_byte_deadline =
-            self.arrived + self.route.patience().saturating_sub(DEADLINE_MARGIN);
+            self.arrived + self.route.caller_timeout().saturating_sub(DEADLINE_MARGIN);
         self.time_left().min(first_byte_deadline.saturating_duration_since(Instant::now()))
     }
 }
@@ -100,7 +100,7 @@
     /// The server responded with an error, which has not been forwarded to the caller.
     Failed(FailedResponse),
     /// No complete response was received.
-    Incomplete(AttemptFate),
+    Incomplete(AttemptOutcome),
     /// The caller has disconnected.
     CallerGone,
 }
@@ -113,7 +113,7 @@
     /// Response head.
     pub head: ResponseHead,
     /// Finds the end of the response body.
-    pub framer: BodyFramer,
+    pub framer: BodyDecoder,
     /// Whether the whole request was written.
     pub request_sent: bool,
 }
--- a/toucanrail-gateway/src/sending.rs
+++ b/toucanrail-gateway/src/sending.rs
@@ -6,10 +6,10 @@
 use std::time::Duration;
 
 use smol::future::FutureExt;
-use toucanrail::admissions::WaitRow;
-use toucanrail::attempting::AttemptFate;
+use toucanrail::admissions::PendingRow;
+use toucanrail::attempts::AttemptOutcome;
 use toucanrail::backends::{BackendEntry, FlightRow};
-use toucanrail::framing::BodyFramer;
+use toucanrail::framing::BodyDecoder;
 use toucanrail::matching::RouteKind;
 use toucanrail_platform::requests::{self, ForwardInfo};
 use toucanrail_wire::connections::BufferedConnection;
@@ -60,7 +60,7 @@
     let succeeded = (200..300).contains(&exchange.head.status);
     if succeeded && !facts.signed {
         // The response is not signed, so it was not made by a backend server.
-        return AttemptResult::Incomplete(AttemptFate::Lost);
+        return AttemptResult::Incomplete(AttemptOutcome::Lost);
     }
     if succeeded && plan.route.kind.is_stream() {
         return forwarding::forward_stream(context, exchange, writer, stream, &flight).await;
@@ -77,14 +77,14 @@
     let mut tables = gateway.tables.borrow_mut();
     let prompt = plan.facts.prompt.as_ref();
     let parts = prompt.map_or(&[][..], |prompt| &prompt.parts);
-    let fresh = prompt.map_or(0, |prompt| {
+    let uncached = prompt.map_or(0, |prompt| {
         let row = tables.backends.get(&target.id);
-        row.map_or(prompt.prompt_tokens, |row| row.fresh_tokens(parts, prompt.prompt_tokens))
+        row.map_or(prompt.prompt_tokens, |row| row.uncached_tokens(parts, prompt.prompt_tokens))
     });
-    let row = FlightRow { sent_at: gateway.now(), fresh, begun: false };
-    let number = tables.backends.note_sent(&target.id, row, parts);
-    let row = WaitRow { sent_at: row.sent_at, aim: plan.route.aim };
-    tables.limits.entry(Arc::clone(&target.service)).or_default().note_sent(number, row);
+    let row = FlightRow { sent_at: gateway.now(), uncached, begun: false };
+    let number = tables.backends.record_sent(&target.id, row, parts);
+    let row = PendingRow { sent_at: row.sent_at, latency_target: plan.route.aim };
+    tables.limits.entry(Arc::clone(&target.service)).or_default().record_sent(number, row);
     drop(tables);
     FlightGuard::new(gateway, target, number)
 }
@@ -103,7 +103,7 @@
 async fn open_exchange(
     context: &AttemptContext<'_, '_>,
     last_event: Option<u64>,
-) -> Result<OpenExchange, AttemptFate> {
+) -> Result<OpenExchange, AttemptOutcome> {
     let AttemptContext { plan, target, .. } = *context;
     let mut channel = open_channel(context).await?;
     let has_no_body = plan.body.is_empty() && plan.head.fields.get("content-length").is_none();
@@ -117,11 +117,11 @@
         body_length: (!has_no_body).then_some(plan.body.len()),
     };
     if !context.permit.is_valid() {
-        return Err(AttemptFate::Withheld);
+        return Err(AttemptOutcome::Withheld);
     }
     if let Some(budget) = &plan.budget {
         // From here on the server may process the prompt, even if the caller disconnects.
-        budget.note_sent(true);
+        budget.set_may_have_run(true);
     }
     let mut bytes = requests::write_request_head(plan.head, &order);
     bytes.extend_from_slice(plan.body);
@@ -133,21 +133,23 @@
             Err(error) if error.kind() == io::ErrorKind::TimedOut => {
                 let deadline_passed = plan.time_left_to_first_byte().is_zero();
                 return Err(if deadline_passed {
-                    AttemptFate::TimedOut
+                    AttemptOutcome::TimedOut
                 } else {
-                    AttemptFate::Lost
+                    AttemptOutcome::Lost
                 });
             }
             Err(error) => {
                 tracing::debug!(event = "exchange_broken", server = %target.id, %error);
-                return Err(AttemptFate::Lost);
+                return Err(AttemptOutcome::Lost);
             }
         };
-    let framer = BodyFramer::of_answer(head.length);
+    let framer = BodyDecoder::for_response(head.length);
     Ok(OpenExchange { channel, head, framer, request_sent })
 }
 
-async fn open_channel(context: &AttemptContext<'_, '_>) -> Result<BufferedConnection, AttemptFate> {
+async fn open_channel(
+    context: &AttemptContext<'_, '_>,
+) -> Result<BufferedConnection, AttemptOutcome> {
     let AttemptContext { gateway, plan, target, .. } = *context;
     let idle = match plan.route.kind {
         RouteKind::Once | RouteKind::Stream { resumable: false } => ONCE_MAX_IDLE,
@@ -164,7 +166,7 @@
             event = "connect_failed", request = %plan.facts.id, server = %target.id,
             address = %target.address, %error,
         );
-        AttemptFate::NotSent
+        AttemptOutcome::NotSent
     })
 }
 
@@ -215,7 +217,7 @@
 }
 
 async fn skip_body(channel: &mut BufferedConnection, head: &ResponseHead) -> io::Result<()> {
-    let mut framer = BodyFramer::of_answer(head.length);
+    let mut framer = BodyDecoder::for_response(head.length);
     let mut body = Vec::new();
     loop {
         let consumed = framer.feed(&channel.buffer, &mut body);
@@ -224,7 +226,7 @@
         if framer.is_done() {
             return Ok(());
         }
-        if framer.is_broken() || channel.fill().await? == 0 {
+        if framer.is_malformed() || channel.fill().await? == 0 {
             return Err(io::ErrorKind::InvalidData.into());
         }
     }
@@ -239,7 +241,7 @@
     let AttemptContext { gateway, plan, target, .. } = *context;
     let status = exchange.head.status;
     if status == 421 {
-        gateway.tables.borrow_mut().backends.note_leaving(&target.id);
+        gateway.tables.borrow_mut().backends.record_leaving(&target.id);
         gateway.channels.evict(&target.id);
     }
     tracing::info!(
@@ -252,5 +254,5 @@
     if read.is_ok() && status != 421 {
         exchange.release_channel(gateway, &target.id);
     }
-    AttemptResult::Incomplete(AttemptFate::Declined)
+    AttemptResult::Incomplete(AttemptOutcome::Declined)
 }
--- a/toucanrail-gateway/src/starting.rs
+++ b/toucanrail-gateway/src/starting.rs
@@ -11,7 +11,7 @@
 use event_listener::Event;
 use smol::{Async, LocalExecutor};
 use toucanrail::backends::BackendTable;
-use toucanrail::detours::DetourTable;
+use toucanrail::endpoints::EndpointTable;
 use toucanrail::evacuations::EvacuationTable;
 use toucanrail::matching::RouteTable;
 use toucanrail_daemons::observing::MetricBoard;
@@ -22,15 +22,15 @@
 
 use crate::accepting;
 use crate::admin;
-use crate::borrowing::{self, LoanDesk};
-use crate::budgeting::{self, BudgetKeeper};
-use crate::following;
+use crate::grant_manager::{self, GrantManager};
 use crate::hosting;
 use crate::liveness::ReportCache;
-use crate::peering::PeerRests;
+use crate::loan_client::{self, LoanClient};
+use crate::relay_client::RelayBackoff;
 use crate::state::{Gateway, GatewayTables};
 use crate::stopping;
-use crate::storing::{self, StoreAccess, UNMEASURED_REFRESH};
+use crate::store_access::{self, StoreAccess, UNMEASURED_LIST_INTERVAL};
+use crate::store_watch;
 use crate::tuning::GatewayTuning;
 
 /// Maximum time to connect to the store.
@@ -53,15 +53,18 @@
     executor.spawn(accepting::serve_callers(Rc::clone(&shared), callers)).detach();
     executor.spawn(admin::serve_admin(Rc::clone(&shared), readiness)).detach();
     executor.spawn(admin::serve_admin(Rc::clone(&shared), inner)).detach();
-    let ways =
-        storing::keep_ways(Rc::clone(&shared.store), shared.settings.store, UNMEASURED_REFRESH);
+    let ways = store_access::maintain_endpoint(
+        Rc::clone(&shared.store),
+        shared.settings.store,
+        UNMEASURED_LIST_INTERVAL,
+    );
     executor.spawn(ways).detach();
-    executor.spawn(following::follow_config(Rc::clone(&shared))).detach();
-    executor.spawn(following::follow_servers(Rc::clone(&shared))).detach();
-    executor.spawn(following::follow_evacuations(Rc::clone(&shared))).detach();
-    executor.spawn(following::sweep(Rc::clone(&shared))).detach();
-    executor.spawn(budgeting::run_syncs(Rc::clone(&shared.keeper))).detach();
-    executor.spawn(borrowing::send_ends(Rc::clone(&shared))).detach();
+    executor.spawn(store_watch::watch_config(Rc::clone(&shared))).detach();
+    executor.spawn(store_watch::watch_servers(Rc::clone(&shared))).detach();
+    executor.spawn(store_watch::watch_evacuations(Rc::clone(&shared))).detach();
+    executor.spawn(store_watch::sweep(Rc::clone(&shared))).detach();
+    executor.spawn(grant_manager::run_syncs(Rc::clone(&shared.grant_manager))).detach();
+    executor.spawn(loan_client::send_loan_ends(Rc::clone(&shared))).detach();
     executor.spawn(hosting::host_relay(Rc::clone(&shared))).detach();
     smol::block_on(executor.run(stopping::run_until_stopped(shared)));
     Ok(())
@@ -73,12 +76,12 @@
     let clock = ProcessClock::start();
     let executor = Rc::new(LocalExecutor::new());
     let data_centre = Arc::clone(&settings.data_centre);
-    let ways = DetourTable::new(settings.store, data_centre, Arc::clone(&settings.region));
+    let ways = EndpointTable::new(settings.store, data_centre, Arc::clone(&settings.region));
     let store = Rc::new(StoreAccess::new(StoreClient::new(STORE_CONNECT_TIMEOUT), ways, clock));
-    let keeper =
-        BudgetKeeper::new(&id, Rc::clone(&store), tuning, metrics.clone(), Rc::clone(&executor));
+    let grant_manager =
+        GrantManager::new(&id, Rc::clone(&store), tuning, metrics.clone(), Rc::clone(&executor));
     let evacuations =
-        settings.evacuation_deadline.map(EvacuationTable::awaiting).unwrap_or_default();
+        settings.evacuation_deadline.map(EvacuationTable::awaiting_listing).unwrap_or_default();
     let tables = GatewayTables {
         routes: RouteTable::new(),
         backends: BackendTable::with_evacuations(evacuations),
@@ -90,10 +93,10 @@
         settings,
         id,
         store,
-        keeper: Rc::new(keeper),
-        desk: LoanDesk::default(),
-        failed_boards: PeerRests::default(),
-        stale_boards: PeerRests::default(),
+        grant_manager: Rc::new(grant_manager),
+        loan_client: LoanClient::default(),
+        failed_boards: RelayBackoff::default(),
+        stale_boards: RelayBackoff::default(),
         hosted_relay: RefCell::new(None),
         load_reports: ReportCache::default(),
         metrics,
--- a/toucanrail-gateway/src/state.rs
+++ b/toucanrail-gateway/src/state.rs
@@ -12,7 +12,7 @@
 use toucanrail::backends::{BackendEntry, BackendId, BackendTable, FlightId};
 use toucanrail::ids::{EntryId, ServiceName};
 use toucanrail::matching::RouteTable;
-use toucanrail::probes::{PlaceGauge, ProbeRow};
+use toucanrail::probes::{ProbeRow, SlotGauge};
 use toucanrail::retries::{RetryBounds, RetryBudget};
 use toucanrail_daemons::observing::MetricBoard;
 use toucanrail_daemons::starting::ProcessClock;
@@ -20,12 +20,12 @@
 use toucanrail_platform::settings::NodeSettings;
 use toucanrail_wire::keepalive::KeepAlivePool;
 
-use crate::borrowing::LoanDesk;
-use crate::budgeting::BudgetKeeper;
-use crate::lending::LoanOffice;
+use crate::grant_manager::GrantManager;
 use crate::liveness::ReportCache;
-use crate::peering::PeerRests;
-use crate::storing::StoreAccess;
+use crate::loan_client::LoanClient;
+use crate::relay_api::RelayApi;
+use crate::relay_client::RelayBackoff;
+use crate::store_access::StoreAccess;
 
 /// Fraction of the fleet's retry limits that is divided among entries. The entries' windows are not
 /// aligned with those of the fleet; two of the fleet's windows cover them all, hence one half.
@@ -51,7 +51,7 @@
     /// Requests that wait for their first event, and the limit on them, by service.
     pub limits: BTreeMap<ServiceName, AdmissionLimit>,
     /// Estimates of free slots at the servers, by service.
-    pub free_slots: BTreeMap<ServiceName, PlaceGauge>,
+    pub free_slots: BTreeMap<ServiceName, SlotGauge>,
 }
 
 /// A running gateway.
@@ -84,15 +84,15 @@
     /// Notified when idle caller connections should close.
     pub close_idle_event: Event,
     /// The entry's own budget grants.
-    pub keeper: Rc<BudgetKeeper>,
+    pub grant_manager: Rc<GrantManager>,
     /// State of loans from lenders.
-    pub desk: LoanDesk,
+    pub loan_client: LoanClient,
     /// Relays whose boards failed recently; not queried until their backoff ends.
-    pub failed_boards: PeerRests,
+    pub failed_boards: RelayBackoff,
     /// Relays whose boards recently had no fresh data from the store.
-    pub stale_boards: PeerRests,
+    pub stale_boards: RelayBackoff,
     /// Relay hosted by this entry, if any.
-    pub hosted_relay: RefCell<Option<Rc<LoanOffice>>>,
+    pub hosted_relay: RefCell<Option<Rc<RelayApi>>>,
     /// Recent load reports of servers.
     pub load_reports: ReportCache,
 }
@@ -124,15 +124,15 @@
     /// state is detected by the tasks that follow the store and ends with their first successful
     /// call.
     pub fn is_isolated(&self) -> bool {
-        let is_silent = |kind: &str| self.store.silence(kind) > ISOLATION_THRESHOLD;
+        let is_unanswered = |kind: &str| self.store.unanswered_for(kind) > ISOLATION_THRESHOLD;
         let kinds = [names::CONFIG_KIND, names::SERVER_KIND];
-        self.desk.unanswered.get() && kinds.into_iter().all(is_silent)
+        self.loan_client.lenders_unreachable.get() && kinds.into_iter().all(is_unanswered)
     }
 
     /// Records a new request, as opposed to a retry, in the retry budget of a service.
     pub fn record_new_request(&self, service: &ServiceName) {
         let now = self.now();
-        self.with_retry_budget(service, |budget| budget.note_fresh(now));
+        self.with_retry_budget(service, |budget| budget.record_request(now));
     }
 
     /// Takes one retry from the budget of a service, if one is left.
@@ -165,18 +165,18 @@
 
     /// Returns whether load reports should be requested before a request is placed: requests wait
     /// too long for their first event, and free slots may be scarce.
-    pub fn wants_probe(&self, service: &ServiceName) -> bool {
+    pub fn should_probe(&self, service: &ServiceName) -> bool {
         let now = self.now();
         let tables = self.tables.borrow();
         let free_slots = tables.free_slots.get(service).copied().unwrap_or_default();
-        let pressed = tables.limits.get(service).is_some_and(|limit| limit.is_pressed(now));
-        pressed && free_slots.wants_probe(fastrand::f64())
+        let pressed = tables.limits.get(service).is_some_and(|limit| limit.is_congested(now));
+        pressed && free_slots.should_probe(fastrand::f64())
     }
 
     /// Records the load reports of servers of a service.
     pub fn record_reports(&self, service: &ServiceName, probed: &[ProbeRow]) {
         let mut tables = self.tables.borrow_mut();
-        tables.free_slots.entry(Arc::clone(service)).or_default().take_reports(probed);
+        tables.free_slots.entry(Arc::clone(service)).or_default().record_reports(probed);
     }
 
     fn with_retry_budget<Value, Work>(&self, service: &ServiceName, work: Work) -> Value
@@ -195,7 +195,7 @@
     /// Until the relays have been listed, the number of servers is used in place of theirs.
     /// Otherwise each entry that starts during an outage would take a quarter of the reserve.
     fn retry_bounds(&self) -> RetryBounds {
-        let relays = match self.store.count_relays() {
+        let relays = match self.store.relay_count() {
             0 => self.tables.borrow().backends.rows().count(),
             relays => relays,
         };
@@ -250,9 +250,9 @@
     pub fn record_response_start(&self) {
         let now = self.gateway.now();
         let mut tables = self.gateway.tables.borrow_mut();
-        tables.backends.note_begun(&self.backend, self.number, now);
+        tables.backends.record_first_event(&self.backend, self.number, now);
         if let Some(limit) = tables.limits.get_mut(&self.service) {
-            limit.note_begun(self.number, now);
+            limit.record_first_event(self.number, now);
         }
     }
 }
@@ -261,9 +261,9 @@
     fn drop(&mut self) {
         let now = self.gateway.now();
         let mut tables = self.gateway.tables.borrow_mut();
-        tables.backends.note_ended(&self.backend, self.number);
+        tables.backends.record_ended(&self.backend, self.number);
         if let Some(limit) = tables.limits.get_mut(&self.service) {
-            limit.note_ended(self.number, now);
+            limit.record_ended(self.number, now);
         }
     }
 }
--- a/toucanrail-gateway/tests/fault_soak.rs
+++ b/toucanrail-gateway/tests/fault_soak.rs
@@ -15,8 +15,8 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use platform::proxies::{Harm, Proxy};
-use platform::{Act, Backend, Message, Process, Store, request};
+use platform::proxies::{Proxy, ProxyFault};
+use platform::{Action, Backend, Message, Process, Store, request};
 
 /// Seeds of every CI run.
 const SEEDS: [u64; 2] = [1, 2];
@@ -49,30 +49,32 @@
         let roll = rng.lock().expect("unpoisoned lock").u32(0..100);
         if roll < 6 {
             let text = "HTTP/1.1 503 Full\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n";
-            return Act::Answer(text.to_owned());
+            return Action::Respond(text.to_owned());
         }
         let attempt = message.field("x-attempt-id").unwrap_or_default().to_owned();
         *record.lock().expect("unpoisoned lock").runs.entry(attempt.clone()).or_default() += 1;
         if roll < 10 {
-            return Act::Break(String::new());
+            return Action::Disconnect(String::new());
         }
         let text = make_response(message, &attempt);
         match roll {
-            10..14 => Act::Break(text[..text.len() * 2 / 3].to_owned()),
-            14..17 => Act::Answer(text.clone() + &platform::signed("late").replace("ID", "other")),
-            _ => Act::Answer(text),
+            10..14 => Action::Disconnect(text[..text.len() * 2 / 3].to_owned()),
+            14..17 => Action::Respond(
+                text.clone() + &platform::signed_response("late").replace("ID", "other"),
+            ),
+            _ => Action::Respond(text),
         }
     })
 }
 
 fn make_response(message: &Message, attempt: &str) -> String {
     if message.field("x-token-usage").is_none() {
-        return platform::signed(attempt);
+        return platform::signed_response(attempt);
     }
     let last: u64 = message.field("last-event-id").map_or(0, |text| text.parse().unwrap_or(0));
     let events = (last + 1..=EVENTS_PER_STREAM)
         .map(|id| platform::chunk(&format!("id: {id}\ndata: {attempt}\n\n")));
-    [platform::STREAM, &events.collect::<Vec<_>>().join("PAUSE"), "0\r\n\r\n"].concat()
+    [platform::STREAM_HEAD, &events.collect::<Vec<_>>().join("PAUSE"), "0\r\n\r\n"].concat()
 }
 
 fn run_caller(
@@ -89,21 +91,21 @@
         let route = ROUTES[rng.usize(0..ROUTES.len())];
         let attempt = format!("{route}-{number}-{count}");
         let streams = matches!(route, "stream" | "resume");
-        let headers = if streams { platform::PROMPT } else { "" };
+        let headers = if streams { platform::PROMPT_HEADERS } else { "" };
         let headers = format!("{headers}Connection: close\r\n");
         let (method, body) = if route == "safe" { ("GET", "") } else { ("POST", "b") };
         let text = request(method, &format!("/{route}/a"), &attempt, &headers, body);
-        let Some(answer) = platform::try_raw(entries[rng.usize(0..entries.len())], &text) else {
+        let Some(response) = platform::try_raw(entries[rng.usize(0..entries.len())], &text) else {
             thread::sleep(Duration::from_millis(30));
             continue;
         };
-        check_response(&attempt, streams, &answer, &mut record.lock().expect("unpoisoned lock"));
+        check_response(&attempt, streams, &response, &mut record.lock().expect("unpoisoned lock"));
         thread::sleep(Duration::from_millis(rng.u64(5..40)));
     }
 }
 
-fn check_response(attempt: &str, streams: bool, answer: &str, record: &mut SoakRecord) {
-    let status = answer.split(' ').nth(1).unwrap_or_default();
+fn check_response(attempt: &str, streams: bool, response: &str, record: &mut SoakRecord) {
+    let status = response.split(' ').nth(1).unwrap_or_default();
     if matches!(status, "408" | "421" | "429" | "503") {
         record.refused.push(attempt.to_owned());
     }
@@ -112,23 +114,25 @@
     }
     if !streams {
         // A body shorter than its stated length is visibly truncated.
-        let body = answer.split("\r\n\r\n").nth(1).unwrap_or_default();
+        let body = response.split("\r\n\r\n").nth(1).unwrap_or_default();
         if !attempt.starts_with(body) {
             record.violations.push(format!("{attempt} got {body}"));
         }
         record.served += u64::from(body == attempt);
         return;
     }
-    let ids: Vec<u64> = answer
+    let ids: Vec<u64> = response
         .lines()
         .filter_map(|line| line.strip_prefix("id: "))
         .filter_map(|id| id.parse().ok())
         .collect();
     let expected: Vec<u64> = (1..=ids.len() as u64).collect();
-    if ids != expected || answer.matches("data: ").count() != answer.matches(attempt).count() - 1 {
+    if ids != expected
+        || response.matches("data: ").count() != response.matches(attempt).count() - 1
+    {
         record.violations.push(format!("{attempt} got events {ids:?}"));
     }
-    let complete = answer.ends_with("0\r\n\r\n");
+    let complete = response.ends_with("0\r\n\r\n");
     if complete && ids.len() as u64 != EVENTS_PER_STREAM {
         record.violations.push(format!("{attempt} looks complete after {ids:?}"));
     }
@@ -151,9 +155,9 @@
             processes[at].restart();
         }
         4 => {
-            store.cut(true);
+            store.set_cut_off(true);
             thread::sleep(Duration::from_millis(rng.u64(300..1_500)));
-            store.cut(false);
+            store.set_cut_off(false);
         }
         _ => thread::sleep(Duration::from_millis(rng.u64(100..500))),
     }
@@ -186,14 +190,14 @@
     let proxy = &proxies[rng.usize(0..proxies.len())];
     let time = Duration::from_millis(rng.u64(200..1_500));
     match rng.u32(0..5) {
-        0 => proxy.reset(),
-        1 => proxy.silence(),
-        2 => proxy.set(Harm::Delay(Duration::from_millis(rng.u64(20..400)))),
-        3 => proxy.set(Harm::LoseAnswers),
-        _ => proxy.set(Harm::LoseRequests),
+        0 => proxy.reset_connections(),
+        1 => proxy.stall_connections(),
+        2 => proxy.set_fault(ProxyFault::Delay(Duration::from_millis(rng.u64(20..400)))),
+        3 => proxy.set_fault(ProxyFault::DropResponses),
+        _ => proxy.set_fault(ProxyFault::DropRequests),
     }
     thread::sleep(time);
-    proxy.set(Harm::None);
+    proxy.set_fault(ProxyFault::None);
 }
 
 fn run_seed(seed: u64, with_proxies: bool) -> SoakRecord {
@@ -204,7 +208,7 @@
     let mut proxies = Vec::new();
     let mut store = store;
     if with_proxies {
-        proxies = vec![Proxy::start(store.address), Proxy::start(store.inner)];
+        proxies = vec![Proxy::start(store.address), Proxy::start(store.relay_address)];
         store = store.behind(&proxies[0], &proxies[1]);
         let servers = backends.each_ref().map(|backend| Proxy::start(backend.address));
         for (backend, proxy) in backends.iter_mut().zip(&servers) {
@@ -212,7 +216,7 @@
         }
         proxies.extend(servers);
     }
-    platform::configure_total(&store, 1, &backends.each_ref(), BUDGET_TOKENS);
+    platform::configure_prepaid(&store, 1, &backends.each_ref(), BUDGET_TOKENS);
     let relays = ["side-1", "side-2"].map(|vm| Process::start_relay(&store, vm));
     let gateways = [Process::start_gateway(&store), Process::start_gateway(&store)];
     let entries: Vec<SocketAddr> = gateways.iter().map(|gateway| gateway.callers).collect();
--- a/toucanrail-gateway/tests/faulty_responses.rs
+++ b/toucanrail-gateway/tests/faulty_responses.rs
@@ -2,14 +2,14 @@
 
 mod platform;
 
-use platform::{Act, Backend, Process, Store, request};
+use platform::{Action, Backend, Process, Store, request};
 
 const FAILED: &str = "HTTP/1.1 500 Failed\r\nX-Attempt-Id: ID\r\nX-Replica-Signature: s\r\nContent-Length: 4\r\n\r\nsick";
 const DECLINED: &str = "HTTP/1.1 503 Full\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n";
 
 fn start_pair<Script>(script: Script) -> (Store, Backend, Backend, Process)
 where
-    Script: Fn(usize) -> Act + Clone + Send + Sync + 'static,
+    Script: Fn(usize) -> Action + Clone + Send + Sync + 'static,
 {
     let store = Store::start();
     let other = script.clone();
@@ -24,11 +24,11 @@
 /// not run, it would be filed twice.
 #[test]
 fn lost_submission() {
-    let (_store, first, second, gateway) = start_pair(|_| Act::Break(String::new()));
+    let (_store, first, second, gateway) = start_pair(|_| Action::Disconnect(String::new()));
     let text = request("POST", "/once/a", "r1", "", "file");
-    let answer = platform::call(gateway.callers, &text).unwrap();
-    assert_eq!(answer.status(), 502);
-    assert_eq!(answer.field("toucanrail-run"), Some("unknown"));
+    let response = platform::call(gateway.callers, &text).unwrap();
+    assert_eq!(response.status(), 502);
+    assert_eq!(response.field("toucanrail-run"), Some("unknown"));
     assert_eq!(first.seen().len() + second.seen().len(), 1);
 }
 
@@ -36,8 +36,8 @@
 #[test]
 fn failed_lookup() {
     let store = Store::start();
-    let failing = Backend::start("i-1", |_, _| Act::Answer(FAILED.to_owned()));
-    let healthy = Backend::start("i-2", |_, _| Act::Answer(platform::signed("seven")));
+    let failing = Backend::start("i-1", |_, _| Action::Respond(FAILED.to_owned()));
+    let healthy = Backend::start("i-2", |_, _| Action::Respond(platform::signed_response("seven")));
     platform::configure(&store, 1, &[&failing, &healthy]);
     let gateway = Process::start_gateway(&store);
     for number in 0..4 {
@@ -49,12 +49,12 @@
 /// Both servers decline a submission. Its caller is told that it did not run, and when to retry.
 #[test]
 fn declined_submission() {
-    let (_store, first, second, gateway) = start_pair(|_| Act::Answer(DECLINED.to_owned()));
+    let (_store, first, second, gateway) = start_pair(|_| Action::Respond(DECLINED.to_owned()));
     let text = request("POST", "/once/a", "r1", "", "file");
-    let answer = platform::call(gateway.callers, &text).unwrap();
-    assert_eq!(answer.status(), 429);
-    assert_eq!(answer.field("toucanrail-run"), Some("not-run"));
-    assert!(answer.field("retry-after").is_some());
+    let response = platform::call(gateway.callers, &text).unwrap();
+    assert_eq!(response.status(), 429);
+    assert_eq!(response.field("toucanrail-run"), Some("not-run"));
+    assert!(response.field("retry-after").is_some());
     assert_eq!((first.seen().len(), second.seen().len()), (1, 1));
 }
 
@@ -64,10 +64,10 @@
 fn foreign_response() {
     let store = Store::start();
     let backend = Backend::start("i-1", |number, _| {
-        let own = platform::signed("own");
-        Act::Answer(match number {
+        let own = platform::signed_response("own");
+        Action::Respond(match number {
             0 => own,
-            _ => platform::signed("foreign").replace("ID", "r0") + &own,
+            _ => platform::signed_response("foreign").replace("ID", "r0") + &own,
         })
     });
     platform::configure(&store, 1, &[&backend]);
@@ -86,7 +86,8 @@
         "rubbish\r\n\r\n",
         "HTTP/1.1 200 OK\r\nX-Attempt-Id: ID\r\nX-Replica-Signature: s\r\nContent-Length: 9\r\n\r\ncut",
     ] {
-        let (_store, _one, _two, gateway) = start_pair(move |_| Act::Break(bytes.to_owned()));
+        let (_store, _one, _two, gateway) =
+            start_pair(move |_| Action::Disconnect(bytes.to_owned()));
         let text = request("POST", "/once/a", "r1", "", "file");
         assert_eq!(platform::call(gateway.callers, &text).unwrap().status(), 502);
     }
@@ -98,36 +99,36 @@
 fn resumed_stream() {
     let store = Store::start();
     let script = |_: usize, message: &platform::Message| match message.field("last-event-id") {
-        None => {
-            Act::Break([platform::STREAM, &platform::chunk("id: 1\ndata: a\n\nid: 2\nda")].concat())
-        }
-        Some("1") => Act::Answer(
-            [platform::STREAM, &platform::chunk("id: 2\ndata: b\n\n"), "0\r\n\r\n"].concat(),
+        None => Action::Disconnect(
+            [platform::STREAM_HEAD, &platform::chunk("id: 1\ndata: a\n\nid: 2\nda")].concat(),
         ),
-        Some(_) => Act::Break(String::new()),
+        Some("1") => Action::Respond(
+            [platform::STREAM_HEAD, &platform::chunk("id: 2\ndata: b\n\n"), "0\r\n\r\n"].concat(),
+        ),
+        Some(_) => Action::Disconnect(String::new()),
     };
     let first = Backend::start("i-1", script);
     let second = Backend::start("i-2", script);
     platform::configure(&store, 1, &[&first, &second]);
     let gateway = Process::start_gateway(&store);
-    let headers = format!("{}Connection: close\r\n", platform::PROMPT);
-    let answer =
+    let headers = format!("{}Connection: close\r\n", platform::PROMPT_HEADERS);
+    let response =
         platform::call_raw(gateway.callers, &request("POST", "/resume/a", "r1", &headers, "p"));
-    assert_eq!(answer.matches("data: a").count(), 1, "{answer}");
-    assert_eq!(answer.matches("data: b").count(), 1, "{answer}");
-    assert!(answer.ends_with("0\r\n\r\n") && !answer.contains("id: 2\nda\r"), "{answer}");
+    assert_eq!(response.matches("data: a").count(), 1, "{response}");
+    assert_eq!(response.matches("data: b").count(), 1, "{response}");
+    assert!(response.ends_with("0\r\n\r\n") && !response.contains("id: 2\nda\r"), "{response}");
 }
 
 /// The same for a stream that cannot be resumed: the caller must be able to see that it was
 /// truncated.
 #[test]
 fn truncated_stream() {
-    let broken = [platform::STREAM, &platform::chunk("id: 1\ndata: a\n\nid: 2\nda")].concat();
-    let (_store, first, second, gateway) = start_pair(move |_| Act::Break(broken.clone()));
-    let headers = format!("{}Connection: close\r\n", platform::PROMPT);
-    let answer =
+    let broken = [platform::STREAM_HEAD, &platform::chunk("id: 1\ndata: a\n\nid: 2\nda")].concat();
+    let (_store, first, second, gateway) = start_pair(move |_| Action::Disconnect(broken.clone()));
+    let headers = format!("{}Connection: close\r\n", platform::PROMPT_HEADERS);
+    let response =
         platform::call_raw(gateway.callers, &request("POST", "/stream/a", "r1", &headers, "p"));
-    assert!(answer.contains("data: a") && !answer.ends_with("0\r\n\r\n"), "{answer}");
+    assert!(response.contains("data: a") && !response.ends_with("0\r\n\r\n"), "{response}");
     assert_eq!(first.seen().len() + second.seen().len(), 1);
 }
 
@@ -136,7 +137,7 @@
 #[test]
 fn early_response() {
     let store = Store::start();
-    let backend = Backend::start_hasty("i-1");
+    let backend = Backend::start_early_responder("i-1");
     platform::configure(&store, 1, &[&backend]);
     let gateway = Process::start_gateway(&store);
     for number in 0..6_u8 {
--- a/toucanrail-wire/src/clients.rs
+++ b/toucanrail-wire/src/clients.rs
@@ -14,7 +14,7 @@
 use smol::future::FutureExt;
 use smol::io::{AsyncReadExt, AsyncWriteExt};
 use smol::net::TcpStream;
-use toucanrail::scanners::{self, BodyLength, HeadFacts};
+use toucanrail::scanners::{self, BodyLength, HeadInfo};
 
 use crate::message_streams::MessageStream;
 use crate::time_limits;
@@ -368,12 +368,12 @@
 async fn read_response_head(
     stream: &TcpStream,
     limit: usize,
-) -> io::Result<(Vec<u8>, usize, HeadFacts)> {
+) -> io::Result<(Vec<u8>, usize, HeadInfo)> {
     let mut reader = stream.clone();
     let mut bytes = Vec::new();
     let mut chunk = vec![0; HEAD_READ_SIZE];
     loop {
-        if let Some(end) = scanners::scan_head_end(&bytes) {
+        if let Some(end) = scanners::find_head_end(&bytes) {
             let facts =
                 scanners::scan_head(&bytes[..end]).map_err(|code| invalid(code.row().text))?;
             return Ok((bytes, end, facts));
--- a/toucanrail-wire/src/heads.rs
+++ b/toucanrail-wire/src/heads.rs
@@ -117,7 +117,7 @@
     /// ```
     pub fn parse(bytes: &[u8]) -> Result<Self, HeadError> {
         let facts = scanners::scan_head(bytes).map_err(HeadError::Malformed)?;
-        if !facts.host {
+        if !facts.has_host {
             return Err(HeadError::Malformed(codetable::MISSING_HOST));
         }
         let mut fields = [httparse::EMPTY_HEADER; FIELD_LIMIT];
--- a/toucanrail-wire/src/stores.rs
+++ b/toucanrail-wire/src/stores.rs
@@ -9,7 +9,7 @@
 use http_types::Method;
 use serde::{Deserialize, Serialize};
 use toucanrail::ids::{Version, VmId};
-use toucanrail::messages::{MirrorObject, MirrorReply};
+use toucanrail::messages::{MirrorDelta, MirrorObject};
 use toucanrail::storecalls::{StoreCall, StoreReply, WriteExpectation};
 
 use crate::clients::{ClientLimits, CompleteResponse, ConnectionPool, OutboundRequest};
@@ -25,7 +25,7 @@
     fn call(&self, call: &StoreCall) -> impl Future<Output = StoreReply> + Send;
 
     /// Lists the objects of a kind that changed after a version; none if the call fails.
-    fn list(&self, kind: &str, after: Version) -> impl Future<Output = Option<MirrorReply>> + Send;
+    fn list(&self, kind: &str, after: Version) -> impl Future<Output = Option<MirrorDelta>> + Send;
 
     /// Waits at most `wait` for a change of a kind after a version.
     ///
@@ -110,7 +110,7 @@
         response
     }
 
-    async fn list_once(&self, kind: &str, after: Version) -> Option<MirrorReply> {
+    async fn list_once(&self, kind: &str, after: Version) -> Option<MirrorDelta> {
         let call = OutboundRequest::get(format!("/v1/list/{kind}?after={after}"));
         let response = self.fetch(call, CALL_TIMEOUT).await.ok()?;
         let body: ListBody = serde_json::from_slice(&response.body).ok()?;
@@ -119,7 +119,7 @@
             version: object.version,
             value: object.value.into_bytes(),
         });
-        Some(MirrorReply { objects: objects.collect(), seen: body.revision })
+        Some(MirrorDelta { objects: objects.collect(), seen: body.revision })
     }
 }
 
@@ -165,7 +165,7 @@
         response.map_or(StoreReply::Unavailable, |response| convert_reply(call, response))
     }
 
-    async fn list(&self, kind: &str, after: Version) -> Option<MirrorReply> {
+    async fn list(&self, kind: &str, after: Version) -> Option<MirrorDelta> {
         self.list_once(kind, after).await
     }
 
--- a/toucanrail/src/ledgers.rs
+++ b/toucanrail/src/ledgers.rs
@@ -13,7 +13,7 @@
 use crate::codes::ResultCode;
 use crate::codetable;
 use crate::ids::{AgentId, CustomerId, Epoch, RequestId, RunId, ServiceName, ShardName, Tokens};
-use crate::messages::{AskMode, FenceReply, KeptAnswer, RunFate, RunOrder, UsageRow};
+use crate::messages::{FenceReply, QueryMode, RunCommand, RunReport, StoredResponse, UsageRow};
 
 /// Number of dropped attempts whose ids are retained, with the responses of those that may not be
 /// repeated.
@@ -68,7 +68,7 @@
     voided: BTreeSet<RunId>,
     /// Complete responses of attempts that may not be repeated.
     #[serde(skip)]
-    responses: BTreeMap<RunId, KeptAnswer>,
+    responses: BTreeMap<RunId, StoredResponse>,
     /// Attempts that were settled and removed from `runs`.
     #[serde(skip)]
     dropped: BTreeSet<RunId>,
@@ -105,7 +105,7 @@
     /// [`codetable::WRONG_INCARNATION`], [`codetable::STOPPING`], [`codetable::FENCED`],
     /// [`codetable::VOIDED`] and [`codetable::DEADLINE_PASSED`] guarantee that the attempt did not
     /// run; [`codetable::ALREADY_SEEN`] means that it was received before.
-    pub fn admit(&mut self, order: &RunOrder) -> Result<(), ResultCode> {
+    pub fn admit(&mut self, order: &RunCommand) -> Result<(), ResultCode> {
         if order.agent != self.agent {
             return Err(codetable::WRONG_INCARNATION);
         }
@@ -148,7 +148,7 @@
         whole: bool,
         used: Tokens,
         unproved: Tokens,
-        response: Option<KeptAnswer>,
+        response: Option<StoredResponse>,
     ) {
         if let Some(row) = self.runs.get_mut(run) {
             row.state = RunPhase::Ended { whole, used, unproved };
@@ -206,25 +206,25 @@
         }
     }
 
-    /// Returns the state of an attempt. Unless `mode` is [`AskMode::Look`], an attempt that was not
+    /// Returns the state of an attempt. Unless `mode` is [`QueryMode::Look`], an attempt that was not
     /// received is voided, so that it never runs here.
-    pub fn query(&mut self, run: &RunId, mode: AskMode) -> RunFate {
+    pub fn query(&mut self, run: &RunId, mode: QueryMode) -> RunReport {
         let answer = self.responses.get(run).cloned();
         if let Some(row) = self.runs.get(run) {
             return match row.state {
-                RunPhase::Running => RunFate::Running,
+                RunPhase::Running => RunReport::Running,
                 RunPhase::Ended { whole, used, unproved } => {
-                    RunFate::Ended { whole, used, unproved, answer }
+                    RunReport::Ended { whole, used, unproved, answer }
                 }
             };
         }
         if self.dropped.contains(run) {
-            return RunFate::Ended { whole: answer.is_some(), used: 0, unproved: 0, answer };
+            return RunReport::Ended { whole: answer.is_some(), used: 0, unproved: 0, answer };
         }
-        if mode != AskMode::Look {
+        if mode != QueryMode::Look {
             self.voided.insert(Arc::clone(run));
         }
-        RunFate::NeverCame
+        RunReport::NeverCame
     }
 
     /// Returns the number of running attempts.
--- a/toucanrail/src/replays.rs
+++ b/toucanrail/src/replays.rs
@@ -11,7 +11,7 @@
 use crate::codes::ResultCode;
 use crate::codetable;
 use crate::ids::RequestId;
-use crate::messages::KeptAnswer;
+use crate::messages::StoredResponse;
 
 /// Maximum total size of the cached response bodies, in bytes; the oldest are evicted first.
 const CACHE_BYTES: usize = 16 * 1024 * 1024;
@@ -20,7 +20,7 @@
 struct KeyedRow {
     digest: Arc<str>,
     #[serde(skip)]
-    response: Option<KeptAnswer>,
+    response: Option<StoredResponse>,
 }
 
 /// The keyed requests that an entry has received, with the cached responses.
@@ -56,7 +56,7 @@
         &mut self,
         request: &RequestId,
         digest: &Arc<str>,
-    ) -> Result<Option<KeptAnswer>, ResultCode> {
+    ) -> Result<Option<StoredResponse>, ResultCode> {
         if let Some(row) = self.rows.get(request) {
             if row.digest != *digest {
                 return Err(codetable::KEY_REUSED);
@@ -69,7 +69,7 @@
     }
 
     /// Completes a keyed request and caches its response; without one, a retry runs again.
-    pub fn end(&mut self, request: &RequestId, response: Option<KeptAnswer>) {
+    pub fn end(&mut self, request: &RequestId, response: Option<StoredResponse>) {
         let Some(response) = response else {
             self.rows.remove(request);
             return;
