--- a/toucanrail-wire/src/clients.rs
+++ b/toucanrail-wire/src/clients.rs
@@ -80,7 +80,7 @@
     pub path: String,
     /// The names and values of the fields.
     pub fields: Vec<(String, String)>,
-    /// The whole body.
+    /// The complete body.
     pub body: Vec<u8>,
     /// Whether to open a new connection instead of reusing an idle one.
     pub new_connection: bool,
@@ -134,7 +134,7 @@
 pub struct StreamingResponse {
     /// The status and the fields.
     pub response: Response,
-    replay: Option<MessageStream>,
+    message: Option<MessageStream>,
     stream: TcpStream,
     buffer: Vec<u8>,
     reusable: bool,
@@ -149,7 +149,7 @@
     pub status: u16,
     /// The status and the fields; the body has been removed.
     pub response: Response,
-    /// The whole body.
+    /// The complete body.
     pub body: Vec<u8>,
 }
 
@@ -172,7 +172,7 @@
         self.buffer.resize(READ_SIZE, 0);
         let count =
             time_limits::io_timeout(idle_timeout, self.response.read(&mut self.buffer)).await?;
-        if count == 0 && !self.replay.as_ref().is_none_or(MessageStream::is_complete) {
+        if count == 0 && !self.message.as_ref().is_none_or(MessageStream::is_complete) {
             return Err(io::ErrorKind::UnexpectedEof.into());
         }
         Ok(self.buffer[..count].to_vec())
@@ -181,9 +181,9 @@
     /// Returns the connection to the pool if the body was read completely and no bytes follow it.
     pub fn release(self) {
         let complete = self
-            .replay
+            .message
             .as_ref()
-            .is_none_or(|replay| replay.is_complete() && replay.take_leftover().is_empty());
+            .is_none_or(|message| message.is_complete() && message.take_leftover().is_empty());
         if complete && self.reusable {
             self.pool.put(self.address, self.stream);
         }
@@ -287,22 +287,22 @@
     ) -> io::Result<StreamingResponse> {
         let head_only = request.method == Method::Head;
         send_request(&stream, address, request).await?;
-        let (bytes, end, facts) = read_response_head(&stream, self.limits.max_head).await?;
+        let (bytes, end, info) = read_response_head(&stream, self.limits.max_head).await?;
         let has_no_body = head_only || is_status_without_body(&bytes);
-        if facts.length == BodyLength::Absent && !has_no_body {
+        if info.length == BodyLength::Absent && !has_no_body {
             return Err(invalid("response has neither Content-Length nor chunked encoding"));
         }
-        let length = if has_no_body { BodyLength::Absent } else { facts.length };
-        let replay = MessageStream::new(bytes, end, length, stream.clone());
-        let response = Box::pin(client::decode(replay.clone()))
+        let length = if has_no_body { BodyLength::Absent } else { info.length };
+        let message = MessageStream::new(bytes, end, length, stream.clone());
+        let response = Box::pin(client::decode(message.clone()))
             .await
             .map_err(|error| io::Error::new(io::ErrorKind::InvalidData, format!("{error}")))?;
         Ok(StreamingResponse {
             response,
-            replay: Some(replay).filter(|_| !has_no_body),
+            message: Some(message).filter(|_| !has_no_body),
             stream,
             buffer: Vec::new(),
-            reusable: !facts.close,
+            reusable: !info.close,
             address,
             pool: self.clone(),
         })
@@ -374,9 +374,9 @@
     let mut chunk = vec![0; HEAD_READ_SIZE];
     loop {
         if let Some(end) = scanners::find_head_end(&bytes) {
-            let facts =
+            let info =
                 scanners::scan_head(&bytes[..end]).map_err(|code| invalid(code.row().text))?;
-            return Ok((bytes, end, facts));
+            return Ok((bytes, end, info));
         }
         if bytes.len() > limit {
             return Err(invalid("response head exceeds the size limit"));
--- a/toucanrail-wire/src/heads.rs
+++ b/toucanrail-wire/src/heads.rs
@@ -116,8 +116,8 @@
     /// # Ok::<(), toucanrail_wire::heads::HeadError>(())
     /// ```
     pub fn parse(bytes: &[u8]) -> Result<Self, HeadError> {
-        let facts = scanners::scan_head(bytes).map_err(HeadError::Malformed)?;
-        if !facts.has_host {
+        let info = scanners::scan_head(bytes).map_err(HeadError::Malformed)?;
+        if !info.has_host {
             return Err(HeadError::Malformed(codetable::MISSING_HOST));
         }
         let mut fields = [httparse::EMPTY_HEADER; FIELD_LIMIT];
@@ -137,8 +137,8 @@
         Ok(Self {
             method: range(method),
             target: range(target),
-            length: facts.length,
-            close: facts.close || minor == 0,
+            length: info.length,
+            close: info.close || minor == 0,
             fields: FieldList::new(bytes, request.headers),
         })
     }
@@ -189,7 +189,7 @@
     /// # Ok::<(), toucanrail_wire::heads::HeadError>(())
     /// ```
     pub fn parse(bytes: &[u8]) -> Result<Self, HeadError> {
-        let facts = scanners::scan_head(bytes).map_err(HeadError::Malformed)?;
+        let info = scanners::scan_head(bytes).map_err(HeadError::Malformed)?;
         let mut fields = [httparse::EMPTY_HEADER; FIELD_LIMIT];
         let mut response = httparse::Response::new(&mut fields);
         let malformed = HeadError::Malformed(codetable::BAD_REQUEST);
@@ -206,8 +206,8 @@
         Ok(Self {
             status,
             reason,
-            length: if has_no_body { BodyLength::Exact(0) } else { facts.length },
-            close: facts.close || minor == 0,
+            length: if has_no_body { BodyLength::Exact(0) } else { info.length },
+            close: info.close || minor == 0,
             fields: FieldList::new(bytes, response.headers),
         })
     }
--- a/toucanrail-wire/src/listeners.rs
+++ b/toucanrail-wire/src/listeners.rs
@@ -57,7 +57,7 @@
 pub struct ReceivedRequest {
     /// The method, URL and fields.
     pub request: Request,
-    /// The whole body.
+    /// The complete body.
     pub body: Vec<u8>,
 }
 
@@ -104,8 +104,7 @@
         let handler = handler.clone();
         smol::spawn(async move {
             let over_limit = guard.count() > limits.max_connections;
-            // An I/O error means that the connection is broken, so it cannot be reported to the
-            // peer.
+            // An I/O error means a broken connection, on which no error response can be sent.
             serve_connection(stream, &limits, handler, over_limit).await.ok();
         })
         .detach();
@@ -151,22 +150,22 @@
     let mut buffered = Vec::new();
     let mut chunk = vec![0; READ_SIZE];
     while let Some(head) = read_head(&stream, &mut buffered, &mut chunk, limits).await? {
-        let (end, facts) = match head {
-            Ok(found) => found,
+        let (end, info) = match head {
+            Ok(parsed) => parsed,
             Err(code) => return reject(stream, limits, code).await,
         };
         let bytes = std::mem::take(&mut buffered);
-        let replay = MessageStream::new(bytes, end, facts.length, stream.clone());
-        let received = time_limits::timeout(limits.request_timeout, receive(&replay, limits)).await;
+        let message = MessageStream::new(bytes, end, info.length, stream.clone());
+        let received =
+            time_limits::timeout(limits.request_timeout, receive(&message, limits)).await;
         let received = match received.unwrap_or(Err(codetable::SLOW_SENDER)) {
             Ok(received) => received,
             Err(code) => return reject(stream, limits, code).await,
         };
-        buffered = replay.take_leftover();
+        buffered = message.take_leftover();
         let method = received.request.method();
-        // async-h1 does not report where a chunked request ends, so the bytes after it are not
-        // used.
-        let close = facts.close || facts.length == BodyLength::Chunked;
+        // async-h1 does not report where a chunked request ends, so later bytes are not used.
+        let close = info.close || info.length == BodyLength::Chunked;
         let responded =
             respond(&stream, handler(received), method, limits, close, &buffered).await?;
         if close || !responded {
@@ -186,13 +185,14 @@
     let mut reader = stream.clone();
     loop {
         if let Some(end) = scanners::find_head_end(buffered) {
-            return Ok(Some(check_head(&buffered[..end], limits).map(|facts| (end, facts))));
+            return Ok(Some(check_head(&buffered[..end], limits).map(|info| (end, info))));
         }
         if buffered.len() > limits.max_head {
             return Ok(Some(Err(codetable::HEAD_TOO_LARGE)));
         }
-        let bound = if buffered.is_empty() { limits.idle_timeout } else { limits.request_timeout };
-        match time_limits::io_timeout(bound, reader.read(chunk)).await {
+        let timeout =
+            if buffered.is_empty() { limits.idle_timeout } else { limits.request_timeout };
+        match time_limits::io_timeout(timeout, reader.read(chunk)).await {
             Ok(0) if buffered.is_empty() => return Ok(None),
             Ok(0) => return Ok(Some(Err(codetable::CUT_REQUEST))),
             Ok(count) => buffered.extend_from_slice(&chunk[..count]),
@@ -208,24 +208,24 @@
     if head.len() > limits.max_head {
         return Err(codetable::HEAD_TOO_LARGE);
     }
-    let facts = scanners::scan_head(head)?;
-    if !facts.has_host {
+    let info = scanners::scan_head(head)?;
+    if !info.has_host {
         return Err(codetable::MISSING_HOST);
     }
-    match facts.length {
+    match info.length {
         BodyLength::Exact(count) if count > limits.max_body as u64 => {
             Err(codetable::BODY_TOO_LARGE)
         }
-        _ => Ok(facts),
+        _ => Ok(info),
     }
 }
 
 async fn receive(
-    replay: &MessageStream,
+    message: &MessageStream,
     limits: &ServerLimits,
 ) -> Result<ReceivedRequest, ResultCode> {
     // Boxed because the decoder's state is large and each wrapping future would copy it.
-    let decoded = Box::pin(server::decode(replay.clone())).await;
+    let decoded = Box::pin(server::decode(message.clone())).await;
     let Ok(Some((mut request, _))) = decoded else {
         return Err(codetable::BAD_REQUEST);
     };
@@ -237,7 +237,7 @@
     if body.len() > limits.max_body {
         return Err(codetable::BODY_TOO_LARGE);
     }
-    if replay.is_complete() {
+    if message.is_complete() {
         Ok(ReceivedRequest { request, body })
     } else {
         Err(codetable::CUT_REQUEST)
--- a/toucanrail-wire/src/responses.rs
+++ b/toucanrail-wire/src/responses.rs
@@ -142,7 +142,7 @@
 
 /// Returns the body of an error response: JSON in the format of the model APIs that callers use.
 pub fn error_body(details: &ErrorDetails) -> Vec<u8> {
-    // Serialization cannot fail: it does so only for maps whose keys are not strings.
+    // Serialization fails only for maps whose keys are not strings, and there are none.
     serde_json::to_vec(&error_envelope(details)).unwrap_or_default()
 }
 
--- a/toucanrail-wire/tests/http_edges.rs
+++ b/toucanrail-wire/tests/http_edges.rs
@@ -274,7 +274,7 @@
 
 /// A server that accepts a request and never responds: the call ends with its timeout.
 #[test]
-fn silent_server() {
+fn unresponsive_server() {
     smol::block_on(async {
         let (address, _) = start_fixed_server(b"", false).await;
         let pool = ConnectionPool::new(ClientLimits::default());
