--- a/toucanrail-daemons/src/editing.rs
+++ b/toucanrail-daemons/src/editing.rs
@@ -7,12 +7,12 @@
 use serde_json::Value;
 use toucanrail::budgets::BudgetShard;
 use toucanrail::catalogue::{CatalogueItem, CustomerEntry};
-use toucanrail::files;
+use toucanrail::catalogue_files;
 use toucanrail::ids::Version;
 use toucanrail::messages::MirrorObject;
 use toucanrail::paths;
 use toucanrail::storecalls::{self, StoreCall, StoreReply, WriteExpectation};
-use toucanrail_wire::clients::OutboundCall;
+use toucanrail_wire::clients::OutboundRequest;
 use toucanrail_wire::stores::ObjectStore;
 
 use crate::inspecting;
@@ -32,7 +32,7 @@
 fn read_file(path: &str) -> Outcome<CatalogueFile> {
     let text = std::fs::read_to_string(path)
         .map_err(|error| OperatorError::File(path.to_owned(), error))?;
-    let rows = files::read_items(&text).map_err(OperatorError::Faults)?;
+    let rows = catalogue_files::parse_items(&text).map_err(OperatorError::Faults)?;
     let mark = text.lines().find_map(|line| line.strip_prefix(VERSION_MARK));
     let base = mark.and_then(|version| version.trim().parse().ok());
     Ok(CatalogueFile { items: rows.into_iter().map(|row| row.item).collect(), base })
@@ -233,7 +233,7 @@
     let asked = nodes.into_iter().map(|node| {
         let pool = tools.pool.clone();
         smol::spawn(async move {
-            let call = OutboundCall::get("/state");
+            let call = OutboundRequest::get("/state");
             let bound = std::time::Duration::from_secs(1);
             let answer = pool.fetch(node.address, call, bound).await.ok();
             let state: Option<Value> =
--- a/toucanrail-daemons/src/serving.rs
+++ b/toucanrail-daemons/src/serving.rs
@@ -11,13 +11,13 @@
 use toucanrail::grants::GrantHold;
 use toucanrail::ids::{AgentId, RunId, Tokens, Version};
 use toucanrail::limits::ServiceLoad;
-use toucanrail::messages::{KeptAnswer, RunOrder};
+use toucanrail::messages::{RunCommand, StoredResponse};
 use toucanrail::records::{self, RecordOutcome, RecordState, RunRecord};
 use toucanrail::retries;
 use toucanrail::routing::{self, RouteQuery};
 use toucanrail::traces::TraceStep;
-use toucanrail_wire::listeners::ReceivedCall;
-use toucanrail_wire::replies::{self, RefusalNote};
+use toucanrail_wire::listeners::ReceivedRequest;
+use toucanrail_wire::responses::{self, ErrorDetails};
 
 use crate::answering::{self, CallerSide};
 use crate::attempts::{self, AttemptEnd, AttemptTarget};
@@ -35,7 +35,7 @@
 const RECORD_BYTES: usize = 512 * 1024;
 
 /// Serves one call.
-pub async fn serve(entry: Arc<Entry>, call: ReceivedCall) -> Response {
+pub async fn serve(entry: Arc<Entry>, call: ReceivedRequest) -> Response {
     let plan = callers::read_plan(&entry.mirrors.lock().catalogue, &call);
     let plan = match plan {
         Ok(plan) => plan,
@@ -48,9 +48,9 @@
     smol::spawn(task.run()).detach();
     let mut response = match replied.recv().await {
         Ok(response) => response,
-        Err(_) => entry.refuse(&RefusalNote::new(codetable::BACKEND_FAILED)),
+        Err(_) => entry.refuse(&ErrorDetails::new(codetable::BACKEND_FAILED)),
     };
-    response.insert_header(replies::REQUEST_HEADER, &*request);
+    response.insert_header(responses::REQUEST_HEADER, &*request);
     response
 }
 
@@ -78,8 +78,8 @@
 #[derive(Debug)]
 enum RequestEnd {
     Whole,
-    Refused(RefusalNote),
-    Replayed(KeptAnswer),
+    Refused(ErrorDetails),
+    Replayed(StoredResponse),
     CallerGone,
 }
 
@@ -115,7 +115,7 @@
         };
         self.reply_end(end).await;
         let steps = std::mem::take(&mut self.steps);
-        self.entry.lock().traces.keep(&self.plan.request, steps);
+        self.entry.lock().traces.append(&self.plan.request, steps);
     }
 
     fn note(&mut self, event: String) {
@@ -123,8 +123,8 @@
         self.steps.push(TraceStep { after, event: Arc::from(event) });
     }
 
-    fn refusal(&self, code: ResultCode) -> RefusalNote {
-        let note = RefusalNote::new(code);
+    fn refusal(&self, code: ResultCode) -> ErrorDetails {
+        let note = ErrorDetails::new(code);
         let later = [
             codetable::IN_FLIGHT,
             codetable::BUDGET_UNCONFIRMED,
@@ -140,7 +140,7 @@
     }
 
     /// A keyed request that may be repeated is remembered here; one that may not, in its record.
-    fn begin_keyed(&mut self) -> Result<Option<KeptAnswer>, ResultCode> {
+    fn begin_keyed(&mut self) -> Result<Option<StoredResponse>, ResultCode> {
         if !self.plan.keyed || !self.plan.repeatable {
             return Ok(None);
         }
@@ -168,11 +168,11 @@
         let whole = matches!(end, RequestEnd::Whole);
         let body = self.caller.kept.take().filter(|_| whole);
         let answer = body.zip(self.caller.head.clone());
-        let answer = answer.map(|(body, (status, fields))| KeptAnswer { status, fields, body });
+        let answer = answer.map(|(body, (status, fields))| StoredResponse { status, fields, body });
         self.entry.lock().replays.end(&self.plan.request, answer);
     }
 
-    async fn admit(&mut self) -> Result<(), Box<RefusalNote>> {
+    async fn admit(&mut self) -> Result<(), Box<ErrorDetails>> {
         let service = Arc::clone(&self.plan.service.name);
         let customer = self.plan.customer.clone();
         let admitted = {
@@ -189,7 +189,7 @@
             tables.limits.admit(&service, &customer.name, class, weight, known)
         };
         admitted.map_err(|refusal| {
-            let note = RefusalNote::new(refusal.code).retry_after(refusal.retry_after);
+            let note = ErrorDetails::new(refusal.code).retry_after(refusal.retry_after);
             Box::new(note)
         })?;
         match self.take_hold(self.plan.hold).await {
@@ -309,7 +309,7 @@
             return true;
         }
         // The tenure was lost meanwhile: what was used belongs to it, the rest begins anew.
-        self.entry.lock().grants.finish(&more, None);
+        self.entry.lock().grants.end_hold(&more, None);
         self.sum.write_off();
         self.settle();
         self.hold = self.take_hold(self.plan.hold).await.ok();
@@ -371,10 +371,10 @@
         end
     }
 
-    fn build_order(&self, target: &AttemptTarget, run: &RunId, hold: &GrantHold) -> RunOrder {
+    fn build_order(&self, target: &AttemptTarget, run: &RunId, hold: &GrantHold) -> RunCommand {
         let plan = &self.plan;
         let resumed = if self.caller.is_begun() { self.caller.tokens } else { 0 };
-        RunOrder {
+        RunCommand {
             request: Arc::clone(&plan.request),
             run: Arc::clone(run),
             agent: Arc::clone(&target.agent),
@@ -499,7 +499,7 @@
             AttemptEnd::Whole { .. } => {
                 let body = self.caller.held.clone();
                 let (status, fields) = self.caller.head.clone().unwrap_or((200, Vec::new()));
-                records::finished_state(KeptAnswer { status, fields, body })
+                records::finished_state(StoredResponse { status, fields, body })
             }
             _ => billing::record_state(end),
         };
@@ -513,7 +513,7 @@
         smol::spawn(async move {
             recording::close_surely(&entry, &record, version, state).await;
             if let Some((bill, hold)) = bill {
-                entry.lock().grants.finish(&hold, bill);
+                entry.lock().grants.end_hold(&hold, bill);
             }
             drop(guard);
         })
@@ -537,7 +537,7 @@
             if let Some(row) = &bill {
                 self.note(format!("to be billed {}", row.billed));
             }
-            self.entry.lock().grants.finish(&hold, bill);
+            self.entry.lock().grants.end_hold(&hold, bill);
         }
     }
 
@@ -551,7 +551,7 @@
             RequestEnd::Replayed(answer) => {
                 self.note("answered as the first time".to_owned());
                 self.entry.board.count_event("answers_replayed");
-                let mut response = replies::bytes(answer.status, answer.body);
+                let mut response = responses::bytes(answer.status, answer.body);
                 answering::dress(&mut response, &answer.fields);
                 self.caller.reply.send(response).await.ok();
             }
--- a/toucanrail-daemons/src/watching.rs
+++ b/toucanrail-daemons/src/watching.rs
@@ -7,7 +7,7 @@
 
 use toucanrail::ids::AgentId;
 use toucanrail::members;
-use toucanrail::messages::{LoadReport, MirrorNews};
+use toucanrail::messages::{LoadReport, PeerUpdate};
 use toucanrail::paths;
 use toucanrail::servers::{NodeEntry, NodeRole};
 use toucanrail_wire::stores::ObjectStore;
@@ -94,7 +94,7 @@
         let leaving = tables.members.leaving_vms();
         tables.servers.mark_leaving_vms(&leaving);
         let agents = tables.servers.choose_agents(&entry.id);
-        tables.grants.want_agents(agents);
+        tables.grants.set_wanted_agents(agents);
         for customer in customers {
             let shard = entry.shard_of(&customer);
             tables.grants.add_account(&customer, &shard);
@@ -148,7 +148,7 @@
 
 async fn send_heartbeat(entry: Arc<Entry>, peer: Arc<str>, address: SocketAddr) {
     let order = entry.mirrors.order(Some(entry.node().address));
-    let answer: std::io::Result<MirrorNews> =
+    let answer: std::io::Result<PeerUpdate> =
         entry.client.send(address, routes::MIRROR, &order, PEER_BOUND).await;
     let Ok(news) = answer else {
         entry.board.count_event("heartbeats_lost");
@@ -187,14 +187,14 @@
         let mut tables = entry.lock();
         tables.servers.apply_report(&report, own, asked, now);
         let agents = tables.servers.choose_agents(&entry.id);
-        tables.grants.want_agents(agents);
+        tables.grants.set_wanted_agents(agents);
         return;
     }
     // Another incarnation answers: this one is gone, with all that it knew.
     {
         let mut tables = entry.lock();
         tables.servers.record_leaving(&agent);
-        tables.grants.note_acked(&agent, &BTreeSet::new(), true);
+        tables.grants.record_acked(&agent, &BTreeSet::new(), true);
     }
     registering::write_node(&entry.store, &agent, Vec::new()).await;
 }
@@ -203,7 +203,7 @@
     loop {
         smol::Timer::after(TICK).await;
         let mut tables = entry.lock();
-        tables.grants.smooth_burn(TICK);
+        tables.grants.update_burn_rates(TICK);
         tables.limits.update_drain_rates(TICK);
         let now = entry.now();
         tables.exhausted.retain(|_, (until, _)| *until > now);
--- a/toucanrail-gateway/src/dispatching.rs
+++ b/toucanrail-gateway/src/dispatching.rs
@@ -14,11 +14,11 @@
 use toucanrail::placement::{self, PlacementQuery};
 use toucanrail::probes::{self, ProbeRow};
 use toucanrail::retry_delays::{self, RefusalCause};
-use toucanrail_wire::clocks;
+use toucanrail_wire::time_limits;
 
-use crate::borrowing::BudgetGuard;
 use crate::liveness;
-use crate::permitting::{self, SendPermit};
+use crate::loan_client::BudgetGuard;
+use crate::permits::{self, SendPermit};
 use crate::request_context::{
     AttemptContext, AttemptResult, FailedResponse, RequestPlan, StreamState,
 };
@@ -94,7 +94,7 @@
                 let step = self.tally.final_step(self.last_fate());
                 return self.finish(step, writer).await;
             }
-            let permit = permitting::take_permit(self.gateway, &target).await;
+            let permit = permits::request_permit(self.gateway, &target).await;
             if permit == SendPermit::Denied {
                 continue;
             }
@@ -157,12 +157,12 @@
         }
     }
 
-    fn place_query(&self) -> PlacementQuery<'_> {
+    fn placement_query(&self) -> PlacementQuery<'_> {
         let prompt = self.plan.facts.prompt.as_ref();
         PlacementQuery {
             data_centre: &self.gateway.settings.data_centre,
             parts: prompt.map_or(&[], |prompt| &prompt.parts),
-            prompt_tokens: prompt.map_or(0, |prompt| prompt.prompt),
+            prompt_tokens: prompt.map_or(0, |prompt| prompt.prompt_tokens),
             now: self.gateway.now(),
             random: fastrand::f64(),
         }
@@ -189,26 +189,27 @@
     }
 
     /// Requests load reports from the relays beside some of the servers. Done for long prompts, and
-    /// for all prompts while requests wait too long for their first event.
+    /// for others while requests wait too long for their first event and free slots may be scarce.
     async fn probe_servers(&self) -> Vec<ProbeRow> {
         let Some(prompt) = &self.plan.facts.prompt else {
             return Vec::new();
         };
-        if !probes::is_long(prompt.prompt) && !self.gateway.wants_probe(&self.plan.service) {
+        if !probes::is_long(prompt.prompt_tokens) && !self.gateway.should_probe(&self.plan.service)
+        {
             return Vec::new();
         }
-        let query = self.place_query();
+        let query = self.placement_query();
         let candidates = {
             let tables = self.gateway.tables.borrow();
             let eligible = self.list_eligible(&tables.backends, query.now);
-            let dice: [f64; probes::PROBE_SAMPLES] = std::array::from_fn(|_| fastrand::f64());
-            probes::pick_candidates(&eligible, &query, &dice)
+            let random: [f64; probes::PROBE_SAMPLES] = std::array::from_fn(|_| fastrand::f64());
+            probes::pick_candidates(&eligible, &query, &random)
         };
         let probing = candidates.into_iter().map(|entry| {
             let gateway = Rc::clone(self.gateway);
             self.gateway.executor.spawn(async move {
                 let fetching = liveness::fetch_load(&gateway, &entry);
-                let report = clocks::bounded(PROBE_TIMEOUT, fetching).await.flatten();
+                let report = time_limits::timeout(PROBE_TIMEOUT, fetching).await.flatten();
                 (entry, report)
             })
         });
@@ -235,7 +236,7 @@
     /// Picks a server, and a second one that holds shared parts of the prompt in its cache, if
     /// there is a better source than the server itself.
     fn pick_target(&self, probed: &[ProbeRow]) -> Option<(BackendEntry, Option<SocketAddr>)> {
-        let query = self.place_query();
+        let query = self.placement_query();
         let tables = self.gateway.tables.borrow();
         let eligible = self.list_eligible(&tables.backends, query.now);
         let chosen = probes::pick_probed(&eligible, &query, probed, self.plan.route.aim);
@@ -267,7 +268,7 @@
         let now = self.gateway.now();
         self.tally.record(fate);
         if let Some(budget) = &self.plan.budget {
-            budget.note_sent(self.tally.may_have_run);
+            budget.set_may_have_run(self.tally.may_have_run);
         }
         let mut tables = self.gateway.tables.borrow_mut();
         match fate {
@@ -350,7 +351,7 @@
             run = self.tally.run_state().as_str(), sent = self.tally.sent, tried = ?self.tried,
             first_ms = first.as_millis() as u64,
             pause_ms = self.stream.longest_pause.as_millis() as u64,
-            prompt = self.plan.facts.prompt.as_ref().map(|prompt| prompt.prompt),
+            prompt = self.plan.facts.prompt.as_ref().map(|prompt| prompt.prompt_tokens),
             took_ms = Instant::now().duration_since(self.plan.arrived).as_millis() as u64,
             used = self.plan.budget.as_ref().map(BudgetGuard::used),
         );
--- a/toucanrail-gateway/src/lib.rs
+++ b/toucanrail-gateway/src/lib.rs
@@ -5,15 +5,15 @@
 //! servers. A single thread runs everything. A request passes through [`accepting`] (callers'
 //! connections), [`admitting`] (route, customer, load and budget), [`dispatching`] (choice of
 //! servers and retries), [`sending`] (one attempt at one server) and [`forwarding`] (the response
-//! body). Background tasks follow the store ([`following`]), through a relay ([`peering`]) or on
-//! the path found by [`storing`], and manage budgets: [`borrowing`] takes loans from lenders,
-//! [`budgeting`] uses the entry's own grants.
+//! body). Background tasks follow the store ([`store_watch`]), through a relay ([`relay_client`]) or on
+//! the path found by [`store_access`], and manage budgets: [`loan_client`] takes loans from lenders,
+//! [`grant_manager`] uses the entry's own grants.
 //!
 //! A *relay* (program `toucanrail-relay`) runs beside a backend server: [`relay`] forwards
-//! connections to the store, [`lending`] lends entries budget from the same [`budgeting`],
-//! [`mirroring`] tells them about changes in the store, and [`registering`] reports how fast the
+//! connections to the store, [`relay_api`] lends entries budget from the same [`grant_manager`],
+//! [`change_feed`] tells them about changes in the store, and [`relay_registration`] reports how fast the
 //! server is. A server that has just started only receives requests that got a permit
-//! ([`permitting`]). If no VM runs a relay, entries host relays themselves ([`hosting`]).
+//! ([`permits`]). If no VM runs a relay, entries host relays themselves ([`hosting`]).
 //!
 //! Decisions are made in the `toucanrail` library; this crate owns sockets and timers.
 //!
@@ -24,7 +24,7 @@
 //!
 //! let rows = &tuning::SETTINGS;
 //! let read = toucanrail::settings::read("gateway", "", rows, std::env::args_os(), |_| None);
-//! let toucanrail::settings::SettingsCall::Run(mut values) = read else { return Ok(()) };
+//! let toucanrail::settings::StartAction::Run(mut values) = read else { return Ok(()) };
 //! let settings = settings::read_settings()?;
 //! starting::run(settings, tuning::GatewayTuning::read(&mut values))?;
 //! # Ok::<(), Box<dyn std::error::Error>>(())
@@ -33,28 +33,28 @@
 pub mod accepting;
 pub mod admin;
 pub mod admitting;
-pub mod borrowing;
-pub mod budgeting;
+pub mod change_feed;
 pub mod dispatching;
-pub mod following;
 pub mod forwarding;
-pub mod gauging;
+pub mod grant_manager;
 pub mod hosting;
 pub mod launching;
-pub mod lending;
 pub mod listening;
 pub mod liveness;
+pub mod loan_client;
 pub mod logging;
-pub mod mirroring;
-pub mod peering;
-pub mod permitting;
-pub mod registering;
+pub mod permits;
 pub mod relay;
+pub mod relay_api;
+pub mod relay_client;
+pub mod relay_registration;
+pub mod report_client;
 pub mod request_context;
 pub mod responding;
 pub mod sending;
 pub mod starting;
 pub mod state;
 pub mod stopping;
-pub mod storing;
+pub mod store_access;
+pub mod store_watch;
 pub mod tuning;
--- a/toucanrail-gateway/src/relay.rs
+++ b/toucanrail-gateway/src/relay.rs
@@ -15,21 +15,21 @@
 use smol::stream::StreamExt;
 use smol::{Async, LocalExecutor};
 use toucanrail::coldstarts::PermitTable;
-use toucanrail::detours::DetourTable;
+use toucanrail::endpoints::EndpointTable;
 use toucanrail_daemons::observing::MetricBoard;
 use toucanrail_daemons::starting::{self, ProcessClock};
 use toucanrail_platform::settings::NodeSettings;
 use toucanrail_platform::stores::StoreClient;
-use toucanrail_wire::channels::{BufferedChannel, ChannelWriter};
-use toucanrail_wire::clocks;
+use toucanrail_wire::connections::{BufferedConnection, ConnectionWriter};
+use toucanrail_wire::time_limits;
 
-use crate::budgeting::{self, BudgetKeeper};
-use crate::gauging::ServerGauge;
-use crate::lending::{self, LoanOffice};
+use crate::change_feed::ChangeFeed;
+use crate::grant_manager::{self, GrantManager};
 use crate::listening;
-use crate::mirroring::NewsOffice;
-use crate::registering;
-use crate::storing::{self, RELAY_REFRESH, StoreAccess};
+use crate::relay_api::{self, RelayApi};
+use crate::relay_registration;
+use crate::report_client::ReportClient;
+use crate::store_access::{self, RELAY_LIST_INTERVAL, StoreAccess};
 use crate::tuning::GatewayTuning;
 
 /// Maximum number of open connections: several for each entry of a large fleet.
@@ -46,23 +46,25 @@
 /// Runs a relay until it receives a stop signal.
 pub fn run(settings: &NodeSettings, tuning: GatewayTuning) -> io::Result<()> {
     let executor = Rc::new(LocalExecutor::new());
-    let listener = Async::<TcpListener>::bind(settings.inner)?;
-    tracing::info!(event = "start", role = "relay", vm = %settings.vm, inner = %settings.inner);
+    let listener = Async::<TcpListener>::bind(settings.internal)?;
+    tracing::info!(event = "start", role = "relay", vm = %settings.vm, inner = %settings.internal);
     let forwarding = forward_connections(Rc::clone(&executor), listener, settings.store, || true);
     executor.spawn(forwarding).detach();
     let office = Rc::new(make_loan_office(settings, tuning, &executor)?);
     let entries = Async::<TcpListener>::bind(settings.lending)?;
-    let lending = lending::serve_entries(Rc::clone(&executor), Rc::clone(&office), entries);
+    let lending = relay_api::serve_entries(Rc::clone(&executor), Rc::clone(&office), entries);
     executor.spawn(lending).detach();
-    executor.spawn(budgeting::run_syncs(Rc::clone(&office.keeper))).detach();
+    executor.spawn(grant_manager::run_syncs(Rc::clone(&office.grant_manager))).detach();
     executor.spawn(measure_burn(Rc::clone(&office))).detach();
-    let gauge = office.gauge.as_ref().map(Rc::clone);
-    let entry = registering::make_entry(settings, settings.inner, false);
-    executor.spawn(registering::keep_entry(settings.clone(), entry, gauge)).detach();
+    let report_client = office.report_client.as_ref().map(Rc::clone);
+    let entry = relay_registration::new_entry(settings, settings.internal, false);
+    executor
+        .spawn(relay_registration::maintain_entry(settings.clone(), entry, report_client))
+        .detach();
     smol::block_on(executor.run(async {
         wait_for_stop().await;
-        lending::drain(&office, settings.grace.saturating_sub(GRACE_MARGIN)).await;
-        budgeting::leave(&office.keeper).await;
+        relay_api::drain(&office, settings.shutdown_grace.saturating_sub(GRACE_MARGIN)).await;
+        grant_manager::settle_all(&office.grant_manager).await;
     }));
     let loans = office.loans.borrow().len();
     tracing::info!(event = "stopped", role = "relay", loans);
@@ -73,29 +75,31 @@
     settings: &NodeSettings,
     tuning: GatewayTuning,
     executor: &Rc<LocalExecutor<'static>>,
-) -> io::Result<LoanOffice> {
+) -> io::Result<RelayApi> {
     let id = starting::new_incarnation(&settings.vm);
     let metrics = MetricBoard::new("relay").map_err(io::Error::other)?;
     let data_centre = Arc::clone(&settings.data_centre);
-    let ways = DetourTable::new(settings.store, data_centre, Arc::clone(&settings.region));
+    let ways = EndpointTable::new(settings.store, data_centre, Arc::clone(&settings.region));
     let client = StoreClient::new(CONNECT_TIMEOUT);
     let store = Rc::new(StoreAccess::new(client, ways, ProcessClock::start()));
-    let measuring = storing::keep_ways(Rc::clone(&store), settings.store, RELAY_REFRESH);
+    let measuring =
+        store_access::maintain_endpoint(Rc::clone(&store), settings.store, RELAY_LIST_INTERVAL);
     executor.spawn(measuring).detach();
     let permits = PermitTable::new(store.now()).into();
-    let news = NewsOffice::new(Rc::clone(&store), Rc::clone(executor));
-    let keeper = Rc::new(BudgetKeeper::new(&id, store, tuning, metrics, Rc::clone(executor)));
-    let server = settings.server;
-    let gauge =
-        server.map(|server| Rc::new(ServerGauge::new(StoreClient::new(CONNECT_TIMEOUT), server)));
+    let change_feed = ChangeFeed::new(Rc::clone(&store), Rc::clone(executor));
+    let grant_manager =
+        Rc::new(GrantManager::new(&id, store, tuning, metrics, Rc::clone(executor)));
+    let server = settings.backend;
+    let report_client =
+        server.map(|server| Rc::new(ReportClient::new(StoreClient::new(CONNECT_TIMEOUT), server)));
     let (loans, leaving) = (RefCell::default(), Cell::new(false));
-    Ok(LoanOffice { keeper, loans, leaving, news, permits, gauge })
+    Ok(RelayApi { grant_manager, loans, leaving, change_feed, permits, report_client })
 }
 
-async fn measure_burn(office: Rc<LoanOffice>) {
+async fn measure_burn(office: Rc<RelayApi>) {
     loop {
         smol::Timer::after(BURN_INTERVAL).await;
-        office.keeper.grants.borrow_mut().smooth_burn(BURN_INTERVAL);
+        office.grant_manager.grants.borrow_mut().update_burn_rates(BURN_INTERVAL);
     }
 }
 
@@ -131,8 +135,9 @@
 }
 
 async fn forward_connection(socket: Async<TcpStream>, store: SocketAddr) -> io::Result<()> {
-    let caller = BufferedChannel::new(socket)?;
-    let store = clocks::within(CONNECT_TIMEOUT, BufferedChannel::connect(store)).await?;
+    let caller = BufferedConnection::new(socket)?;
+    let store =
+        time_limits::io_timeout(CONNECT_TIMEOUT, BufferedConnection::connect(store)).await?;
     let (to_store, to_caller) = (store.writer(), caller.writer());
     // Forwarding ends with the first direction that ends: neither side sends anything after the
     // other has closed.
@@ -141,8 +146,8 @@
     upstream.or(downstream).await
 }
 
-async fn copy_bytes(mut from: BufferedChannel, to: ChannelWriter) -> io::Result<()> {
-    while clocks::within(IDLE_TIMEOUT, from.fill()).await? > 0 {
+async fn copy_bytes(mut from: BufferedConnection, to: ConnectionWriter) -> io::Result<()> {
+    while time_limits::io_timeout(IDLE_TIMEOUT, from.fill()).await? > 0 {
         to.write_all(&from.buffer).await?;
         from.buffer.clear();
     }
--- a/toucanrail-gateway/src/state.rs
+++ b/toucanrail-gateway/src/state.rs
@@ -18,14 +18,14 @@
 use toucanrail_daemons::starting::ProcessClock;
 use toucanrail_platform::names;
 use toucanrail_platform::settings::NodeSettings;
-use toucanrail_wire::keeping::ChannelPool;
+use toucanrail_wire::keepalive::KeepAlivePool;
 
-use crate::borrowing::LoanDesk;
-use crate::budgeting::BudgetKeeper;
-use crate::lending::LoanOffice;
+use crate::grant_manager::GrantManager;
 use crate::liveness::ReportCache;
-use crate::peering::PeerRests;
-use crate::storing::StoreAccess;
+use crate::loan_client::LoanClient;
+use crate::relay_api::RelayApi;
+use crate::relay_client::RelayBackoff;
+use crate::store_access::StoreAccess;
 
 /// Fraction of the fleet's retry limits that is divided among entries. The entries' windows are not
 /// aligned with those of the fleet; two of the fleet's windows cover them all, hence one half.
@@ -70,7 +70,7 @@
     /// Tables that decisions read and update.
     pub tables: RefCell<GatewayTables>,
     /// Pool of connections to backend servers and relays.
-    pub channels: ChannelPool,
+    pub channels: KeepAlivePool,
     /// Clock that starts with the process.
     pub clock: ProcessClock,
     /// Time of the stop signal.
@@ -84,15 +84,15 @@
     /// Notified when idle caller connections should close.
     pub close_idle_event: Event,
     /// The entry's own budget grants.
-    pub keeper: Rc<BudgetKeeper>,
+    pub grant_manager: Rc<GrantManager>,
     /// State of loans from lenders.
-    pub desk: LoanDesk,
+    pub loan_client: LoanClient,
     /// Relays whose boards failed recently; not queried until their backoff ends.
-    pub failed_boards: PeerRests,
+    pub failed_boards: RelayBackoff,
     /// Relays whose boards recently had no fresh data from the store.
-    pub stale_boards: PeerRests,
+    pub stale_boards: RelayBackoff,
     /// Relay hosted by this entry, if any.
-    pub hosted_relay: RefCell<Option<Rc<LoanOffice>>>,
+    pub hosted_relay: RefCell<Option<Rc<RelayApi>>>,
     /// Recent load reports of servers.
     pub load_reports: ReportCache,
 }
@@ -124,9 +124,9 @@
     /// state is detected by the tasks that follow the store and ends with their first successful
     /// call.
     pub fn is_isolated(&self) -> bool {
-        let is_silent = |kind: &str| self.store.silence(kind) > ISOLATION_THRESHOLD;
+        let is_unanswered = |kind: &str| self.store.unanswered_for(kind) > ISOLATION_THRESHOLD;
         let kinds = [names::CONFIG_KIND, names::SERVER_KIND];
-        self.desk.unanswered.get() && kinds.into_iter().all(is_silent)
+        self.loan_client.lenders_unreachable.get() && kinds.into_iter().all(is_unanswered)
     }
 
     /// Records a new request, as opposed to a retry, in the retry budget of a service.
@@ -165,7 +165,7 @@
 
     /// Returns whether load reports should be requested before a request is placed: requests wait
     /// too long for their first event, and free slots may be scarce.
-    pub fn wants_probe(&self, service: &ServiceName) -> bool {
+    pub fn should_probe(&self, service: &ServiceName) -> bool {
         let now = self.now();
         let tables = self.tables.borrow();
         let free_slots = tables.free_slots.get(service).copied().unwrap_or_default();
@@ -195,7 +195,7 @@
     /// Until the relays have been listed, the number of servers is used in place of theirs.
     /// Otherwise each entry that starts during an outage would take a quarter of the reserve.
     fn retry_bounds(&self) -> RetryBounds {
-        let relays = match self.store.count_relays() {
+        let relays = match self.store.relay_count() {
             0 => self.tables.borrow().backends.rows().count(),
             relays => relays,
         };
--- /dev/null
+++ b/toucanrail-gateway/src/store_watch.rs
@@ -0,0 +1,443 @@
+//! The loops that keep the configuration, the backend servers and the evacuations up to date from the store.
+//!
+//! Changes come from a board, which is a relay's copy of store objects, or from a watch of the store itself.
+
+use std::collections::BTreeSet;
+use std::rc::Rc;
+use std::sync::Arc;
+use std::time::Duration;
+
+use toucanrail::boards::{self, OutageBackoff};
+use toucanrail::ids::Version;
+use toucanrail::messages::{ChangesQuery, ChangesReply, MirrorChange, MirrorObject};
+use toucanrail_platform::stores::{ListFreshness, StoreError};
+use toucanrail_platform::{configs, names, registrations};
+
+use crate::change_feed::CHANGES_PATH;
+use crate::relay_client;
+use crate::state::{Gateway, GatewayTables};
+
+/// Long-poll wait of one watch. Each watch is a counted call, which favours long waits; a connection that went
+/// silent is noticed only when its watch is overdue, and a change must be known within 2 s even then.
+const WATCH_WAIT: Duration = Duration::from_millis(1_500);
+/// Added to the wait before a watch counts as unanswered.
+const ANSWER_SLACK: Duration = Duration::from_millis(500);
+/// Long-poll wait of a query to a board, the same for evacuations, and the time added to it before the query
+/// counts as unanswered.
+const BOARD_WAIT: Duration = Duration::from_millis(800);
+const EVACUATION_BOARD_WAIT: Duration = Duration::from_millis(1_500);
+const BOARD_SLACK: Duration = Duration::from_millis(400);
+/// Time for which a board that gets no answers from the store is not queried.
+const STALE_BACKOFF: Duration = Duration::from_secs(1);
+/// Pause after a failed call; it doubles with each consecutive failure, up to the maximum.
+const MIN_RETRY_PAUSE: Duration = Duration::from_millis(80);
+const MAX_RETRY_PAUSE: Duration = Duration::from_millis(640);
+/// Time after an outage of the store in which a server missing from it may still register again.
+const REREGISTRATION_WINDOW: Duration = Duration::from_secs(2);
+/// Time without an answer after which servers' entries may have expired in the store. Three heartbeat
+/// intervals of a server are longer than this.
+const EXPIRY_THRESHOLD: Duration = Duration::from_millis(2_500);
+/// Interval at which expired state is dropped.
+const SWEEP_INTERVAL: Duration = Duration::from_millis(200);
+
+/// Applies the store objects of one kind to the gateway's state.
+trait KindHandler {
+    /// Name of the kind.
+    const KIND: &'static str;
+    /// Long-poll wait of a query to a board.
+    const BOARD_WAIT: Duration = BOARD_WAIT;
+
+    /// Applies a listing of all objects.
+    fn apply_listing(&mut self, gateway: &Gateway, objects: &[MirrorObject]);
+
+    /// Applies one change.
+    fn apply_change(&mut self, gateway: &Gateway, change: &MirrorChange);
+
+    /// Called before each update is applied. `silence` is the time since the previous answer, `age` the longest
+    /// time ago that a change in this update can have been made.
+    fn note_answer(&mut self, gateway: &Gateway, silence: Duration, age: Duration);
+}
+
+/// Keeps the configuration up to date.
+pub async fn watch_config(gateway: Rc<Gateway>) {
+    watch(gateway, ConfigHandler).await;
+}
+
+/// Keeps the backend servers' registrations up to date.
+pub async fn watch_servers(gateway: Rc<Gateway>) {
+    watch(gateway, ServerHandler { outage_ended_at: None }).await;
+}
+
+/// Keeps the evacuations up to date, if the settings provide for them.
+pub async fn watch_evacuations(gateway: Rc<Gateway>) {
+    if gateway.settings.evacuation_deadline.is_some() {
+        watch(gateway, EvacuationHandler { age: Duration::ZERO }).await;
+    }
+}
+
+/// Periodic maintenance: drops servers that did not register again after an outage and connections that are
+/// too old, and applies the paces of servers as measured by relays.
+pub async fn sweep(gateway: Rc<Gateway>) {
+    let mut swept_at = gateway.now();
+    loop {
+        smol::Timer::after(SWEEP_INTERVAL).await;
+        let now = gateway.now();
+        let expired = gateway.tables.borrow_mut().backends.drop_expired(now);
+        for id in expired {
+            tracing::info!(event = "server_gone", server = %id, reason = "lapsed");
+            gateway.channels.evict(&id);
+        }
+        gateway.tables.borrow_mut().backends.apply_paces(&gateway.store.server_paces());
+        gateway.channels.evict_expired();
+        let tables = gateway.tables.borrow();
+        gateway.load_reports.retain(|server| tables.backends.get(server).is_some());
+        drop(tables);
+        gateway.grant_manager.grants.borrow_mut().update_burn_rates(now.saturating_sub(swept_at));
+        swept_at = now;
+    }
+}
+
+/// Progress of one loop.
+#[derive(Debug)]
+struct WatchState {
+    /// The revision up to which every change is known; `None` before the first listing.
+    revision: Option<Version>,
+    /// Time of the last answer.
+    answered_at: Duration,
+    /// Backoff of direct calls to the store while no board gets answers from it.
+    outage: OutageBackoff,
+}
+
+async fn watch<Handler>(gateway: Rc<Gateway>, mut handler: Handler)
+where
+    Handler: KindHandler,
+{
+    let outage = OutageBackoff::default();
+    let mut state = WatchState { revision: None, answered_at: gateway.now(), outage };
+    let mut pause = MIN_RETRY_PAUSE;
+    loop {
+        match step(&gateway, &mut handler, &mut state).await {
+            Ok(next) => {
+                state.revision = Some(next);
+                state.answered_at = gateway.now();
+                pause = MIN_RETRY_PAUSE;
+                gateway.store.note_call(Handler::KIND, true);
+            }
+            Err(StoreError::HistoryExpired) => {
+                tracing::info!(event = "history_gone", kind = Handler::KIND);
+                state.revision = None;
+            }
+            Err(failure) => {
+                tracing::debug!(event = "store_failed", kind = Handler::KIND, %failure);
+                gateway.store.note_call(Handler::KIND, false);
+                smol::Timer::after(pause.mul_f64(0.5 + 0.5 * fastrand::f64())).await;
+                pause = (pause * 2).min(MAX_RETRY_PAUSE);
+            }
+        }
+    }
+}
+
+/// Applies a listing of the kind or its next changes. Returns the revision to continue from.
+async fn step<Handler>(
+    gateway: &Gateway,
+    handler: &mut Handler,
+    state: &mut WatchState,
+) -> Result<Version, StoreError>
+where
+    Handler: KindHandler,
+{
+    let revision = state.revision;
+    let age = gateway.now().saturating_sub(state.answered_at);
+    let update = match query_boards::<Handler>(gateway, revision).await {
+        BoardOutcome::Updated(update) => update,
+        BoardOutcome::Stale => query_in_outage(gateway, Handler::KIND, state).await?,
+        BoardOutcome::Unavailable => query_store(gateway, Handler::KIND, revision).await?,
+    };
+    handler.note_answer(gateway, gateway.now().saturating_sub(state.answered_at), age);
+    match update {
+        ChangesReply::Listing { objects, revision } => {
+            handler.apply_listing(gateway, &objects);
+            Ok(revision)
+        }
+        ChangesReply::Changes { changes, revision: seen } => {
+            for change in &changes {
+                handler.apply_change(gateway, change);
+            }
+            Ok(seen.max(revision.unwrap_or_default()))
+        }
+        ChangesReply::Stale => Err(no_answer()),
+    }
+}
+
+fn no_answer() -> StoreError {
+    StoreError::NoResponse(std::io::ErrorKind::TimedOut.into())
+}
+
+/// Queries a store from which no board gets answers: it may reject the boards' VMs and still serve this one.
+async fn query_in_outage(
+    gateway: &Gateway,
+    kind: &str,
+    state: &mut WatchState,
+) -> Result<ChangesReply, StoreError> {
+    if !state.outage.may_ask(gateway.now()) {
+        return Err(no_answer());
+    }
+    let result = query_store(gateway, kind, state.revision).await;
+    if result.is_err() {
+        state.outage.record_failure(gateway.now(), fastrand::f64());
+    }
+    result
+}
+
+/// Lists the kind, or waits for its changes, at the store itself.
+async fn query_store(
+    gateway: &Gateway,
+    kind: &str,
+    revision: Option<Version>,
+) -> Result<ChangesReply, StoreError> {
+    let Some(revision) = revision else {
+        let listing = gateway.store.list_kind(kind, ListFreshness::Latest, WATCH_WAIT).await?;
+        let (objects, revision) = (listing.objects, listing.revision);
+        return Ok(ChangesReply::Listing { objects, revision });
+    };
+    let watched = gateway.store.watch_kind(kind, revision, WATCH_WAIT, ANSWER_SLACK).await?;
+    Ok(ChangesReply::Changes { changes: watched.changes, revision: watched.revision })
+}
+
+/// Outcome of a query to the boards of the region.
+#[derive(Debug)]
+enum BoardOutcome {
+    /// A board answered.
+    Updated(ChangesReply),
+    /// The boards answer, but get no answers from the store.
+    Stale,
+    /// A board failed, or there are none.
+    Unavailable,
+}
+
+/// Queries the boards of the region in order.
+///
+/// A board that fails is put in backoff, and this entry queries the store itself immediately, so that its
+/// knowledge is never older than one timeout of a board plus one of its own. A stale board says so
+/// immediately, and the next one is queried.
+async fn query_boards<Handler>(gateway: &Gateway, after: Option<Version>) -> BoardOutcome
+where
+    Handler: KindHandler,
+{
+    let kind = Handler::KIND;
+    let boards = boards::pick_boards(&gateway.store.lenders());
+    let available =
+        boards.iter().filter(|(name, _)| !gateway.failed_boards.is_active(name, gateway.now()));
+    let query = ChangesQuery { kind: Arc::from(kind), after, wait: Handler::BOARD_WAIT };
+    let mut stale = false;
+    for (board, address) in available {
+        if gateway.stale_boards.is_active(board, gateway.now()) {
+            stale = true;
+            continue;
+        }
+        let timeout = Handler::BOARD_WAIT + BOARD_SLACK;
+        let result =
+            relay_client::call_relay(gateway, board, *address, CHANGES_PATH, &query, timeout).await;
+        let reason = match result {
+            // A listing that is older than the known revision would bring back servers that have left.
+            Ok(ChangesReply::Listing { revision, .. }) if after.is_some_and(|at| revision < at) => {
+                "behind".to_owned()
+            }
+            Ok(ChangesReply::Stale) => {
+                tracing::info!(event = "board_stale", %board, kind);
+                gateway.stale_boards.back_off_for(board, gateway.now(), STALE_BACKOFF);
+                stale = true;
+                continue;
+            }
+            Ok(reply) => {
+                gateway.failed_boards.reset(board);
+                return BoardOutcome::Updated(reply);
+            }
+            Err(error) => error.to_string(),
+        };
+        tracing::info!(event = "board_failed", %board, kind, reason);
+        gateway.failed_boards.note_failure(board, gateway.now());
+        return BoardOutcome::Unavailable;
+    }
+    if stale { BoardOutcome::Stale } else { BoardOutcome::Unavailable }
+}
+
+struct ConfigHandler;
+
+impl ConfigHandler {
+    fn apply(gateway: &Gateway, object: &MirrorObject) {
+        if *object.name != *names::CONFIG_NAME || object.value.is_empty() {
+            return;
+        }
+        let config = match configs::decode_config(&object.value) {
+            Ok(config) => config,
+            Err(fault) => {
+                tracing::error!(event = "config_refused", revision = object.version, %fault);
+                return;
+            }
+        };
+        let version = config.version;
+        let (applied, routes) = {
+            let mut tables = gateway.tables.borrow_mut();
+            (tables.routes.apply_config(config), tables.routes.route_count())
+        };
+        if applied {
+            gateway.metrics.in_force.set(i64::try_from(version).unwrap_or(i64::MAX));
+            tracing::info!(event = "config_in_force", version, routes);
+        }
+    }
+}
+
+impl KindHandler for ConfigHandler {
+    const KIND: &'static str = names::CONFIG_KIND;
+
+    fn apply_listing(&mut self, gateway: &Gateway, objects: &[MirrorObject]) {
+        for object in objects {
+            Self::apply(gateway, object);
+        }
+    }
+
+    fn apply_change(&mut self, gateway: &Gateway, change: &MirrorChange) {
+        if !change.removed {
+            Self::apply(gateway, &change.object);
+        }
+    }
+
+    fn note_answer(&mut self, _: &Gateway, _: Duration, _: Duration) {}
+}
+
+struct ServerHandler {
+    /// When the last outage ended in which servers' entries may have expired.
+    outage_ended_at: Option<Duration>,
+}
+
+impl ServerHandler {
+    /// Applies a server's entry. Returns false if it cannot be decoded.
+    fn apply(gateway: &Gateway, object: &MirrorObject) -> bool {
+        match registrations::decode_server(&object.name, object.version, &object.value) {
+            Ok(entry) => {
+                let now = gateway.now();
+                let mut tables = gateway.tables.borrow_mut();
+                let known = tables.backends.get(&entry.id).map(|row| row.entry.clone());
+                if known.as_ref() != Some(&entry) {
+                    tracing::info!(
+                        event = "server_entry", server = %entry.id, service = %entry.service,
+                        address = %entry.address, draining = entry.draining,
+                        cold_ms = entry.cold.as_millis() as u64, revision = object.version,
+                    );
+                    let restarted =
+                        known.as_ref().is_some_and(|known| known.started_at != entry.started_at);
+                    if restarted || entry.draining {
+                        gateway.channels.evict(&entry.id);
+                    }
+                }
+                // The remaining cold time of an entry that a listing repeats was stated some time ago.
+                let cold = if known.as_ref() == Some(&entry) { Duration::ZERO } else { entry.cold };
+                tables.backends.apply_entry(entry);
+                if !cold.is_zero() {
+                    tables.backends.record_cold(&object.name, cold, now);
+                }
+                true
+            }
+            Err(reason) => {
+                tracing::warn!(event = "server_unreadable", server = %object.name, %reason);
+                false
+            }
+        }
+    }
+
+    /// Notes that a known server is missing from the store. After an outage it may have expired there and
+    /// register again, so it is kept for a while.
+    fn note_missing(&self, gateway: &Gateway, id: &Arc<str>) {
+        let now = gateway.now();
+        let window = |since: &Duration| now.saturating_sub(*since) < REREGISTRATION_WINDOW;
+        let since = self.outage_ended_at.filter(window);
+        let mut tables = gateway.tables.borrow_mut();
+        if tables.backends.get(id).is_none() {
+            return;
+        }
+        tables.backends.record_missing(id, since);
+        let lapsed = since.is_some();
+        tracing::info!(event = "server_missing", server = %id, lapsed);
+        if !lapsed {
+            gateway.channels.evict(id);
+        }
+    }
+}
+
+impl KindHandler for ServerHandler {
+    const KIND: &'static str = names::SERVER_KIND;
+
+    fn apply_listing(&mut self, gateway: &Gateway, objects: &[MirrorObject]) {
+        let readable = objects.iter().filter(|object| Self::apply(gateway, object));
+        let listed: BTreeSet<Arc<str>> = readable.map(|object| Arc::clone(&object.name)).collect();
+        let known: Vec<Arc<str>> = {
+            let tables = gateway.tables.borrow();
+            tables.backends.rows().map(|row| Arc::clone(&row.entry.id)).collect()
+        };
+        for id in known.iter().filter(|id| !listed.contains(*id)) {
+            self.note_missing(gateway, id);
+        }
+        gateway.tables.borrow_mut().backends.mark_listed();
+    }
+
+    fn apply_change(&mut self, gateway: &Gateway, change: &MirrorChange) {
+        if change.removed || !Self::apply(gateway, &change.object) {
+            self.note_missing(gateway, &change.object.name);
+        }
+    }
+
+    fn note_answer(&mut self, gateway: &Gateway, silence: Duration, _: Duration) {
+        if silence > EXPIRY_THRESHOLD {
+            self.outage_ended_at = Some(gateway.now());
+        }
+    }
+}
+
+struct EvacuationHandler {
+    /// Longest time ago that a change in the current update can have been made.
+    age: Duration,
+}
+
+impl EvacuationHandler {
+    fn end_evacuation(gateway: &Gateway, data_centre: &str) {
+        let now = gateway.now();
+        let mut tables = gateway.tables.borrow_mut();
+        let GatewayTables { routes, backends, .. } = &mut *tables;
+        backends.end_evacuation(data_centre, now, |service| {
+            routes.cold_rule(service).map_or(Duration::ZERO, |rule| rule.time)
+        });
+        tracing::info!(event = "evacuation_over", data_centre);
+    }
+}
+
+impl KindHandler for EvacuationHandler {
+    const KIND: &'static str = names::EVACUATION_KIND;
+    const BOARD_WAIT: Duration = EVACUATION_BOARD_WAIT;
+
+    fn apply_listing(&mut self, gateway: &Gateway, objects: &[MirrorObject]) {
+        let listed = objects.iter().map(|object| Arc::clone(&object.name)).collect();
+        let now = gateway.now();
+        let ended = gateway.tables.borrow_mut().backends.evacuations.apply_listing(&listed, now);
+        for data_centre in &ended {
+            Self::end_evacuation(gateway, data_centre);
+        }
+        tracing::info!(event = "evacuations_listed", in_force = ?listed);
+    }
+
+    fn apply_change(&mut self, gateway: &Gateway, change: &MirrorChange) {
+        let data_centre = &change.object.name;
+        if change.removed {
+            Self::end_evacuation(gateway, data_centre);
+            return;
+        }
+        let now = gateway.now();
+        gateway.tables.borrow_mut().backends.evacuations.begin(data_centre, self.age, now);
+        let (age_ms, revision) = (self.age.as_millis() as u64, change.object.version);
+        tracing::info!(event = "evacuation", %data_centre, age_ms, revision);
+    }
+
+    fn note_answer(&mut self, _: &Gateway, _: Duration, age: Duration) {
+        self.age = age;
+    }
+}
--- a/toucanrail/src/lib.rs
+++ b/toucanrail/src/lib.rs
@@ -1,11 +1,12 @@
-//! Decisions of a router fleet for prepaid token budgets, as plain data and functions.
+//! Routing and budgeting logic of a fleet of routers with prepaid token budgets, as plain data and
+//! functions.
 //!
-//! Nothing here opens a socket, reads a clock or draws a random number: the daemons feed events and
-//! the time in, and carry calls out. Systems that talk to the platform's object API are step
-//! machines, driven by whoever holds them.
+//! The crate does no I/O: it opens no sockets, reads no clocks and generates no random numbers. The
+//! daemons pass in events and the current time, and perform the calls that result. Procedures that
+//! need the platform's object API are state machines, which the caller drives.
 //!
 //! # Examples
-//! A grant is opened by driving a sync against an object API that is a map:
+//! Opens a grant by running a sync against a stub of the object API:
 //! ```
 //! use std::sync::Arc;
 //! use toucanrail::budgets::BudgetShard;
@@ -21,11 +22,11 @@
 //! let policy = GrantPolicy::default();
 //! let mut table = GrantTable::new(Arc::from("entry-1"), policy);
 //! table.add_account(&customer, &customer);
-//! table.add_shortage(&customer, 100);
+//! table.begin_wait(&customer, 100);
 //! let plan = table.plan_sync(&customer, false).expect("a request waits");
 //! let mut machine = SyncMachine::new(plan, policy, None);
 //! while let Some(call) = machine.next_call() {
-//!     machine.take_reply(match call {
+//!     machine.handle_reply(match call {
 //!         StoreCall::Get { .. } => {
 //!             StoreReply::Found { version: 1, value: storecalls::encode_value(&shard) }
 //!         }
@@ -46,18 +47,16 @@
 pub mod boards;
 pub mod budgets;
 pub mod catalogue;
+pub mod catalogue_files;
 pub mod codes;
 pub mod codetable;
 pub mod coldstarts;
-pub mod detours;
 pub mod ejections;
+pub mod endpoints;
 pub mod evacuations;
-pub mod events;
-pub mod files;
 pub mod frames;
 pub mod framing;
 pub mod grants;
-
 pub mod ids;
 pub mod ledgers;
 pub mod limits;
@@ -83,6 +82,7 @@
 pub mod settings;
 pub mod signatures;
 pub mod silences;
+pub mod sse;
 pub mod storecalls;
 pub mod syncs;
 pub mod tenures;
--- a/toucanrail/tests/board_updates.rs
+++ b/toucanrail/tests/board_updates.rs
@@ -7,7 +7,7 @@
 use proptest::prelude::*;
 use toucanrail::boards::{BoardTable, MAX_AGE, OutageBackoff};
 use toucanrail::ids::Version;
-use toucanrail::messages::{MirrorChange, MirrorObject, NewsReply};
+use toucanrail::messages::{ChangesReply, MirrorChange, MirrorObject};
 
 const NOW: Duration = Duration::from_secs(10);
 
@@ -27,8 +27,8 @@
     let mut table = BoardTable::new();
     table.apply_listing(vec![object("a", 3)], 3, NOW);
     let later = NOW + MAX_AGE + Duration::from_millis(1);
-    assert_eq!(table.updates_since(Some(3), later), Some(NewsReply::Stale));
-    assert_eq!(table.empty_update(3, later), NewsReply::Stale);
+    assert_eq!(table.updates_since(Some(3), later), Some(ChangesReply::Stale));
+    assert_eq!(table.empty_update(3, later), ChangesReply::Stale);
 }
 
 /// The board's call to the store failed. Entries that wait for updates must be answered at once:
@@ -38,7 +38,7 @@
     let mut table = BoardTable::new();
     table.apply_listing(vec![object("a", 3)], 3, NOW);
     table.record_store_failure();
-    assert_eq!(table.updates_since(Some(3), NOW), Some(NewsReply::Stale));
+    assert_eq!(table.updates_since(Some(3), NOW), Some(ChangesReply::Stale));
     table.apply_changes(Vec::new(), 3, NOW);
     assert_eq!(table.updates_since(Some(3), NOW), None);
 }
@@ -51,7 +51,10 @@
     table.apply_listing(vec![object("a", 3)], 3, NOW);
     table.apply_changes(vec![change("b", 5, false)], 5, NOW);
     assert_eq!(table.updates_since(Some(9), NOW), None);
-    assert_eq!(table.empty_update(9, NOW), NewsReply::Changes { changes: Vec::new(), revision: 9 });
+    assert_eq!(
+        table.empty_update(9, NOW),
+        ChangesReply::Changes { changes: Vec::new(), revision: 9 }
+    );
 }
 
 /// The store lost its history, and the board was listed again. An entry that is further behind must
@@ -61,7 +64,7 @@
     let mut table = BoardTable::new();
     table.apply_listing(vec![object("a", 8)], 20, NOW);
     let updates = table.updates_since(Some(12), NOW);
-    assert!(matches!(updates, Some(NewsReply::Listing { revision: 20, .. })), "{updates:?}");
+    assert!(matches!(updates, Some(ChangesReply::Listing { revision: 20, .. })), "{updates:?}");
 }
 
 #[derive(Debug, Default)]
@@ -95,7 +98,7 @@
     let mut table = BoardTable::new();
     assert_eq!(table.updates_since(None, NOW), None);
     table.record_store_failure();
-    assert_eq!(table.updates_since(None, NOW), Some(NewsReply::Stale));
+    assert_eq!(table.updates_since(None, NOW), Some(ChangesReply::Stale));
 }
 
 /// The store is down for four seconds, and each of 68 entries checks every 640 ms whether it may
@@ -141,11 +144,11 @@
                 }
                 3 if which == 0 => table = BoardTable::new(),
                 _ => match table.updates_since(seen, NOW) {
-                    Some(NewsReply::Listing { objects, revision }) => {
+                    Some(ChangesReply::Listing { objects, revision }) => {
                         view = objects.iter().map(|row| (row.name.to_string(), row.version)).collect();
                         seen = Some(revision);
                     }
-                    Some(NewsReply::Changes { changes, revision }) => {
+                    Some(ChangesReply::Changes { changes, revision }) => {
                         for change in changes {
                             let name = change.object.name.to_string();
                             view.remove(&name);
@@ -155,7 +158,7 @@
                         }
                         seen = Some(revision);
                     }
-                    Some(NewsReply::Stale) => prop_assert!(false, "the store is available"),
+                    Some(ChangesReply::Stale) => prop_assert!(false, "the store is available"),
                     None => {}
                 },
             }
