--- a/toucanrail/src/backends.rs
+++ b/toucanrail/src/backends.rs
@@ -1,8 +1,8 @@
 //! Table of the backend servers that an entry reaches directly, and of its requests at each of
 //! them.
 //!
-//! Servers register themselves in the platform's store. The table keeps their latest entries, this
-//! entry's requests in flight at each server, and what is known of each server's prompt cache.
+//! Servers register themselves in the platform's store. The table keeps their latest registrations,
+//! this entry's requests in flight at each server, and what is known of each server's prompt cache.
 
 use std::collections::BTreeMap;
 use std::net::{IpAddr, SocketAddr};
@@ -22,11 +22,11 @@
 /// Number of a request in flight, unique within this process.
 pub type FlightId = u64;
 
-/// Time for which a server whose entry expired during a store outage is still used after the
+/// Time for which a server whose registration expired during a store outage is still used after the
 /// store's return. Live servers register again within about two seconds. A server that left without
-/// notice looks the same and must get no work later than two seconds after its entry went missing;
-/// the time until the change is known here and a request's own preparation must fit into these two
-/// seconds too.
+/// notice looks the same and must get no work later than two seconds after its registration went
+/// missing; the time until the change is known here and a request's own preparation must fit into
+/// these two seconds too.
 pub const MISSING_GRACE: Duration = Duration::from_millis(1_700);
 /// Time out of rotation after a connection was refused or could not be opened in time. Doubles with
 /// each consecutive failure, so that a dead server costs few connection timeouts.
@@ -46,7 +46,7 @@
     pub tokens: Tokens,
 }
 
-/// A server's own entry in the store.
+/// A server's registration in the store.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct BackendEntry {
     /// Id of the server.
@@ -64,9 +64,9 @@
     /// Start time, in Unix milliseconds; a different time under the same id is a different process.
     #[serde(rename = "born")]
     pub started_at: u64,
-    /// Remaining time for which the server was cold when it wrote the entry.
+    /// Remaining time for which the server was cold when it registered.
     pub cold: Duration,
-    /// The store's revision of this entry.
+    /// The store's revision of the registration.
     pub revision: Version,
 }
 
@@ -85,7 +85,7 @@
 /// One backend server.
 #[derive(Debug, Clone, Serialize)]
 pub struct BackendRow {
-    /// The server's entry in the store.
+    /// The server's registration in the store.
     pub entry: BackendEntry,
     /// This entry's requests in flight at the server.
     pub flights: BTreeMap<FlightId, FlightRow>,
@@ -102,7 +102,7 @@
     pub permit_retry_at: Duration,
     /// Smoothed time to a response, or to a stream's first event, in seconds.
     pub latency: f64,
-    /// When the server's entry went missing, if it did; the entry may come back.
+    /// When the server's registration went missing, if it did; it may come back.
     pub missing_since: Option<Duration>,
     /// Whether another server has registered at the same address since.
     pub replaced: bool,
@@ -149,7 +149,7 @@
         now < self.cold_until
     }
 
-    /// Returns whether the server's entry went missing and did not come back in time.
+    /// Returns whether the server's registration went missing and did not come back in time.
     fn is_expired(&self, now: Duration) -> bool {
         self.missing_since.is_some_and(|since| now.saturating_sub(since) > MISSING_GRACE)
     }
@@ -200,7 +200,7 @@
         Self { evacuations, ..Self::default() }
     }
 
-    /// Inserts or updates a server from its current entry in the store.
+    /// Inserts or updates a server from its current registration in the store.
     ///
     /// A server that restarted under the same id has lost its cache and its requests, so its row is
     /// replaced.
@@ -223,10 +223,10 @@
 
     /// Marks all servers at an address as replaced except the one that registered last.
     ///
-    /// A server that ended without notice keeps its entry for some seconds, while its successor at
-    /// the same address registers an entry of its own. After a power loss of all VMs, half of the
-    /// requests went to addresses of servers that no longer existed; the successors rejected them
-    /// with 421 because of the other id, and the requests were refused.
+    /// A server that ended without notice stays registered for some seconds, while its successor at
+    /// the same address registers under an id of its own. After a power loss of all VMs, half of
+    /// the requests went to addresses of servers that no longer existed; the successors rejected
+    /// them with 421 because of the other id, and the requests were refused.
     fn mark_replaced(&mut self, address: SocketAddr) {
         let at_address = |row: &&mut BackendRow| row.entry.address == address;
         let last = self.rows.values_mut().filter(at_address).map(|row| row.entry.revision).max();
@@ -235,9 +235,9 @@
         }
     }
 
-    /// Records that a server's entry is missing from the store.
+    /// Records that a server's registration is missing from the store.
     ///
-    /// After an outage of the store that ended at `returned`, the entry of a live server may be
+    /// After an outage of the store that ended at `returned`, a live server's registration may be
     /// missing; such a server is used until [`MISSING_GRACE`] has passed. Without an outage, the
     /// server has left or died and gets no more work.
     pub fn record_missing(&mut self, id: &str, returned: Option<Duration>) {
@@ -251,7 +251,7 @@
         }
     }
 
-    /// Removes the servers whose entries did not come back in time, and returns their ids.
+    /// Removes the servers whose registrations did not come back in time, and returns their ids.
     pub fn drop_expired(&mut self, now: Duration) -> Vec<BackendId> {
         let expired = self.rows.values().filter(|row| row.is_expired(now));
         let expired: Vec<BackendId> = expired.map(|row| Arc::clone(&row.entry.id)).collect();
@@ -316,8 +316,8 @@
         rows.collect()
     }
 
-    /// Returns the servers of a service that are still at the addresses in their entries and were
-    /// not tried yet.
+    /// Returns the servers of a service that are still at their registered addresses and were not
+    /// tried yet.
     fn untried_servers<'table>(
         &'table self,
         service: &str,
@@ -413,9 +413,9 @@
 
     /// Puts the servers of a data centre back into use after its evacuation.
     ///
-    /// The servers may have been restarted during the evacuation, and their new entries arrive
-    /// separately. All of them therefore count as cold for the time that `cold_time` returns for
-    /// their service.
+    /// The servers may have been restarted during the evacuation, and their new registrations
+    /// arrive separately. All of them therefore count as cold for the time that `cold_time` returns
+    /// for their service.
     pub fn end_evacuation<ColdTime>(
         &mut self,
         data_centre: &str,
@@ -431,7 +431,7 @@
     }
 
     /// Records that a server declared in a response that it is leaving, or that it is not the
-    /// server named in its entry.
+    /// server that is registered at its address.
     pub fn record_leaving(&mut self, id: &str) {
         if let Some(row) = self.rows.get_mut(id) {
             row.entry.draining = true;
--- a/toucanrail/tests/backend_placement.rs
+++ b/toucanrail/tests/backend_placement.rs
@@ -189,10 +189,10 @@
     assert_eq!(pick(&table, "a", 7, 2), last);
 }
 
-/// An entry expires during a store outage while its server is alive. The server is used for as long
-/// as live servers need to register again, and no longer.
+/// A live server's registration expires during a store outage. The server is used for as long as
+/// live servers need to register again, and no longer.
 #[test]
-fn lapsed_entry() {
+fn expired_registration() {
     let mut table = make_table();
     table.record_missing("s0", Some(NOW));
     assert_eq!(table.eligible("llm", &[], NOW).len(), 9);
@@ -201,20 +201,20 @@
 }
 
 /// A server leaves without notice just when an entry reaches the store again, so that its missing
-/// entry looks expired. It must get work for less than the two seconds allowed for a leaving
+/// registration looks expired. It must get work for less than the two seconds allowed for a leaving
 /// server; this is checked at each choice, not only when the table is swept.
 #[test]
-fn unswept_entry() {
+fn unswept_registration() {
     let mut table = make_table();
     table.record_missing("s0", Some(NOW));
     let late = NOW + Duration::from_millis(1_800);
     assert_eq!(table.eligible("llm", &[], late).len(), 8);
 }
 
-/// A server's entry vanishes while the store is available: the server has left without notice and
-/// gets no more work.
+/// A server's registration vanishes while the store is available: the server has left without
+/// notice and gets no more work.
 #[test]
-fn vanished_entry() {
+fn vanished_registration() {
     let mut table = make_table();
     table.record_missing("s0", None);
     assert!(table.get("s0").is_none());
@@ -232,8 +232,8 @@
 }
 
 /// All VMs lose power and restart. A server's new process registers under another id at the same
-/// address, while the old entry remains for some seconds. Requests sent to the old id are refused,
-/// because the new process does not run requests for another one.
+/// address, while the old registration remains for some seconds. Requests sent to the old id are
+/// refused, because the new process does not run requests for another one.
 #[test]
 fn replaced_server() {
     for last in [true, false] {
