--- a/toucanrail-daemons/src/serving.rs
+++ b/toucanrail-daemons/src/serving.rs
@@ -16,8 +16,8 @@
 use toucanrail::retries;
 use toucanrail::routing::{self, RouteQuery};
 use toucanrail::traces::TraceStep;
-use toucanrail_wire::listeners::ReceivedCall;
-use toucanrail_wire::replies::{self, RefusalNote};
+use toucanrail_wire::listeners::ReceivedRequest;
+use toucanrail_wire::responses::{self, ErrorDetails};
 
 use crate::answering::{self, CallerSide};
 use crate::attempts::{self, AttemptEnd, AttemptTarget};
@@ -35,7 +35,7 @@
 const RECORD_BYTES: usize = 512 * 1024;
 
 /// Serves one call.
-pub async fn serve(entry: Arc<Entry>, call: ReceivedCall) -> Response {
+pub async fn serve(entry: Arc<Entry>, call: ReceivedRequest) -> Response {
     let plan = callers::read_plan(&entry.mirrors.lock().catalogue, &call);
     let plan = match plan {
         Ok(plan) => plan,
@@ -48,9 +48,9 @@
     smol::spawn(task.run()).detach();
     let mut response = match replied.recv().await {
         Ok(response) => response,
-        Err(_) => entry.refuse(&RefusalNote::new(codetable::BACKEND_FAILED)),
+        Err(_) => entry.refuse(&ErrorDetails::new(codetable::BACKEND_FAILED)),
     };
-    response.insert_header(replies::REQUEST_HEADER, &*request);
+    response.insert_header(responses::REQUEST_HEADER, &*request);
     response
 }
 
@@ -78,7 +78,7 @@
 #[derive(Debug)]
 enum RequestEnd {
     Whole,
-    Refused(RefusalNote),
+    Refused(ErrorDetails),
     Replayed(StoredResponse),
     CallerGone,
 }
@@ -123,8 +123,8 @@
         self.steps.push(TraceStep { after, event: Arc::from(event) });
     }
 
-    fn refusal(&self, code: ResultCode) -> RefusalNote {
-        let note = RefusalNote::new(code);
+    fn refusal(&self, code: ResultCode) -> ErrorDetails {
+        let note = ErrorDetails::new(code);
         let later = [
             codetable::IN_FLIGHT,
             codetable::BUDGET_UNCONFIRMED,
@@ -172,7 +172,7 @@
         self.entry.lock().replays.end(&self.plan.request, answer);
     }
 
-    async fn admit(&mut self) -> Result<(), Box<RefusalNote>> {
+    async fn admit(&mut self) -> Result<(), Box<ErrorDetails>> {
         let service = Arc::clone(&self.plan.service.name);
         let customer = self.plan.customer.clone();
         let admitted = {
@@ -184,12 +184,12 @@
             if slots == 0 {
                 return Err(Box::new(self.refusal(codetable::NO_BACKEND_SERVER)));
             }
-            tables.retries.note_fresh(now);
+            tables.retries.record_request(now);
             let (class, weight) = (customer.class, customer.weight);
             tables.limits.admit(&service, &customer.name, class, weight, known)
         };
         admitted.map_err(|refusal| {
-            let note = RefusalNote::new(refusal.code).retry_after(refusal.retry_after);
+            let note = ErrorDetails::new(refusal.code).retry_after(refusal.retry_after);
             Box::new(note)
         })?;
         match self.take_hold(self.plan.hold).await {
@@ -309,7 +309,7 @@
             return true;
         }
         // The tenure was lost meanwhile: what was used belongs to it, the rest begins anew.
-        self.entry.lock().grants.finish(&more, None);
+        self.entry.lock().grants.end_hold(&more, None);
         self.sum.write_off();
         self.settle();
         self.hold = self.take_hold(self.plan.hold).await.ok();
@@ -318,10 +318,13 @@
 
     fn pick_server(&mut self) -> Option<AttemptTarget> {
         let now = self.entry.now();
-        let query =
-            RouteQuery { prefix: self.plan.prefix, dice: [fastrand::f64(), fastrand::f64()], now };
+        let query = RouteQuery {
+            prefix: self.plan.prefix,
+            random: [fastrand::f64(), fastrand::f64()],
+            now,
+        };
         let mut tables = self.entry.lock();
-        tables.servers.turn = tables.servers.turn.wrapping_add(1);
+        tables.servers.next_index = tables.servers.next_index.wrapping_add(1);
         let usable = tables.grants.usable_agents(&self.plan.customer.name)?;
         let service = &self.plan.service.name;
         let eligible = tables.servers.eligible(service, usable, &self.tried, now, fastrand::f64());
@@ -359,7 +362,7 @@
         self.note(format!("sent to {} as {run}", target.agent));
         {
             let mut tables = self.entry.lock();
-            tables.servers.note_sent(&target.agent);
+            tables.servers.record_sent(&target.agent);
             tables.grants.mark_agent(&hold.shard, &target.agent, true);
         }
         let entry = Arc::clone(&self.entry);
@@ -408,15 +411,15 @@
         {
             let now = self.entry.now();
             let mut tables = self.entry.lock();
-            tables.servers.note_ended(&target.agent);
+            tables.servers.record_ended(&target.agent);
             match end {
                 AttemptEnd::NotRun { code, .. } if *code == codetable::STOPPING => {
-                    tables.servers.note_leaving(&target.agent);
+                    tables.servers.record_leaving(&target.agent);
                 }
                 AttemptEnd::Whole { .. } => {}
                 AttemptEnd::Lost { code, .. } | AttemptEnd::Open { code }
                     if *code == codetable::CANCELLED => {}
-                _ => tables.servers.note_failure(&target.agent, now),
+                _ => tables.servers.record_failure(&target.agent, now),
             }
             if !open {
                 tables.grants.mark_agent(&hold.shard, &target.agent, false);
@@ -510,7 +513,7 @@
         smol::spawn(async move {
             recording::close_surely(&entry, &record, version, state).await;
             if let Some((bill, hold)) = bill {
-                entry.lock().grants.finish(&hold, bill);
+                entry.lock().grants.end_hold(&hold, bill);
             }
             drop(guard);
         })
@@ -534,7 +537,7 @@
             if let Some(row) = &bill {
                 self.note(format!("to be billed {}", row.billed));
             }
-            self.entry.lock().grants.finish(&hold, bill);
+            self.entry.lock().grants.end_hold(&hold, bill);
         }
     }
 
@@ -548,7 +551,7 @@
             RequestEnd::Replayed(answer) => {
                 self.note("answered as the first time".to_owned());
                 self.entry.board.count_event("answers_replayed");
-                let mut response = replies::bytes(answer.status, answer.body);
+                let mut response = responses::bytes(answer.status, answer.body);
                 answering::dress(&mut response, &answer.fields);
                 self.caller.reply.send(response).await.ok();
             }
--- a/toucanrail-gateway/src/admin.rs
+++ b/toucanrail-gateway/src/admin.rs
@@ -14,9 +14,9 @@
 use toucanrail::grants::GrantTable;
 use toucanrail::ids::ServiceName;
 use toucanrail_platform::names;
-use toucanrail_wire::channels::BufferedChannel;
-use toucanrail_wire::clocks;
+use toucanrail_wire::connections::BufferedConnection;
 use toucanrail_wire::heads::RequestHead;
+use toucanrail_wire::time_limits;
 
 use crate::listening;
 use crate::state::Gateway;
@@ -48,8 +48,10 @@
 }
 
 async fn serve_connection(gateway: &Gateway, socket: Async<TcpStream>) -> io::Result<()> {
-    let mut channel = BufferedChannel::new(socket)?;
-    while let Some(bytes) = clocks::within(IDLE_TIMEOUT, channel.read_head(MAX_HEAD_BYTES)).await? {
+    let mut channel = BufferedConnection::new(socket)?;
+    while let Some(bytes) =
+        time_limits::io_timeout(IDLE_TIMEOUT, channel.read_head(MAX_HEAD_BYTES)).await?
+    {
         let head = RequestHead::parse(&bytes).map_err(|_| io::ErrorKind::InvalidData)?;
         let (status, body) = respond(gateway, head.path());
         let length = body.len();
@@ -76,15 +78,15 @@
 
 fn dump_state(gateway: &Gateway) -> Vec<u8> {
     let tables = gateway.tables.borrow();
-    let grants = gateway.keeper.grants.borrow();
+    let grants = gateway.grant_manager.grants.borrow();
     let dump = StateDump {
         id: &gateway.id,
         data_centre: &gateway.settings.data_centre,
         config_version: tables.routes.version(),
         stopping: gateway.stop_requested.get().is_some(),
         in_flight: gateway.in_flight.get(),
-        store_age_ms: gateway.store.age().as_millis() as u64,
-        store_ways: gateway.store.ways(),
+        store_age_ms: gateway.store.time_since_answer().as_millis() as u64,
+        store_ways: gateway.store.endpoints(),
         backends: &tables.backends,
         limits: &tables.limits,
         grants: &grants,
--- a/toucanrail-gateway/src/admitting.rs
+++ b/toucanrail-gateway/src/admitting.rs
@@ -9,13 +9,13 @@
 use toucanrail::codes::{ResultCode, RunState};
 use toucanrail::codetable;
 use toucanrail::matching::{CustomerProfile, RouteRule};
-use toucanrail::returns::{self, RefusalCause};
-use toucanrail_platform::requests::{self, RequestFacts};
+use toucanrail::retry_delays::{self, RefusalCause};
+use toucanrail_platform::requests::{self, RequestInfo};
 use toucanrail_wire::heads::RequestHead;
 
-use crate::borrowing::{self, BudgetGuard, BudgetNeed};
-use crate::budgeting::HoldFailure;
 use crate::dispatching;
+use crate::grant_manager::HoldFailure;
+use crate::loan_client::{self, BudgetGuard, BudgetNeed};
 use crate::request_context::{DEADLINE_MARGIN, RequestPlan};
 use crate::responding::{self, ResponseWriter};
 use crate::state::Gateway;
@@ -65,9 +65,9 @@
     match admit(gateway, head, body, arrived).await {
         Ok(plan) => dispatching::dispatch(gateway, &plan, writer).await,
         Err(refusal) => {
-            let facts = requests::read_request(head);
+            let facts = requests::parse_request(head);
             let version = gateway.tables.borrow().routes.version();
-            let age = gateway.store.age();
+            let age = gateway.store.time_since_answer();
             tracing::info!(
                 event = "refused", request = %facts.id, code = refusal.code.number(),
                 reason = refusal.code.row().name, path = head.path(), config = version,
@@ -90,7 +90,7 @@
     body: &'call [u8],
     arrived: Instant,
 ) -> Result<RequestPlan<'call>, AdmissionRefusal> {
-    let facts = requests::read_request(head);
+    let facts = requests::parse_request(head);
     let (route, customer) = match_route(gateway, head, &facts)?;
     check_stopping(gateway, route.timeout)?;
     let service = route.pick_service(fastrand::f64()).map(Arc::clone);
@@ -120,7 +120,7 @@
     let Some(stop_requested) = gateway.stop_requested.get() else {
         return Ok(());
     };
-    let grace = gateway.settings.grace.saturating_sub(stop_requested.elapsed());
+    let grace = gateway.settings.shutdown_grace.saturating_sub(stop_requested.elapsed());
     let fits = stop_requested.elapsed() < STOP_ACCEPT_PERIOD || timeout + STOP_MARGIN < grace;
     if fits && !gateway.admission_closed.get() {
         return Ok(());
@@ -136,23 +136,23 @@
     if gateway.admits(&plan.service, query) {
         return Ok(());
     }
-    let wait = returns::pick_wait(RefusalCause::Overload, timeout, fastrand::f64());
+    let wait = retry_delays::pick_delay(RefusalCause::Overload, timeout, fastrand::f64());
     Err(AdmissionRefusal { code: codetable::OVERLOADED, retry_after: Some(wait) })
 }
 
 fn match_route(
     gateway: &Gateway,
     head: &RequestHead,
-    facts: &RequestFacts,
+    facts: &RequestInfo,
 ) -> Result<(Arc<RouteRule>, Option<Arc<CustomerProfile>>), AdmissionRefusal> {
     let tables = gateway.tables.borrow();
     let left = facts.timeout.unwrap_or(Duration::MAX);
-    let wait = Some(returns::pick_wait(RefusalCause::Uninformed, left, fastrand::f64()));
+    let wait = Some(retry_delays::pick_delay(RefusalCause::Uninformed, left, fastrand::f64()));
     if tables.routes.version() == 0 {
         return Err(AdmissionRefusal { code: codetable::STORE_UNAVAILABLE, retry_after: wait });
     }
     let unknown = |code: ResultCode| {
-        if gateway.store.age() > STALE_STORE_AGE {
+        if gateway.store.time_since_answer() > STALE_STORE_AGE {
             return AdmissionRefusal { code: codetable::STORE_UNAVAILABLE, retry_after: wait };
         }
         AdmissionRefusal::from(code)
@@ -184,25 +184,25 @@
         stated,
         request: &plan.facts.id,
         service: &plan.service,
-        prompt: prompt.prompt,
-        output: prompt.output,
+        prompt_tokens: prompt.prompt_tokens,
+        max_output: prompt.max_output,
         rank: plan.urgency,
-        left: plan.time_left(),
+        time_left: plan.time_left(),
     };
-    let taken = borrowing::take_budget(gateway, &need).await;
-    if let Err(failure) = &taken {
+    let reserved = loan_client::reserve_budget(gateway, &need).await;
+    if let Err(failure) = &reserved {
         tracing::info!(
             event = "budget_refused", request = %need.request, customer = %need.customer,
-            prompt = need.prompt, output = need.output, stated = need.stated, failure = ?failure,
+            prompt = need.prompt_tokens, output = need.max_output, stated = need.stated, failure = ?failure,
         );
     }
-    taken.map(Some).map_err(|failure| match failure {
+    reserved.map(Some).map_err(|failure| match failure {
         HoldFailure::Uncovered => codetable::BUDGET_EXHAUSTED.into(),
         HoldFailure::Short => {
-            let is_outage =
-                gateway.store.age() > OUTAGE_THRESHOLD && !gateway.desk.unanswered.get();
+            let is_outage = gateway.store.time_since_answer() > OUTAGE_THRESHOLD
+                && !gateway.loan_client.lenders_unreachable.get();
             let cause = if is_outage { RefusalCause::Outage } else { RefusalCause::Unconfirmed };
-            let wait = returns::pick_wait(cause, plan.time_left(), fastrand::f64());
+            let wait = retry_delays::pick_delay(cause, plan.time_left(), fastrand::f64());
             AdmissionRefusal { code: codetable::BUDGET_UNCONFIRMED, retry_after: Some(wait) }
         }
     })
--- a/toucanrail-gateway/src/dispatching.rs
+++ b/toucanrail-gateway/src/dispatching.rs
@@ -6,19 +6,19 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use toucanrail::attempting::{AttemptFate, AttemptTally, NextStep};
+use toucanrail::attempts::{AttemptHistory, AttemptOutcome, NextStep};
 use toucanrail::backends::{BackendEntry, BackendId, BackendRow, BackendTable};
 use toucanrail::codes::{ResultCode, RunState};
 use toucanrail::codetable;
 use toucanrail::matching;
-use toucanrail::placing::{self, PlaceQuery};
+use toucanrail::placement::{self, PlacementQuery};
 use toucanrail::probes::{self, ProbeRow};
-use toucanrail::returns::{self, RefusalCause};
-use toucanrail_wire::clocks;
+use toucanrail::retry_delays::{self, RefusalCause};
+use toucanrail_wire::time_limits;
 
-use crate::borrowing::BudgetGuard;
 use crate::liveness;
-use crate::permitting::{self, SendPermit};
+use crate::loan_client::BudgetGuard;
+use crate::permits::{self, SendPermit};
 use crate::request_context::{
     AttemptContext, AttemptResult, FailedResponse, RequestPlan, StreamState,
 };
@@ -49,7 +49,7 @@
     let mut dispatch = RequestDispatch {
         gateway,
         plan,
-        tally: AttemptTally::new(plan.route.kind, plan.route.attempts),
+        tally: AttemptHistory::new(plan.route.kind, plan.route.attempts),
         tried: Vec::new(),
         stream: StreamState::new(plan.facts.last_event),
         failed_response: None,
@@ -64,7 +64,7 @@
 struct RequestDispatch<'run, 'call> {
     gateway: &'run Rc<Gateway>,
     plan: &'run RequestPlan<'call>,
-    tally: AttemptTally,
+    tally: AttemptHistory,
     tried: Vec<BackendId>,
     stream: StreamState,
     failed_response: Option<FailedResponse>,
@@ -87,14 +87,14 @@
         loop {
             let probed = self.probe_servers().await;
             let Some((target, source)) = self.pick_target(&probed) else {
-                let step = self.tally.give_up(self.last_fate());
+                let step = self.tally.final_step(self.last_fate());
                 return self.finish(step, writer).await;
             };
             if !self.wait_for_permit(&target).await {
-                let step = self.tally.give_up(self.last_fate());
+                let step = self.tally.final_step(self.last_fate());
                 return self.finish(step, writer).await;
             }
-            let permit = permitting::take_permit(self.gateway, &target).await;
+            let permit = permits::request_permit(self.gateway, &target).await;
             if permit == SendPermit::Denied {
                 continue;
             }
@@ -104,14 +104,14 @@
                 AttemptResult::CallerGone => return RequestEnd::CallerGone,
                 AttemptResult::Failed(response) => {
                     self.failed_response = Some(response);
-                    AttemptFate::Failed
+                    AttemptOutcome::Failed
                 }
                 AttemptResult::Incomplete(fate) => fate,
             };
             self.record_fate(&target, fate);
-            let step = match self.tally.decide(fate, self.plan.time_left()) {
-                NextStep::Again if self.may_retry() => continue,
-                NextStep::Again => self.tally.give_up(fate),
+            let step = match self.tally.next_step(fate, self.plan.time_left()) {
+                NextStep::Retry if self.may_retry() => continue,
+                NextStep::Retry => self.tally.final_step(fate),
                 step => step,
             };
             return self.finish(step, writer).await;
@@ -125,7 +125,7 @@
         let wait = {
             let tables = self.gateway.tables.borrow();
             let row = tables.backends.get(&target.id);
-            row.map_or(Duration::ZERO, |row| row.permit_wait(now))
+            row.map_or(Duration::ZERO, |row| row.permit_delay(now))
         };
         if wait.is_zero() {
             return true;
@@ -149,18 +149,22 @@
         allowed
     }
 
-    fn last_fate(&self) -> AttemptFate {
-        if self.failed_response.is_some() { AttemptFate::Failed } else { AttemptFate::NotSent }
+    fn last_fate(&self) -> AttemptOutcome {
+        if self.failed_response.is_some() {
+            AttemptOutcome::Failed
+        } else {
+            AttemptOutcome::NotSent
+        }
     }
 
-    fn place_query(&self) -> PlaceQuery<'_> {
+    fn placement_query(&self) -> PlacementQuery<'_> {
         let prompt = self.plan.facts.prompt.as_ref();
-        PlaceQuery {
+        PlacementQuery {
             data_centre: &self.gateway.settings.data_centre,
             parts: prompt.map_or(&[], |prompt| &prompt.parts),
-            prompt: prompt.map_or(0, |prompt| prompt.prompt),
+            prompt: prompt.map_or(0, |prompt| prompt.prompt_tokens),
             now: self.gateway.now(),
-            dice: fastrand::f64(),
+            random: fastrand::f64(),
         }
     }
 
@@ -185,26 +189,27 @@
     }
 
     /// Requests load reports from the relays beside some of the servers. Done for long prompts, and
-    /// for all prompts while requests wait too long for their first event.
+    /// for others while requests wait too long for their first event and free slots may be scarce.
     async fn probe_servers(&self) -> Vec<ProbeRow> {
         let Some(prompt) = &self.plan.facts.prompt else {
             return Vec::new();
         };
-        if !probes::is_long(prompt.prompt) && !self.gateway.wants_probe(&self.plan.service) {
+        if !probes::is_long(prompt.prompt_tokens) && !self.gateway.should_probe(&self.plan.service)
+        {
             return Vec::new();
         }
-        let query = self.place_query();
+        let query = self.placement_query();
         let candidates = {
             let tables = self.gateway.tables.borrow();
             let eligible = self.list_eligible(&tables.backends, query.now);
-            let dice: [f64; probes::SAMPLE_COUNT] = std::array::from_fn(|_| fastrand::f64());
-            probes::pick_candidates(&eligible, &query, &dice)
+            let random: [f64; probes::PROBE_SAMPLES] = std::array::from_fn(|_| fastrand::f64());
+            probes::pick_candidates(&eligible, &query, &random)
         };
         let probing = candidates.into_iter().map(|entry| {
             let gateway = Rc::clone(self.gateway);
             self.gateway.executor.spawn(async move {
                 let fetching = liveness::fetch_load(&gateway, &entry);
-                let report = clocks::bounded(PROBE_TIMEOUT, fetching).await.flatten();
+                let report = time_limits::timeout(PROBE_TIMEOUT, fetching).await.flatten();
                 (entry, report)
             })
         });
@@ -231,14 +236,14 @@
     /// Picks a server, and a second one that holds shared parts of the prompt in its cache, if
     /// there is a better source than the server itself.
     fn pick_target(&self, probed: &[ProbeRow]) -> Option<(BackendEntry, Option<SocketAddr>)> {
-        let query = self.place_query();
+        let query = self.placement_query();
         let tables = self.gateway.tables.borrow();
         let eligible = self.list_eligible(&tables.backends, query.now);
         let chosen = probes::pick_probed(&eligible, &query, probed, self.plan.route.latency_target);
-        let row = chosen.or_else(|| placing::pick_backend(&eligible, &query))?;
-        let mut sources = tables.backends.sources(&self.plan.service, &self.tried, query.now);
+        let row = chosen.or_else(|| placement::pick_backend(&eligible, &query))?;
+        let mut sources = tables.backends.fetch_sources(&self.plan.service, &self.tried, query.now);
         sources.retain(|row| self.is_region_allowed(row));
-        let source = placing::pick_source(&sources, &query, row);
+        let source = placement::pick_fetch_source(&sources, &query, row);
         Some((row.entry.clone(), source.map(|source| source.entry.address)))
     }
 
@@ -250,7 +255,7 @@
         writer: &mut ResponseWriter,
     ) -> AttemptResult {
         // Giving up on this attempt early only helps if another attempt may follow.
-        let next = AttemptTally { sent: self.tally.sent + 1, may_have_run: true, ..self.tally };
+        let next = AttemptHistory { sent: self.tally.sent + 1, may_have_run: true, ..self.tally };
         let may_fail_over = next.may_send(self.plan.time_left());
         let (gateway, plan) = (self.gateway, self.plan);
         let context = AttemptContext { gateway, plan, target, source, permit, may_fail_over };
@@ -259,26 +264,26 @@
         end
     }
 
-    fn record_fate(&mut self, target: &BackendEntry, fate: AttemptFate) {
+    fn record_fate(&mut self, target: &BackendEntry, fate: AttemptOutcome) {
         let now = self.gateway.now();
-        self.tally.note(fate);
+        self.tally.record(fate);
         if let Some(budget) = &self.plan.budget {
-            budget.note_sent(self.tally.may_have_run);
+            budget.set_may_have_run(self.tally.may_have_run);
         }
         let mut tables = self.gateway.tables.borrow_mut();
         match fate {
-            AttemptFate::NotSent => tables.backends.note_down(&target.id, now),
-            AttemptFate::Declined | AttemptFate::Withheld => {}
-            AttemptFate::Failed
-            | AttemptFate::Lost
-            | AttemptFate::Broken
-            | AttemptFate::TimedOut => tables.backends.note_failure(&target.id, now),
+            AttemptOutcome::NotSent => tables.backends.record_connect_failure(&target.id, now),
+            AttemptOutcome::Declined | AttemptOutcome::Withheld => {}
+            AttemptOutcome::Failed
+            | AttemptOutcome::Lost
+            | AttemptOutcome::Broken
+            | AttemptOutcome::TimedOut => tables.backends.record_failure(&target.id, now),
         }
-        if matches!(fate, AttemptFate::NotSent | AttemptFate::Lost | AttemptFate::Broken) {
+        if matches!(fate, AttemptOutcome::NotSent | AttemptOutcome::Lost | AttemptOutcome::Broken) {
             // The server may have restarted, and be cold again, before its new registration is seen
             // here.
             if let Some(rule) = tables.routes.cold_rule(&target.service) {
-                tables.backends.note_cold(&target.id, rule.time, now);
+                tables.backends.record_cold(&target.id, rule.time, now);
             }
         }
         drop(tables);
@@ -291,7 +296,7 @@
 
     async fn finish(&mut self, step: NextStep, writer: &mut ResponseWriter) -> RequestEnd {
         match step {
-            NextStep::Deliver => match self.failed_response.take() {
+            NextStep::Forward => match self.failed_response.take() {
                 Some(response) => {
                     // The caller may have disconnected; then nobody needs the response.
                     writer.send_response(&response.head, &response.body).await.ok();
@@ -299,15 +304,18 @@
                 }
                 None => self.refuse(codetable::BACKEND_FAILED, writer).await,
             },
-            NextStep::Answer(code) => self.refuse(code, writer).await,
-            NextStep::Cut | NextStep::Again => RequestEnd::Cut,
+            NextStep::Fail(code) => self.refuse(code, writer).await,
+            NextStep::Truncate | NextStep::Retry => RequestEnd::Cut,
         }
     }
 
     async fn refuse(&self, code: ResultCode, writer: &mut ResponseWriter) -> RequestEnd {
         let run = self.tally.run_state();
-        let wait =
-            returns::pick_wait(RefusalCause::Declined, self.plan.time_left(), fastrand::f64());
+        let wait = retry_delays::pick_delay(
+            RefusalCause::Declined,
+            self.plan.time_left(),
+            fastrand::f64(),
+        );
         let wait = (run == RunState::NotRun).then_some(wait);
         let note = responding::make_refusal(code, run, wait);
         // The caller may have disconnected; then nobody needs the refusal.
@@ -343,7 +351,7 @@
             run = self.tally.run_state().as_str(), sent = self.tally.sent, tried = ?self.tried,
             first_ms = first.as_millis() as u64,
             pause_ms = self.stream.longest_pause.as_millis() as u64,
-            prompt = self.plan.facts.prompt.as_ref().map(|prompt| prompt.prompt),
+            prompt = self.plan.facts.prompt.as_ref().map(|prompt| prompt.prompt_tokens),
             took_ms = Instant::now().duration_since(self.plan.arrived).as_millis() as u64,
             used = self.plan.budget.as_ref().map(BudgetGuard::used),
         );
--- /dev/null
+++ b/toucanrail-gateway/src/loan_client.rs
@@ -0,0 +1,340 @@
+//! An entry's client of the lenders: it borrows the budget of each request from a relay.
+//!
+//! A lender holds grants of customers' budgets for the entries around it. An entry borrows the worst-case
+//! cost of a request before sending it, and ends the loan with the tokens that were used.
+
+use std::cell::{Cell, RefCell};
+use std::collections::BTreeMap;
+use std::io;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::sync::Arc;
+use std::time::Duration;
+
+use smol::future::FutureExt;
+use toucanrail::grants::GrantHold;
+use toucanrail::ids::{CustomerId, RequestId, ServiceName, Tokens};
+use toucanrail::loans::{self, LoanEnd, LoanId, LoanReply, LoanRequest};
+
+use crate::grant_manager::HoldFailure;
+use crate::relay_api::{LOAN_END_PATH, LOAN_PATH};
+use crate::relay_client::{self, RelayBackoff};
+use crate::state::Gateway;
+
+/// Timeout of a loan request. A lender that has to ask the store first answers within about half of it;
+/// one that is cut off or frozen does not answer at all.
+const LOAN_TIMEOUT: Duration = Duration::from_millis(650);
+/// Time without a reply after which the lender's liveness is probed, and the timeout of that probe. Most
+/// loan requests are answered within a few milliseconds.
+const LIVENESS_DELAY: Duration = Duration::from_millis(150);
+const LIVENESS_TIMEOUT: Duration = Duration::from_millis(100);
+/// Maximum number of lenders tried for one request.
+const MAX_LENDERS: usize = 2;
+/// Interval at which loan ends are sent; the ends queued for a lender within one interval share a message.
+const END_INTERVAL: Duration = Duration::from_millis(100);
+/// Timeout of a message with loan ends.
+const END_TIMEOUT: Duration = Duration::from_secs(1);
+/// Time for which ends are queued for a lender that does not answer. After that the lender is considered
+/// gone, and the budget of its loans stays granted to it.
+const END_RETENTION: Duration = Duration::from_secs(60);
+
+/// Where the budget of a request is reserved.
+#[derive(Debug)]
+enum BudgetSource {
+    /// In this process's own grant.
+    Own(GrantHold),
+    /// On loan from a lender.
+    Loan { lender: Arc<str>, loan: LoanId },
+}
+
+/// Loan ends that one lender has not acknowledged.
+#[derive(Debug)]
+struct EndQueue {
+    ends: Vec<LoanEnd>,
+    /// When the oldest of them was queued.
+    since: Duration,
+}
+
+/// State of an entry's loans: failed lenders, and loan ends still to be sent.
+#[derive(Debug, Default)]
+pub struct LoanClient {
+    /// Number in the id of the next loan.
+    next_number: Cell<u64>,
+    /// Whether the lender that was last asked did not answer.
+    pub lenders_unreachable: Cell<bool>,
+    backoff: RelayBackoff,
+    ends: RefCell<BTreeMap<Arc<str>, EndQueue>>,
+}
+
+/// The budget reserved for one request. Dropping it bills the tokens that were used, however the request
+/// ends.
+#[derive(Debug)]
+pub struct BudgetGuard {
+    gateway: Rc<Gateway>,
+    source: BudgetSource,
+    amount: Tokens,
+    request: RequestId,
+    service: ServiceName,
+    prompt: Tokens,
+    may_have_run: Cell<bool>,
+    output: Cell<Tokens>,
+}
+
+/// The budget that a request needs at most, and the request's attributes that decide whether it gets it.
+#[derive(Debug, Clone, Copy)]
+pub struct BudgetNeed<'call> {
+    /// The customer who pays.
+    pub customer: &'call CustomerId,
+    /// The customer's prepaid total according to the configuration.
+    pub stated: Tokens,
+    /// Id of the request.
+    pub request: &'call RequestId,
+    /// The service.
+    pub service: &'call ServiceName,
+    /// Prompt tokens.
+    pub prompt_tokens: Tokens,
+    /// Maximum number of output tokens.
+    pub max_output: Tokens,
+    /// Urgency rank; 0 is the most urgent.
+    pub rank: u8,
+    /// Time left until the request's deadline.
+    pub time_left: Duration,
+}
+
+/// Reserves the worst-case cost of a request: on loan from a lender, or in the entry's own grant if no
+/// lender answers.
+pub async fn reserve_budget(
+    gateway: &Rc<Gateway>,
+    need: &BudgetNeed<'_>,
+) -> Result<BudgetGuard, HoldFailure> {
+    let amount = need.prompt_tokens + need.max_output;
+    let source = if let Some(loaned) = request_loan(gateway, need, amount).await {
+        loaned?
+    } else {
+        gateway.grant_manager.raise_prepaid(need.customer, need.stated);
+        let hold = gateway
+            .grant_manager
+            .acquire_hold(need.customer, amount, need.rank, need.time_left)
+            .await;
+        BudgetSource::Own(hold?)
+    };
+    Ok(BudgetGuard {
+        gateway: Rc::clone(gateway),
+        source,
+        amount,
+        request: Arc::clone(need.request),
+        service: Arc::clone(need.service),
+        prompt: need.prompt_tokens,
+        may_have_run: Cell::new(false),
+        output: Cell::new(0),
+    })
+}
+
+/// Requests a loan from the lenders in rank order. Returns `None` if no lender answers or all are stopping.
+async fn request_loan(
+    gateway: &Rc<Gateway>,
+    need: &BudgetNeed<'_>,
+    amount: Tokens,
+) -> Option<Result<BudgetSource, HoldFailure>> {
+    let now = gateway.now();
+    let lenders = gateway.store.lenders();
+    let ranked = loans::rank_lenders(&lenders, &gateway.grant_manager.shard_of(need.customer));
+    let available =
+        ranked.into_iter().filter(|(name, _)| !gateway.loan_client.backoff.is_active(name, now));
+    for (lender, address) in available.take(MAX_LENDERS) {
+        let number = gateway.loan_client.next_number.get();
+        gateway.loan_client.next_number.set(number + 1);
+        let loan: LoanId = Arc::from(format!("{}.{number}", gateway.id));
+        let request = LoanRequest {
+            loan: Arc::clone(&loan),
+            customer: Arc::clone(need.customer),
+            stated: need.stated,
+            amount,
+            rank: need.rank,
+        };
+        // If this call is cancelled or fails, the loan is ended all the same: the lender may have granted it,
+        // and nobody else would return it.
+        let mut pending =
+            PendingLoan { gateway, lender: &lender, loan: &loan, need, settled: false };
+        match request_watched(gateway, &lender, address, &request).await {
+            Ok(reply) => {
+                pending.settled = true;
+                gateway.loan_client.lenders_unreachable.set(false);
+                if let Some(source) = read_reply(reply, &lender, &loan) {
+                    gateway.loan_client.backoff.reset(&lender);
+                    return Some(source);
+                }
+                tracing::info!(event = "lender_leaving", %lender);
+                gateway.loan_client.backoff.note_failure(&lender, gateway.now());
+            }
+            Err(error) => {
+                tracing::info!(event = "lender_failed", %lender, %error, customer = %need.customer);
+                gateway.metrics.count_event("lenders_failed");
+                gateway.loan_client.lenders_unreachable.set(true);
+                gateway.loan_client.backoff.note_failure(&lender, gateway.now());
+            }
+        }
+    }
+    None
+}
+
+/// Requests a loan from one lender, and gives up early if the lender fails a liveness probe.
+///
+/// A lender that has to ask the store may take up to 400 ms to reply, which looks the same as a frozen one.
+/// Without the probe, a request waits for the full 650 ms before it tries the next lender, longer than
+/// callers accept.
+async fn request_watched(
+    gateway: &Rc<Gateway>,
+    lender: &Arc<str>,
+    address: SocketAddr,
+    request: &LoanRequest,
+) -> io::Result<LoanReply> {
+    let requesting =
+        relay_client::call_relay(gateway, lender, address, LOAN_PATH, request, LOAN_TIMEOUT);
+    let watching = async {
+        smol::Timer::after(LIVENESS_DELAY).await;
+        if relay_client::is_alive(address, LIVENESS_TIMEOUT).await {
+            std::future::pending::<()>().await;
+        }
+        Err(io::ErrorKind::TimedOut.into())
+    };
+    requesting.or(watching).await
+}
+
+/// Converts a lender's reply. Returns `None` if the lender is stopping and another one is to be asked.
+fn read_reply(
+    reply: LoanReply,
+    lender: &Arc<str>,
+    loan: &LoanId,
+) -> Option<Result<BudgetSource, HoldFailure>> {
+    match reply {
+        LoanReply::Held => {
+            Some(Ok(BudgetSource::Loan { lender: Arc::clone(lender), loan: Arc::clone(loan) }))
+        }
+        LoanReply::Short => Some(Err(HoldFailure::Short)),
+        LoanReply::Uncovered => Some(Err(HoldFailure::Uncovered)),
+        LoanReply::Leaving => None,
+    }
+}
+
+/// A loan request whose outcome is not known yet; ends the loan when dropped unsettled.
+struct PendingLoan<'call> {
+    gateway: &'call Rc<Gateway>,
+    lender: &'call Arc<str>,
+    loan: &'call LoanId,
+    need: &'call BudgetNeed<'call>,
+    settled: bool,
+}
+
+impl Drop for PendingLoan<'_> {
+    fn drop(&mut self) {
+        if !self.settled {
+            let (request, service) = (self.need.request, self.need.service);
+            queue_end(self.gateway, self.lender, make_end(self.loan, request, service, 0));
+        }
+    }
+}
+
+fn make_end(loan: &LoanId, request: &RequestId, service: &ServiceName, used: Tokens) -> LoanEnd {
+    LoanEnd {
+        loan: Arc::clone(loan),
+        request: Arc::clone(request),
+        service: Arc::clone(service),
+        used,
+    }
+}
+
+fn queue_end(gateway: &Gateway, lender: &Arc<str>, end: LoanEnd) {
+    let mut queues = gateway.loan_client.ends.borrow_mut();
+    let empty = || EndQueue { ends: Vec::new(), since: gateway.now() };
+    queues.entry(Arc::clone(lender)).or_insert_with(empty).ends.push(end);
+}
+
+/// Sends queued loan ends to their lenders at regular intervals.
+pub async fn send_loan_ends(gateway: Rc<Gateway>) {
+    loop {
+        smol::Timer::after(END_INTERVAL).await;
+        flush_loan_ends(&gateway).await;
+    }
+}
+
+/// Sends the queued loan ends to all lenders concurrently. Returns true if none is left.
+pub async fn flush_loan_ends(gateway: &Rc<Gateway>) -> bool {
+    let lenders: Vec<Arc<str>> = gateway.loan_client.ends.borrow().keys().map(Arc::clone).collect();
+    let sending = lenders
+        .into_iter()
+        .map(|lender| gateway.executor.spawn(send_queue(Rc::clone(gateway), lender)));
+    for task in sending.collect::<Vec<_>>() {
+        task.await;
+    }
+    gateway.loan_client.ends.borrow().is_empty()
+}
+
+async fn send_queue(gateway: Rc<Gateway>, lender: Arc<str>) {
+    let Some(queue) = gateway.loan_client.ends.borrow_mut().remove(&lender) else {
+        return;
+    };
+    let ends = queue.ends;
+    let listed = gateway.store.lenders().into_iter().find(|(name, _)| *name == lender);
+    let sent = match listed {
+        Some((_, address)) => {
+            relay_client::call_relay::<_, bool>(
+                &gateway,
+                &lender,
+                address,
+                LOAN_END_PATH,
+                &ends,
+                END_TIMEOUT,
+            )
+            .await
+        }
+        None => Err(io::ErrorKind::NotFound.into()),
+    };
+    let Err(error) = sent else {
+        return;
+    };
+    if gateway.now().saturating_sub(queue.since) > END_RETENTION {
+        tracing::warn!(event = "ends_dropped", %lender, ends = ends.len(), %error);
+        return;
+    }
+    let mut queues = gateway.loan_client.ends.borrow_mut();
+    let empty = EndQueue { ends: Vec::new(), since: queue.since };
+    let current = queues.entry(lender).or_insert(empty);
+    current.since = current.since.min(queue.since);
+    current.ends.extend(ends);
+}
+
+impl BudgetGuard {
+    /// Sets whether a backend server may have run the request.
+    pub fn set_may_have_run(&self, may_have_run: bool) {
+        self.may_have_run.set(may_have_run);
+    }
+
+    /// Adds output tokens that were received from a backend server.
+    pub fn add_output_tokens(&self, tokens: Tokens) {
+        self.output.set(self.output.get() + tokens);
+    }
+
+    /// Returns the tokens to bill: the prompt if a server may have processed it, plus the output. The server
+    /// limits the output to what the caller asked for.
+    pub fn used(&self) -> Tokens {
+        let prompt = if self.may_have_run.get() { self.prompt } else { 0 };
+        (prompt + self.output.get()).min(self.amount)
+    }
+}
+
+impl Drop for BudgetGuard {
+    fn drop(&mut self) {
+        let used = self.used();
+        match &self.source {
+            BudgetSource::Own(hold) => {
+                let (request, service) = (Arc::clone(&self.request), Arc::clone(&self.service));
+                self.gateway.grant_manager.end_hold(hold, request, service, used);
+            }
+            BudgetSource::Loan { lender, loan } => {
+                let end = make_end(loan, &self.request, &self.service, used);
+                queue_end(&self.gateway, lender, end);
+            }
+        }
+    }
+}
--- a/toucanrail-gateway/src/stopping.rs
+++ b/toucanrail-gateway/src/stopping.rs
@@ -6,11 +6,11 @@
 use async_signal::{Signal, Signals};
 use smol::stream::StreamExt;
 use toucanrail_platform::settings;
-use toucanrail_wire::clocks;
+use toucanrail_wire::time_limits;
 
-use crate::borrowing;
-use crate::budgeting;
-use crate::lending::{self, LoanOffice};
+use crate::grant_manager;
+use crate::loan_client;
+use crate::relay_api::{self, RelayApi};
 use crate::state::Gateway;
 
 /// Time after SIGTERM for which idle connections stay open. In this time the balancer learns that
@@ -61,22 +61,22 @@
     gateway.stop_requested.set(Some(stop_requested));
     tracing::info!(event = "stop", in_flight = gateway.in_flight.get());
     let lending = gateway.hosted_relay.borrow().as_ref().map(|office| {
-        let bound = gateway.settings.grace.saturating_sub(LENDING_MARGIN);
+        let bound = gateway.settings.shutdown_grace.saturating_sub(LENDING_MARGIN);
         gateway.executor.spawn(drain_loans(Rc::clone(office), bound))
     });
     smol::Timer::after(IDLE_CLOSE_DELAY).await;
     gateway.close_idle.set(true);
     gateway.close_idle_event.notify(usize::MAX);
-    let grace = gateway.settings.grace;
+    let grace = gateway.settings.shutdown_grace;
     wait_until_idle(gateway, stop_requested, grace.saturating_sub(DRAIN_MARGIN)).await;
     // Set before the following waits: a request admitted during one of them would be cut off when
     // the process exits.
     gateway.admission_closed.set(true);
-    clocks::bounded(LOAN_ENDS_TIMEOUT, borrowing::flush_ends(gateway)).await;
+    time_limits::timeout(LOAN_ENDS_TIMEOUT, loan_client::flush_loan_ends(gateway)).await;
     if let Some(lending) = lending {
         lending.await;
     }
-    budgeting::leave(&gateway.keeper).await;
+    grant_manager::settle_all(&gateway.grant_manager).await;
     wait_until_idle(gateway, stop_requested, grace.saturating_sub(EXIT_MARGIN)).await;
     tracing::info!(
         event = "stopped",
@@ -85,8 +85,8 @@
     );
 }
 
-async fn drain_loans(office: Rc<LoanOffice>, bound: Duration) {
-    lending::drain(&office, bound).await;
+async fn drain_loans(office: Rc<RelayApi>, bound: Duration) {
+    relay_api::drain(&office, bound).await;
 }
 
 /// Waits until no request is in flight, at most until `limit` after the stop signal.
--- a/toucanrail-gateway/tests/direct_requests.rs
+++ b/toucanrail-gateway/tests/direct_requests.rs
@@ -2,20 +2,20 @@
 
 mod platform;
 
-use platform::{Act, Backend, Process, Store, request};
+use platform::{Action, Backend, Process, Store, request};
 
 /// The caller's key must not leave the fleet, the path must reach the server unchanged, and the
 /// server must be told which customer pays, whatever headers the caller sends.
 #[test]
 fn forwarded_request() {
     let store = Store::start();
-    let backend = Backend::start("i-1", |_, _| Act::Answer(platform::signed("fine")));
+    let backend = Backend::start("i-1", |_, _| Action::Respond(platform::signed_response("fine")));
     platform::configure(&store, 1, &[&backend]);
     let gateway = Process::start_gateway(&store);
     let headers = "X-Tenant: rich\r\nX-Hold: h\r\n";
     let text = request("POST", "/once/../a%2Fb?x=%20", "r1", headers, "order");
-    let answer = platform::call(gateway.callers, &text).unwrap();
-    assert_eq!((answer.status(), answer.body.as_slice()), (200, &b"fine"[..]));
+    let response = platform::call(gateway.callers, &text).unwrap();
+    assert_eq!((response.status(), response.body.as_slice()), (200, &b"fine"[..]));
     let received = backend.seen().pop().unwrap();
     assert_eq!(received.target(), "/once/../a%2Fb?x=%20");
     assert_eq!(received.field("x-tenant"), Some("acme"));
@@ -32,8 +32,8 @@
     let gateway = Process::start_unready(&store);
     gateway.wait_ready(false);
     let text = request("GET", "/safe/a", "r1", "", "");
-    platform::wait_until("an answer", || {
-        platform::call(gateway.callers, &text).is_some_and(|answer| answer.status() == 503)
+    platform::wait_until("a response", || {
+        platform::call(gateway.callers, &text).is_some_and(|response| response.status() == 503)
     });
 }
 
@@ -41,7 +41,7 @@
 #[test]
 fn unknown_requests() {
     let store = Store::start();
-    let backend = Backend::start("i-1", |_, _| Act::Answer(platform::signed("fine")));
+    let backend = Backend::start("i-1", |_, _| Action::Respond(platform::signed_response("fine")));
     platform::configure(&store, 1, &[&backend]);
     let gateway = Process::start_gateway(&store);
     let unauthorized = request("GET", "/safe/a", "r1", "", "").replace(platform::KEY, "other");
@@ -56,7 +56,7 @@
 #[test]
 fn smuggled_requests() {
     let store = Store::start();
-    let backend = Backend::start("i-1", |_, _| Act::Answer(platform::signed("fine")));
+    let backend = Backend::start("i-1", |_, _| Action::Respond(platform::signed_response("fine")));
     platform::configure(&store, 1, &[&backend]);
     let gateway = Process::start_gateway(&store);
     let two_lengths =
@@ -73,23 +73,23 @@
 fn exhausted_budget() {
     let store = Store::start();
     let stream = [
-        platform::STREAM,
+        platform::STREAM_HEAD,
         &platform::chunk("id: 1\ndata: a\n\n"),
         "PAUSE",
         &platform::chunk("id: 2\ndata: b\n\n"),
         "0\r\n\r\n",
     ]
     .concat();
-    let backend = Backend::start("i-1", move |_, _| Act::Answer(stream.clone()));
+    let backend = Backend::start("i-1", move |_, _| Action::Respond(stream.clone()));
     platform::configure(&store, 1, &[&backend]);
     let gateway = Process::start_gateway(&store);
     let mut served = 0;
     let refused = loop {
-        let headers = format!("{}Connection: close\r\n", platform::PROMPT);
+        let headers = format!("{}Connection: close\r\n", platform::PROMPT_HEADERS);
         let text = request("POST", "/stream/a", &format!("r{served}"), &headers, "p");
-        let answer = platform::call_raw(gateway.callers, &text);
-        if !answer.starts_with("HTTP/1.1 200") {
-            break answer;
+        let response = platform::call_raw(gateway.callers, &text);
+        if !response.starts_with("HTTP/1.1 200") {
+            break response;
         }
         served += 1;
         assert!(served < 10, "overspent");
--- a/toucanrail-gateway/tests/gateway_disruptions.rs
+++ b/toucanrail-gateway/tests/gateway_disruptions.rs
@@ -5,12 +5,12 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use platform::{Act, Backend, Process, Store, request};
+use platform::{Action, Backend, Process, Store, request};
 
 fn slow_stream() -> String {
     let events = (1..=20).map(|id| platform::chunk(&format!("id: {id}\ndata: x\n\n")));
     let events: Vec<String> = events.collect();
-    [platform::STREAM, &events.join("PAUSE"), "0\r\n\r\n"].concat()
+    [platform::STREAM_HEAD, &events.join("PAUSE"), "0\r\n\r\n"].concat()
 }
 
 /// An entry is stopped during a stream: it reports not ready, the stream is completed, and the
@@ -18,19 +18,19 @@
 #[test]
 fn graceful_stop() {
     let store = Store::start();
-    let backend = Backend::start("i-1", |_, _| Act::Answer(slow_stream()));
+    let backend = Backend::start("i-1", |_, _| Action::Respond(slow_stream()));
     platform::configure(&store, 1, &[&backend]);
     let mut gateway = Process::start_gateway(&store);
     let address = gateway.callers;
     let caller = thread::spawn(move || {
-        let headers = format!("{}Connection: close\r\n", platform::PROMPT);
+        let headers = format!("{}Connection: close\r\n", platform::PROMPT_HEADERS);
         platform::call_raw(address, &request("POST", "/stream/a", "r1", &headers, "p"))
     });
     platform::wait_until("the request", || !backend.seen().is_empty());
     gateway.signal("TERM");
     gateway.wait_ready(false);
-    let answer = caller.join().unwrap();
-    assert!(answer.contains("id: 20") && answer.ends_with("0\r\n\r\n"), "{answer}");
+    let response = caller.join().unwrap();
+    assert!(response.contains("id: 20") && response.ends_with("0\r\n\r\n"), "{response}");
     assert!(gateway.wait_end());
 }
 
@@ -39,19 +39,19 @@
 #[test]
 fn requests_during_shutdown() {
     let store = Store::start();
-    let slow = ["PAUSE".repeat(20), platform::signed("whole")].concat();
+    let slow = ["PAUSE".repeat(20), platform::signed_response("whole")].concat();
     let backend = Backend::start("i-1", move |_, message| match message.field("x-model") {
-        Some(_) => Act::Answer([platform::STREAM, "0\r\n\r\n"].concat()),
-        None => Act::Answer(slow.clone()),
+        Some(_) => Action::Respond([platform::STREAM_HEAD, "0\r\n\r\n"].concat()),
+        None => Action::Respond(slow.clone()),
     });
     platform::configure(&store, 1, &[&backend]);
     let mut gateway = Process::start_gateway(&store);
     let address = gateway.callers;
     // The entry has a grant to return, and the store does not accept it.
-    let headers = format!("{}Connection: close\r\n", platform::PROMPT);
+    let headers = format!("{}Connection: close\r\n", platform::PROMPT_HEADERS);
     platform::call_raw(address, &request("POST", "/stream/a", "r0", &headers, "p"));
     assert!(!store.granted("acme").is_empty());
-    store.hold("budgets", true);
+    store.set_blocked("budgets", true);
     gateway.signal("TERM");
     thread::sleep(Duration::from_millis(2_600));
     let call = |number: u32| {
@@ -63,11 +63,11 @@
         })
     };
     let calls: Vec<_> = (0..30).map(call).collect();
-    let answers: Vec<String> = calls.into_iter().map(|call| call.join().unwrap()).collect();
+    let responses: Vec<String> = calls.into_iter().map(|call| call.join().unwrap()).collect();
     assert!(gateway.wait_end());
     let ran = backend.seen().iter().filter(|message| message.field("x-model").is_none()).count();
-    let whole = answers.iter().filter(|answer| answer.ends_with("whole")).count();
-    assert_eq!(whole, ran, "{answers:?}");
+    let complete = responses.iter().filter(|response| response.ends_with("whole")).count();
+    assert_eq!(complete, ran, "{responses:?}");
 }
 
 /// A caller disconnects in the middle of its stream. The server must stop working on it.
@@ -75,11 +75,13 @@
 fn disconnected_caller() {
     use std::io::Write;
     let store = Store::start();
-    let backend = Backend::start("i-1", |_, _| Act::Answer(slow_stream().repeat(5)));
+    let backend = Backend::start("i-1", |_, _| Action::Respond(slow_stream().repeat(5)));
     platform::configure(&store, 1, &[&backend]);
     let gateway = Process::start_gateway(&store);
     let mut stream = std::net::TcpStream::connect(gateway.callers).unwrap();
-    stream.write_all(request("POST", "/stream/a", "r1", platform::PROMPT, "p").as_bytes()).unwrap();
+    stream
+        .write_all(request("POST", "/stream/a", "r1", platform::PROMPT_HEADERS, "p").as_bytes())
+        .unwrap();
     platform::wait_until("the request", || !backend.seen().is_empty());
     drop(stream);
     // The prompt, and any output until then, is billed soon after; this shows that the attempt has
@@ -93,14 +95,14 @@
 #[test]
 fn unavailable_store() {
     let store = Store::start();
-    let backend = Backend::start("i-1", |_, _| Act::Answer(platform::signed("fine")));
+    let backend = Backend::start("i-1", |_, _| Action::Respond(platform::signed_response("fine")));
     platform::configure(&store, 1, &[&backend]);
     let gateway = Process::start_gateway(&store);
     let text = request("GET", "/safe/a", "r1", "", "");
     platform::wait_until("service", || {
-        platform::call(gateway.callers, &text).is_some_and(|answer| answer.status() == 200)
+        platform::call(gateway.callers, &text).is_some_and(|response| response.status() == 200)
     });
-    store.cut(true);
+    store.set_cut_off(true);
     let start = Instant::now();
     while start.elapsed() < Duration::from_secs(3) {
         assert_eq!(platform::call(gateway.callers, &text).unwrap().status(), 200);
@@ -113,7 +115,7 @@
     let relay = Process::start_relay(store, "side-1");
     let gateway = Process::start_gateway(store);
     thread::sleep(Duration::from_millis(1_200));
-    store.cut(true);
+    store.set_cut_off(true);
     (relay, gateway)
 }
 
@@ -124,20 +126,20 @@
 #[test]
 fn entry_without_store() {
     let store = Store::start();
-    let backend = Backend::start("i-1", |_, _| Act::Answer(slow_stream()));
+    let backend = Backend::start("i-1", |_, _| Action::Respond(slow_stream()));
     platform::configure(&store, 1, &[&backend]);
     let (relay, gateway) = start_disconnected(&store);
-    let headers = format!("{}Connection: close\r\n", platform::PROMPT);
+    let headers = format!("{}Connection: close\r\n", platform::PROMPT_HEADERS);
     let text = request("POST", "/stream/a", "r1", &headers, "p");
     platform::wait_until("service", || {
         platform::call_raw(gateway.callers, &text).starts_with("HTTP/1.1 200")
     });
-    let second = Backend::start("i-2", |_, _| Act::Answer(platform::signed("second")));
+    let second = Backend::start("i-2", |_, _| Action::Respond(platform::signed_response("second")));
     platform::configure(&store, 2, &[&second]);
     store.remove("servers", "i-1");
     platform::wait_until("the new server", || {
         let text = request("GET", "/safe/a", "r2", "", "");
-        platform::call(gateway.callers, &text).is_some_and(|answer| answer.body == b"second")
+        platform::call(gateway.callers, &text).is_some_and(|response| response.body == b"second")
     });
     drop(relay);
 }
@@ -149,20 +151,20 @@
 #[test]
 fn isolated_entry() {
     let store = Store::start();
-    let backend = Backend::start("i-1", |_, _| Act::Answer(slow_stream()));
+    let backend = Backend::start("i-1", |_, _| Action::Respond(slow_stream()));
     platform::configure(&store, 1, &[&backend]);
     let (relay, gateway) = start_disconnected(&store);
     relay.signal("KILL");
-    let text = request("POST", "/stream/a", "r1", platform::PROMPT, "p");
+    let text = request("POST", "/stream/a", "r1", platform::PROMPT_HEADERS, "p");
     platform::wait_until("a refusal that closes", || {
-        let answer = platform::call(gateway.callers, &text).unwrap();
-        answer.status() == 503 && answer.field("connection") == Some("close")
+        let response = platform::call(gateway.callers, &text).unwrap();
+        response.status() == 503 && response.field("connection") == Some("close")
     });
     gateway.wait_ready(false);
     // Requests that need no budget are still served.
     let public = request("GET", "/safe/a", "r2", "", "");
     assert!(platform::call(gateway.callers, &public).is_some());
-    store.cut(false);
+    store.set_cut_off(false);
     gateway.wait_ready(true);
 }
 
@@ -172,18 +174,18 @@
 #[test]
 fn compacted_history() {
     let store = Store::start();
-    let backend = Backend::start("i-1", |_, _| Act::Answer(platform::signed("fine")));
+    let backend = Backend::start("i-1", |_, _| Action::Respond(platform::signed_response("fine")));
     platform::configure(&store, 1, &[&backend]);
     let gateway = Process::start_gateway(&store);
     let text = request("GET", "/safe/a", "r1", "", "");
     assert_eq!(platform::call(gateway.callers, &text).unwrap().status(), 200);
-    let mut config = platform::last_config(&store);
+    let mut config = platform::current_config(&store);
     config["version"] = 2.into();
     config["tenants"][0]["api_keys"] = vec!["another"].into();
-    store.put_unseen("config", "main", config);
+    store.put_without_event("config", "main", config);
     let start = Instant::now();
     platform::wait_until("the lost key", || {
-        platform::call(gateway.callers, &text).is_some_and(|answer| answer.status() == 401)
+        platform::call(gateway.callers, &text).is_some_and(|response| response.status() == 401)
     });
     assert!(start.elapsed() < Duration::from_secs(2), "{:?}", start.elapsed());
 }
--- a/toucanrail-gateway/tests/silent_servers.rs
+++ b/toucanrail-gateway/tests/silent_servers.rs
@@ -4,7 +4,7 @@
 
 use std::time::{Duration, Instant};
 
-use platform::{Act, Backend, Message, Process, Store, request};
+use platform::{Action, Backend, Message, Process, Store, request};
 
 /// Returns a load report as a server sends it.
 fn load_report(waiting: u32, runs: &str) -> String {
@@ -12,8 +12,8 @@
     format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())
 }
 
-fn whole_stream() -> String {
-    [platform::STREAM, &platform::chunk("id: 1\ndata: whole\n\n"), "0\r\n\r\n"].concat()
+fn complete_stream() -> String {
+    [platform::STREAM_HEAD, &platform::chunk("id: 1\ndata: whole\n\n"), "0\r\n\r\n"].concat()
 }
 
 /// Starts a server that responds to a stream only after several seconds and sends the given load
@@ -24,13 +24,13 @@
 ) -> (Store, Backend, Vec<Backend>, Process, Process) {
     let store = Store::start();
     let slow = Backend::start("i-1", move |_, message: &Message| match message.target() {
-        "/api/report" => Act::Answer(reports.to_owned()),
-        _ => Act::Answer(["PAUSE".repeat(70), whole_stream()].concat()),
+        "/api/report" => Action::Respond(reports.to_owned()),
+        _ => Action::Respond(["PAUSE".repeat(70), complete_stream()].concat()),
     });
-    let fast = Backend::start("i-2", |_, _| Act::Answer(whole_stream()));
+    let fast = Backend::start("i-2", |_, _| Action::Respond(complete_stream()));
     let backends: Vec<Backend> = if with_fast { vec![fast] } else { Vec::new() };
     let all: Vec<&Backend> = std::iter::once(&slow).chain(&backends).collect();
-    platform::configure_total(&store, 1, &all, 100_000);
+    platform::configure_prepaid(&store, 1, &all, 100_000);
     let relay = Process::start_relay_beside(&store, "side-1", &slow);
     let gateway = Process::start_gateway(&store);
     (store, slow, backends, relay, gateway)
@@ -41,7 +41,7 @@
 }
 
 fn send_prompt(gateway: &Process, id: &str) -> String {
-    let headers = format!("{}Connection: close\r\n", platform::PROMPT);
+    let headers = format!("{}Connection: close\r\n", platform::PROMPT_HEADERS);
     platform::call_raw(gateway.callers, &request("POST", "/resume/a", id, &headers, "p"))
 }
 
@@ -65,8 +65,8 @@
 fn queued_request() {
     let reports = Box::leak(load_report(3, "").into_boxed_str());
     let (store, slow, _fast, _relay, gateway) = start_slow(reports, false);
-    let answer = send_prompt(&gateway, "r1");
-    assert!(answer.starts_with("HTTP/1.1 200") && answer.contains("whole"), "{answer}");
+    let response = send_prompt(&gateway, "r1");
+    assert!(response.starts_with("HTTP/1.1 200") && response.contains("whole"), "{response}");
     assert_eq!(count_prompts(&slow), 1);
     platform::wait_until("the bill", || store.billed("acme") == 106);
 }
@@ -76,8 +76,8 @@
 fn running_request() {
     let reports = Box::leak(load_report(0, "[\"r1\",50,0,1]").into_boxed_str());
     let (_store, slow, _fast, _relay, gateway) = start_slow(reports, false);
-    let answer = send_prompt(&gateway, "r1");
-    assert!(answer.starts_with("HTTP/1.1 200") && answer.contains("whole"), "{answer}");
+    let response = send_prompt(&gateway, "r1");
+    assert!(response.starts_with("HTTP/1.1 200") && response.contains("whole"), "{response}");
     assert_eq!(count_prompts(&slow), 1);
 }
 
@@ -106,10 +106,10 @@
 fn lost_responses() {
     let store = Store::start();
     let backend = Backend::start("i-1", |_, message: &Message| match message.target() {
-        "/api/report" => Act::Answer(load_report(0, "")),
-        _ => Act::Answer("PAUSE".repeat(300)),
+        "/api/report" => Action::Respond(load_report(0, "")),
+        _ => Action::Respond("PAUSE".repeat(300)),
     });
-    platform::configure_total(&store, 1, &[&backend], 100_000);
+    platform::configure_prepaid(&store, 1, &[&backend], 100_000);
     let _relay = Process::start_relay_beside(&store, "side-1", &backend);
     let gateway = Process::start_gateway(&store);
     let gateway = &gateway;
@@ -117,8 +117,8 @@
         for number in 0..16 {
             scope.spawn(move || {
                 let start = Instant::now();
-                let answer = send_prompt(gateway, &format!("r{number}"));
-                assert!(answer.starts_with("HTTP/1.1 502"), "{answer}");
+                let response = send_prompt(gateway, &format!("r{number}"));
+                assert!(response.starts_with("HTTP/1.1 502"), "{response}");
                 assert!(start.elapsed() < Duration::from_secs(3), "{:?}", start.elapsed());
             });
         }
--- a/toucanrail/src/lib.rs
+++ b/toucanrail/src/lib.rs
@@ -22,11 +22,11 @@
 //! let policy = GrantPolicy::default();
 //! let mut table = GrantTable::new(Arc::from("entry-1"), policy);
 //! table.add_account(&customer, &customer);
-//! table.add_shortage(&customer, 100);
+//! table.begin_wait(&customer, 100);
 //! let plan = table.plan_sync(&customer, false).expect("a request waits");
 //! let mut machine = SyncMachine::new(plan, policy, None);
 //! while let Some(call) = machine.next_call() {
-//!     machine.take_reply(match call {
+//!     machine.handle_reply(match call {
 //!         StoreCall::Get { .. } => {
 //!             StoreReply::Found { version: 1, value: storecalls::encode_value(&shard) }
 //!         }
@@ -42,7 +42,7 @@
 pub mod admissions;
 pub mod affinity;
 pub mod archives;
-pub mod attempting;
+pub mod attempts;
 pub mod backends;
 pub mod boards;
 pub mod budgets;
@@ -68,15 +68,14 @@
 pub mod mirrors;
 pub mod paces;
 pub mod paths;
-pub mod patience;
-pub mod placing;
+pub mod placement;
 pub mod policies;
 pub mod probes;
 pub mod reclaims;
 pub mod records;
 pub mod replays;
 pub mod retries;
-pub mod returns;
+pub mod retry_delays;
 pub mod routing;
 pub mod scanners;
 pub mod servers;
@@ -87,5 +86,6 @@
 pub mod storecalls;
 pub mod syncs;
 pub mod tenures;
+pub mod timeouts;
 pub mod traces;
 pub mod usages;
--- /dev/null
+++ b/toucanrail/src/placement.rs
@@ -0,0 +1,159 @@
+//! Choice of the backend server for a request, by the expected time to its first event.
+//!
+//! The cost model covers prompts of different sizes, servers of different speed, prompt parts that
+//! only some servers have cached, and other entries that place requests at the same time without
+//! coordination.
+
+use std::time::Duration;
+
+use crate::affinity::{self, SpeedRow};
+use crate::backends::{BackendRow, PromptPart};
+use crate::ids::Tokens;
+
+/// Assumed prefill rate of an engine, in prompt tokens per millisecond; sets the scale of the costs
+/// below.
+const PREFILL_RATE: f64 = 56.9;
+/// Cost of one more sequence in a batch: the delay of every first event there, in milliseconds.
+const SEQUENCE_COST: f64 = 4.0;
+/// Cost of one request at a server of a plain service, relative to its slots, in milliseconds.
+const PLAIN_REQUEST_COST: f64 = 60.0;
+/// Cost of a server in another data centre, in milliseconds; traffic between data centres is
+/// billed.
+const REMOTE_COST: f64 = 5.0;
+/// Cost of a server that has just started, in milliseconds: it is slow, and each request waits for
+/// a permit.
+const COLD_COST: f64 = 100.0;
+/// Cost of prefilling a shared token that another server has cached, as a multiple of its prefill
+/// time. It delays every stream at the server and evicts other parts from its cache, so a session
+/// leaves its server only if waiting there would make the answer late.
+const RECOMPUTE_FACTOR: f64 = 6.0;
+/// Cost of fetching shared parts from the server that has them cached, in milliseconds: about five
+/// for the transfer, the rest for its price.
+const FETCH_COST: f64 = 60.0;
+/// Minimum number of shared tokens that are fetched; prefilling fewer is as fast.
+const MIN_FETCH: Tokens = 1_024;
+
+/// Properties of the request and its entry on which the choice depends.
+#[derive(Debug, Clone, Copy)]
+pub struct PlacementQuery<'request> {
+    /// Data centre of this entry.
+    pub data_centre: &'request str,
+    /// Parts of the prompt in order, the request's own part last; empty for a plain service.
+    pub parts: &'request [PromptPart],
+    /// Number of prompt tokens; 0 for a plain service.
+    pub prompt: Tokens,
+    /// Time since the start of the process.
+    pub now: Duration,
+    /// Random number in `0..1` that decides whether a server returning from an ejection is
+    /// considered.
+    pub random: f64,
+}
+
+/// Picks the server with the lowest expected cost.
+///
+/// # Examples
+/// ```
+/// use toucanrail::placement::{self, PlacementQuery};
+/// let query = PlacementQuery {
+///     data_centre: "a", parts: &[], prompt: 0, now: Default::default(), random: 0.5,
+/// };
+/// assert!(placement::pick_backend(&[], &query).is_none());
+/// ```
+pub fn pick_backend<'rows>(
+    eligible: &[&'rows BackendRow],
+    query: &PlacementQuery<'_>,
+) -> Option<&'rows BackendRow> {
+    let ramped = eligible.iter().filter(|row| row.ejection.passes_ramp(query.now, query.random));
+    let ramped: Vec<&BackendRow> = ramped.copied().collect();
+    let rows = if ramped.is_empty() { eligible } else { &ramped };
+    let costs = estimate_costs(rows, query);
+    let best = rows.iter().zip(costs).min_by(|(_, cost), (_, other)| cost.total_cmp(other));
+    best.map(|(best, _)| *best)
+}
+
+/// Returns the expected cost of each server, in the order of `rows`: the time to the first event
+/// plus the cost to other requests, in milliseconds.
+pub(crate) fn estimate_costs(rows: &[&BackendRow], query: &PlacementQuery<'_>) -> Vec<f64> {
+    let rows = affinity::with_slowdowns(rows);
+    let preferred = session_key(query).and_then(|key| affinity::pick_preferred(&rows, key));
+    let is_preferred = |server: &SpeedRow<'_>| {
+        preferred.is_some_and(|preferred| preferred.row.entry.id == server.row.entry.id)
+    };
+    rows.iter().map(|server| estimate_cost(server, query, is_preferred(server))).collect()
+}
+
+/// Returns the server from which `target` may fetch shared parts of the prompt, or `None` if no
+/// other server is known to have more of them cached.
+///
+/// The prompts of a session go to one server, which therefore has the session's shared part cached.
+/// A prompt of the session that is placed elsewhere would be prefilled a second time while all
+/// streams at that server pause. The same applies to parts shared by many sessions, and to a
+/// session whose preferred server has changed.
+pub fn pick_fetch_source<'rows>(
+    eligible: &[&'rows BackendRow],
+    query: &PlacementQuery<'_>,
+    target: &BackendRow,
+) -> Option<&'rows BackendRow> {
+    let key = session_key(query)?;
+    let shared = query.prompt.saturating_sub(own_tokens(query));
+    if shared < MIN_FETCH {
+        return None;
+    }
+    let cached = |row: &BackendRow| row.cached_tokens(query.parts).min(shared);
+    let working: Vec<&BackendRow> =
+        eligible.iter().copied().filter(|row| row.accepts_work(query.now)).collect();
+    let preferred = affinity::pick_preferred(&affinity::with_slowdowns(&working), key)
+        .map(|preferred| preferred.row);
+    let is_preferred =
+        |row: &BackendRow| preferred.is_some_and(|preferred| preferred.entry.id == row.entry.id);
+    let others = working.into_iter().filter(|row| row.entry.id != target.entry.id);
+    // The other entries send the shared parts to their preferred server too, so it has them cached.
+    let expected = |row: &BackendRow| if is_preferred(row) { shared } else { cached(row) };
+    let source = others.max_by_key(|row| expected(row))?;
+    (expected(source) >= cached(target) + MIN_FETCH).then_some(source)
+}
+
+/// Returns the assumed time for the prefill of some tokens, in milliseconds.
+pub(crate) fn prefill_time(tokens: Tokens) -> f64 {
+    tokens as f64 / PREFILL_RATE
+}
+
+/// Returns the prompt's tokens after its shared parts, which no server has cached.
+fn own_tokens(query: &PlacementQuery<'_>) -> Tokens {
+    let shared = query.parts.split_last().map_or(&[][..], |(_, shared)| shared);
+    query.prompt.saturating_sub(shared.iter().map(|part| part.tokens).sum())
+}
+
+/// Returns the key that determines a session's preferred server: the id of its last shared part.
+fn session_key(query: &PlacementQuery<'_>) -> Option<u64> {
+    let shared = query.parts.len().checked_sub(2)?;
+    query.parts.get(shared).map(|part| part.id)
+}
+
+/// Returns the expected time to the first event plus the cost to other requests, in milliseconds.
+fn estimate_cost(speed: &SpeedRow<'_>, query: &PlacementQuery<'_>, is_preferred: bool) -> f64 {
+    let row = speed.row;
+    let in_flight = row.flights.len() as f64;
+    let is_remote = *row.entry.data_centre != *query.data_centre;
+    let base = if is_remote { REMOTE_COST } else { 0.0 };
+    let cold = if row.is_cold(query.now) { COLD_COST } else { 0.0 };
+    let permit = row.permit_delay(query.now).as_secs_f64() * 1_000.0;
+    let base = base + cold + permit;
+    if query.prompt == 0 {
+        let slots = row.entry.slots.max(1) as f64;
+        return base + in_flight / slots * PLAIN_REQUEST_COST + row.latency * 1_000.0 * 0.1;
+    }
+    let own = own_tokens(query) as f64;
+    // The other entries send the shared parts to their preferred server too, so it has them cached.
+    let missing = row.uncached_tokens(query.parts, query.prompt) as f64 - own;
+    let recomputed = if is_preferred { 0.0 } else { missing.max(0.0) };
+    let fetches = recomputed >= MIN_FETCH as f64;
+    let (recomputed, fetch) = if fetches { (0.0, FETCH_COST) } else { (recomputed, 0.0) };
+    let uncached = own + recomputed * (1.0 + RECOMPUTE_FACTOR);
+    let waiting = row.flights.values().filter(|flight| !flight.begun);
+    let backlog: f64 = waiting.map(|flight| flight.uncached as f64).sum();
+    let occupancy = (in_flight + 1.0) / row.entry.slots.max(1) as f64;
+    let overload = if occupancy > 1.0 { (occupancy - 1.0) * 2_000.0 } else { 0.0 };
+    let prefill = (uncached + backlog) / PREFILL_RATE + in_flight * SEQUENCE_COST;
+    base + fetch + prefill * speed.slowdown + overload
+}
--- a/toucanrail/tests/board_news.rs
+++ b/toucanrail/tests/board_updates.rs
@@ -1,11 +1,11 @@
-//! What boards tell entries, against entries that watch the store themselves.
+//! Updates that boards give to entries, compared with a direct view of the store.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
 
 use proptest::prelude::*;
-use toucanrail::boards::{BoardTable, FRESH_BOUND, OutageTimer};
+use toucanrail::boards::{BoardTable, MAX_AGE, OutageBackoff};
 use toucanrail::ids::Version;
 use toucanrail::messages::{ChangesReply, MirrorChange, MirrorObject};
 
@@ -19,48 +19,52 @@
     MirrorChange { object: object(name, version), removed }
 }
 
-/// A board is cut off from the store and goes on answering that nothing changed. Its entries would send
-/// to a server that left, although they reach the store themselves; so it says that it is stale.
+/// A board that is cut off from the store must say that it is stale. If it answered that nothing
+/// changed, its entries would send requests to servers that have left, although they can reach the
+/// store themselves.
 #[test]
 fn silent_store() {
     let mut table = BoardTable::new();
-    table.take_listing(vec![object("a", 3)], 3, NOW);
-    let later = NOW + FRESH_BOUND + Duration::from_millis(1);
-    assert_eq!(table.news(Some(3), later), Some(ChangesReply::Stale));
-    assert_eq!(table.no_news(3, later), ChangesReply::Stale);
+    table.apply_listing(vec![object("a", 3)], 3, NOW);
+    let later = NOW + MAX_AGE + Duration::from_millis(1);
+    assert_eq!(table.updates_since(Some(3), later), Some(ChangesReply::Stale));
+    assert_eq!(table.empty_update(3, later), ChangesReply::Stale);
 }
 
-/// The board's call to the store failed. Entries that wait for news must not wait on: those who reach
-/// the store can know the change that the board misses.
+/// The board's call to the store failed. Entries that wait for updates must be answered at once:
+/// those that can reach the store may learn of a change that the board misses.
 #[test]
 fn failed_call() {
     let mut table = BoardTable::new();
-    table.take_listing(vec![object("a", 3)], 3, NOW);
-    table.note_silence();
-    assert_eq!(table.news(Some(3), NOW), Some(ChangesReply::Stale));
-    table.take_changes(Vec::new(), 3, NOW);
-    assert_eq!(table.news(Some(3), NOW), None);
+    table.apply_listing(vec![object("a", 3)], 3, NOW);
+    table.record_store_failure();
+    assert_eq!(table.updates_since(Some(3), NOW), Some(ChangesReply::Stale));
+    table.apply_changes(Vec::new(), 3, NOW);
+    assert_eq!(table.updates_since(Some(3), NOW), None);
 }
 
-/// An entry that asked the store itself knows more than the board. The board's older changes must not
-/// bring back what the entry knows as gone.
+/// An entry that asked the store itself may know more than the board. The board's older changes
+/// must not restore objects that the entry knows to be removed.
 #[test]
-fn late_board() {
+fn lagging_board() {
     let mut table = BoardTable::new();
-    table.take_listing(vec![object("a", 3)], 3, NOW);
-    table.take_changes(vec![change("b", 5, false)], 5, NOW);
-    assert_eq!(table.news(Some(9), NOW), None);
-    assert_eq!(table.no_news(9, NOW), ChangesReply::Changes { changes: Vec::new(), revision: 9 });
+    table.apply_listing(vec![object("a", 3)], 3, NOW);
+    table.apply_changes(vec![change("b", 5, false)], 5, NOW);
+    assert_eq!(table.updates_since(Some(9), NOW), None);
+    assert_eq!(
+        table.empty_update(9, NOW),
+        ChangesReply::Changes { changes: Vec::new(), revision: 9 }
+    );
 }
 
-/// The store forgot its history, and the board listed anew. An entry that is further behind must get
-/// the listing: the removals in between are in no change.
+/// The store lost its history, and the board was listed anew. An entry that is further behind must
+/// get the listing, because no change contains the removals in between.
 #[test]
 fn forgotten_history() {
     let mut table = BoardTable::new();
-    table.take_listing(vec![object("a", 8)], 20, NOW);
-    let news = table.news(Some(12), NOW);
-    assert!(matches!(news, Some(ChangesReply::Listing { revision: 20, .. })), "{news:?}");
+    table.apply_listing(vec![object("a", 8)], 20, NOW);
+    let updates = table.updates_since(Some(12), NOW);
+    assert!(matches!(updates, Some(ChangesReply::Listing { revision: 20, .. })), "{updates:?}");
 }
 
 #[derive(Debug, Default)]
@@ -87,29 +91,29 @@
     }
 }
 
-/// A board that was never asked begins in an outage. Its entries waited for its first listing for as long
-/// as for news, in vain.
+/// A board is first asked during an outage. Its entries must not wait for its first listing as long
+/// as for an update.
 #[test]
-fn fresh_board() {
+fn unlisted_board() {
     let mut table = BoardTable::new();
-    assert_eq!(table.news(None, NOW), None);
-    table.note_silence();
-    assert_eq!(table.news(None, NOW), Some(ChangesReply::Stale));
+    assert_eq!(table.updates_since(None, NOW), None);
+    table.record_store_failure();
+    assert_eq!(table.updates_since(None, NOW), Some(ChangesReply::Stale));
 }
 
-/// The store is down for four seconds, and 68 entries look every 640 ms at the latest whether they may ask
-/// it. Retries of the entries were most of the calls of such a day.
+/// The store is down for four seconds, and each of 68 entries checks every 640 ms whether it may
+/// ask it. Without a limit, the entries' retries were most of a day's calls.
 #[test]
 fn outage_calls() {
     let step = Duration::from_millis(640);
     let mut calls = 0;
     for entry in 0..68 {
-        let mut timer = OutageTimer::default();
+        let mut timer = OutageBackoff::default();
         let mut now = NOW;
         while now < NOW + Duration::from_secs(4) {
-            if timer.is_over(now) {
+            if timer.may_ask(now) {
                 calls += 1;
-                timer.note_failure(now, f64::from(entry) / 68.0);
+                timer.record_failure(now, f64::from(entry) / 68.0);
             }
             now += step;
         }
@@ -118,7 +122,7 @@
 }
 
 proptest! {
-    /// Whenever an entry has asked, it knows what the board knew, or more.
+    /// After each reply, an entry knows at least what the board knew.
     #[test]
     fn same_view(steps in prop::collection::vec((0_u8..5, 0_u8..4), 1..300)) {
         let mut store = NaiveStore::default();
@@ -132,14 +136,14 @@
                 1 => store.write(&name, true),
                 2 if table.revision().is_none() => {
                     let objects = store.objects.iter().map(|(name, version)| object(name, *version));
-                    table.take_listing(objects.collect(), store.revision, NOW);
+                    table.apply_listing(objects.collect(), store.revision, NOW);
                 }
                 2 => {
                     let after = table.revision().unwrap_or_default();
-                    table.take_changes(store.since(after), store.revision, NOW);
+                    table.apply_changes(store.since(after), store.revision, NOW);
                 }
                 3 if which == 0 => table = BoardTable::new(),
-                _ => match table.news(seen, NOW) {
+                _ => match table.updates_since(seen, NOW) {
                     Some(ChangesReply::Listing { objects, revision }) => {
                         view = objects.iter().map(|row| (row.name.to_string(), row.version)).collect();
                         seen = Some(revision);
@@ -154,7 +158,7 @@
                         }
                         seen = Some(revision);
                     }
-                    Some(ChangesReply::Stale) => prop_assert!(false, "the store is there"),
+                    Some(ChangesReply::Stale) => prop_assert!(false, "the store is available"),
                     None => {}
                 },
             }
--- a/toucanrail/tests/store_endpoints.rs
+++ b/toucanrail/tests/store_endpoints.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use toucanrail::endpoints::{EndpointTable, RelayEntry, StoreEndpoint};
-use toucanrail::patience::AnswerPatience;
+use toucanrail::timeouts::AdaptiveTimeout;
 
 fn store() -> SocketAddr {
     SocketAddr::from(([10, 0, 0, 1], 80))
@@ -102,20 +102,20 @@
 /// timed-out call led to refusals for lack of a grant. Only the first call may time out.
 #[test]
 fn slow_store() {
-    let mut patience = AnswerPatience::new();
+    let mut patience = AdaptiveTimeout::new();
     let response_time = Duration::from_millis(356);
     let timeouts = (0..40).filter(|_| {
         let timed_out = patience.wait() < response_time;
         if timed_out {
-            patience.note_silence(patience.wait());
+            patience.record_timeout(patience.wait());
         } else {
-            patience.note_answer(response_time);
+            patience.record_answer(response_time);
         }
         timed_out
     });
     assert_eq!(timeouts.count(), 1);
     for _ in 0..12 {
-        patience.note_answer(Duration::from_millis(4));
+        patience.record_answer(Duration::from_millis(4));
     }
     assert_eq!(patience.wait(), Duration::from_millis(300));
 }
