--- a/toucanrail-gateway/src/admitting.rs
+++ b/toucanrail-gateway/src/admitting.rs
@@ -176,12 +176,12 @@
     let (Some(customer), Some(prompt)) = (&plan.customer, &plan.facts.prompt) else {
         return Ok(None);
     };
-    let Some(stated) = customer.prepaid else {
+    let Some(prepaid_total) = customer.prepaid else {
         return Ok(None);
     };
     let need = BudgetNeed {
         customer: &customer.name,
-        stated,
+        prepaid_total,
         request: &plan.facts.id,
         service: &plan.service,
         prompt_tokens: prompt.prompt_tokens,
@@ -193,7 +193,7 @@
     if let Err(failure) = &reserved {
         tracing::info!(
             event = "budget_refused", request = %need.request, customer = %need.customer,
-            prompt = need.prompt_tokens, output = need.max_output, stated = need.stated, failure = ?failure,
+            prompt = need.prompt_tokens, output = need.max_output, stated = need.prepaid_total, failure = ?failure,
         );
     }
     reserved.map(Some).map_err(|failure| match failure {
--- a/toucanrail-gateway/src/loan_client.rs
+++ b/toucanrail-gateway/src/loan_client.rs
@@ -86,7 +86,7 @@
     /// The customer who pays.
     pub customer: &'call CustomerId,
     /// The customer's prepaid total according to the configuration.
-    pub stated: Tokens,
+    pub prepaid_total: Tokens,
     /// Id of the request.
     pub request: &'call RequestId,
     /// The service.
@@ -111,7 +111,7 @@
     let source = if let Some(loaned) = request_loan(gateway, need, amount).await {
         loaned?
     } else {
-        gateway.grant_manager.raise_prepaid(need.customer, need.stated);
+        gateway.grant_manager.raise_prepaid(need.customer, need.prepaid_total);
         let hold = gateway
             .grant_manager
             .acquire_hold(need.customer, amount, need.rank, need.time_left)
@@ -148,7 +148,7 @@
         let request = LoanRequest {
             loan: Arc::clone(&loan),
             customer: Arc::clone(need.customer),
-            stated: need.stated,
+            stated: need.prepaid_total,
             amount,
             rank: need.rank,
         };
