--- a/toucanrail/src/admissions.rs
+++ b/toucanrail/src/admissions.rs
@@ -202,8 +202,9 @@
         count >= MIN_SAMPLES && f64::from(late) > f64::from(count) * LATE_LIMIT
     }
 
-    /// Returns the number of late first events in this step and the number of all. Requests that
-    /// are overdue count in both: they indicate overload before their first event arrives.
+    /// Returns the number of late first events in this step and the number of all, where a request
+    /// that ended without one counts like a first event. Requests that are overdue count in both:
+    /// they indicate overload before their first event arrives.
     fn count_first_events(&self, now: Duration) -> (u32, u32) {
         let waiting = self.rows.values().filter(|row| row.is_late(now)).count();
         let late = self.late + waiting as u32;
