--- a/toucanrail-daemons/src/agents.rs
+++ b/toucanrail-daemons/src/agents.rs
@@ -25,26 +25,26 @@
 use toucanrail_wire::responses::{self, ErrorDetails};
 use toucanrail_wire::stores::HttpStore;
 
+use crate::execution;
 use crate::fleets::{FleetClient, routes};
 use crate::mirroring::{self, MirrorSet};
 use crate::observing::MetricBoard;
 use crate::registering;
-use crate::running;
 use crate::starting::{self, CommonSettings};
 
 /// Largest order, in bytes.
-const ORDER_LIMIT: usize = 4 * 1024 * 1024;
+const MAX_COMMAND_BYTES: usize = 4 * 1024 * 1024;
 /// Time between two looks at the backend server.
 const PROBE_INTERVAL: Duration = Duration::from_millis(250);
-const PROBE_BOUND: Duration = Duration::from_millis(800);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(800);
 /// Failed looks in a row that mark the backend server as not answering.
-const PROBE_FAILURES: u32 = 3;
+const MAX_PROBE_FAILURES: u32 = 3;
 /// How long a stopping agent waits for its last runs to be settled.
-const SETTLE_WAIT: Duration = Duration::from_secs(5);
+const SETTLE_TIMEOUT: Duration = Duration::from_secs(5);
 /// Time in which every entry has asked for a report and heard that the agent is leaving.
 const STOP_NOTICE: Duration = Duration::from_secs(1);
-const STOP_STEP: Duration = Duration::from_millis(50);
-const REGISTER_PAUSE: Duration = Duration::from_millis(500);
+const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(50);
+const REGISTER_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Settings of the agent alone.
 pub const SETTINGS: [SettingRow; 4] = [
@@ -97,7 +97,7 @@
 }
 
 #[derive(Debug, Default)]
-struct BackendView {
+struct BackendStatus {
     load: Option<BackendLoad>,
     failures: u32,
     fence: u64,
@@ -119,7 +119,7 @@
     store: HttpStore,
     mirrors: MirrorSet,
     ledger: Mutex<UsageLedger>,
-    view: Mutex<BackendView>,
+    status: Mutex<BackendStatus>,
 }
 
 impl Agent {
@@ -129,7 +129,7 @@
     /// If its metrics cannot be set up.
     pub fn new(settings: AgentSettings, address: SocketAddr) -> io::Result<Self> {
         let id = starting::new_incarnation(&settings.common.name);
-        let limits = ClientLimits { connect_timeout: PROBE_BOUND, ..ClientLimits::default() };
+        let limits = ClientLimits { connect_timeout: PROBE_TIMEOUT, ..ClientLimits::default() };
         Ok(Self {
             ledger: Mutex::new(UsageLedger::new(Arc::clone(&id))),
             id,
@@ -139,7 +139,7 @@
             client: FleetClient::new(&settings.common.fleet_key),
             store: HttpStore::new(settings.common.store),
             mirrors: MirrorSet::new(),
-            view: Mutex::default(),
+            status: Mutex::default(),
             settings,
         })
     }
@@ -149,51 +149,51 @@
         self.ledger.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn lock_view(&self) -> MutexGuard<'_, BackendView> {
-        self.view.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock_status(&self) -> MutexGuard<'_, BackendStatus> {
+        self.status.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Tells whether the backend server answered lately.
     pub fn is_backend_healthy(&self) -> bool {
-        self.lock_view().failures < PROBE_FAILURES
+        self.lock_status().failures < MAX_PROBE_FAILURES
     }
 
-    async fn answer(self: Arc<Self>, call: ReceivedRequest) -> Response {
+    async fn respond(self: Arc<Self>, call: ReceivedRequest) -> Response {
         match call.path() {
-            "/health" => self.answer_health(),
+            "/health" => self.health_response(),
             "/metrics" => self.board.answer(),
-            "/state" => self.answer_state(),
-            routes::RUN => self.take_run(&call),
-            routes::LOAD => self.sealed(&call, |order: MirrorQuery| {
-                self.mirrors.note_asker(&order);
+            "/state" => self.state_response(),
+            routes::RUN => self.handle_run(&call),
+            routes::LOAD => self.handle_signed(&call, |query: MirrorQuery| {
+                self.mirrors.note_asker(&query);
                 responses::msgpack(&self.report())
             }),
-            routes::FENCE => self.sealed(&call, |order: FenceCommand| {
+            routes::FENCE => self.handle_signed(&call, |command: FenceCommand| {
                 self.board.count_event("fences");
-                responses::msgpack(&self.lock_ledger().fence(&order.shard, order.epoch))
+                responses::msgpack(&self.lock_ledger().fence(&command.shard, command.epoch))
             }),
-            routes::ACK => self.sealed(&call, |order: AckCommand| {
-                self.lock_ledger().acknowledge(&order.runs);
+            routes::ACK => self.handle_signed(&call, |command: AckCommand| {
+                self.lock_ledger().acknowledge(&command.runs);
                 responses::msgpack(&AgentReply { agent: Arc::clone(&self.id), fate: None })
             }),
-            routes::ASK => self.answer_ask(&call).await,
-            routes::ORDER => self.answer_order(&call).await,
+            routes::ASK => self.handle_query(&call).await,
+            routes::ORDER => self.forward_engine_command(&call).await,
             _ => responses::error(&ErrorDetails::new(codetable::NO_SUCH_ROUTE)),
         }
     }
 
-    fn sealed<Message, Answer>(&self, call: &ReceivedRequest, answer: Answer) -> Response
+    fn handle_signed<Message, Handler>(&self, call: &ReceivedRequest, handler: Handler) -> Response
     where
         Message: serde::de::DeserializeOwned,
-        Answer: FnOnce(Message) -> Response,
+        Handler: FnOnce(Message) -> Response,
     {
         match self.client.read(call) {
-            Ok(message) => answer(message),
+            Ok(message) => handler(message),
             Err(refusal) => *refusal,
         }
     }
 
-    fn answer_health(&self) -> Response {
+    fn health_response(&self) -> Response {
         if self.lock_ledger().leaving || !self.is_backend_healthy() {
             responses::text(503, "not taking work\n")
         } else {
@@ -201,7 +201,7 @@
         }
     }
 
-    fn answer_state(&self) -> Response {
+    fn state_response(&self) -> Response {
         let mirrors = self.mirrors.lock();
         let dump = serde_json::json!({
             "role": "agent",
@@ -223,79 +223,79 @@
 
     fn report_with(&self, in_force: u64) -> LoadReport {
         let ledger = self.lock_ledger();
-        let view = self.lock_view();
+        let status = self.lock_status();
         let counted = BackendLoad {
             slots: self.settings.slots,
             running: ledger.running() as u64,
             waiting: 0,
         };
-        let load = view.load.unwrap_or(counted);
+        let load = status.load.unwrap_or(counted);
         LoadReport {
             agent: Arc::clone(&self.id),
             service: Arc::clone(&self.settings.service),
             slots: load.slots,
             running: load.running,
             waiting: load.waiting,
-            healthy: view.failures < PROBE_FAILURES,
+            healthy: status.failures < MAX_PROBE_FAILURES,
             leaving: ledger.leaving,
             in_force,
         }
     }
 
-    fn take_run(self: &Arc<Self>, call: &ReceivedRequest) -> Response {
-        let order: RunCommand = match self.client.read(call) {
-            Ok(order) => order,
+    fn handle_run(self: &Arc<Self>, call: &ReceivedRequest) -> Response {
+        let command: RunCommand = match self.client.read(call) {
+            Ok(command) => command,
             Err(refusal) => return *refusal,
         };
-        if let Err(code) = self.lock_ledger().admit(&order) {
+        if let Err(code) = self.lock_ledger().admit(&command) {
             self.board.count_result(code);
-            let request = Arc::clone(&order.request);
+            let request = Arc::clone(&command.request);
             let frame = RunFrame::Refused { request, code, retry_after: 1_000 };
             return responses::bytes(200, frames::encode_frame(&frame));
         }
         self.board.count_result(codetable::OK);
         self.board.in_flight.inc();
         let (writer, body) = pipes::make_pipe();
-        smol::spawn(running::run_order(Arc::clone(self), order, writer)).detach();
+        smol::spawn(execution::run_command(Arc::clone(self), command, writer)).detach();
         responses::stream(200, body)
     }
 
-    async fn answer_ask(&self, call: &ReceivedRequest) -> Response {
-        let order: RunQuery = match self.client.read(call) {
-            Ok(order) => order,
+    async fn handle_query(&self, call: &ReceivedRequest) -> Response {
+        let query: RunQuery = match self.client.read(call) {
+            Ok(query) => query,
             Err(refusal) => return *refusal,
         };
-        let fate = self.lock_ledger().query(&order.run, order.mode);
-        if fate == toucanrail::messages::RunReport::Running && order.mode == QueryMode::Cancel {
+        let report = self.lock_ledger().query(&query.run, query.mode);
+        if report == toucanrail::messages::RunReport::Running && query.mode == QueryMode::Cancel {
             let call =
-                OutboundRequest::get(format!("/engine/cancel/{}", order.run)).on_new_connection();
+                OutboundRequest::get(format!("/engine/cancel/{}", query.run)).on_new_connection();
             // The run's own task sees its stream end and notes what was used.
-            self.pool.fetch(self.settings.backend, call, PROBE_BOUND).await.ok();
+            self.pool.fetch(self.settings.backend, call, PROBE_TIMEOUT).await.ok();
         }
-        responses::msgpack(&AgentReply { agent: Arc::clone(&self.id), fate: Some(fate) })
+        responses::msgpack(&AgentReply { agent: Arc::clone(&self.id), fate: Some(report) })
     }
 
     /// Passes an order on to the model engine unless its fencing number is old.
     ///
     /// Guards against an order of a holder that was replaced while paused: some engines take any
     /// order, so the agent, their only way in, refuses numbers lower than it has seen.
-    async fn answer_order(&self, call: &ReceivedRequest) -> Response {
-        let order: EngineCommand = match self.client.read(call) {
-            Ok(order) => order,
+    async fn forward_engine_command(&self, call: &ReceivedRequest) -> Response {
+        let command: EngineCommand = match self.client.read(call) {
+            Ok(command) => command,
             Err(refusal) => return *refusal,
         };
         {
-            let mut view = self.lock_view();
-            if order.fence < view.fence {
+            let mut status = self.lock_status();
+            if command.fence < status.fence {
                 return responses::error(&ErrorDetails::new(codetable::STALE_ORDER));
             }
-            view.fence = order.fence;
+            status.fence = command.fence;
         }
-        let body = serde_json::json!({ "action": order.action, "subject": order.subject });
+        let body = serde_json::json!({ "action": command.action, "subject": command.subject });
         let call = OutboundRequest::post("/engine/order", body.to_string().into_bytes())
-            .field("engine-fence", order.fence.to_string());
-        match self.pool.fetch(self.settings.backend, call, PROBE_BOUND).await {
-            Ok(answer) if answer.status == 200 => responses::msgpack(&true),
+            .field("engine-fence", command.fence.to_string());
+        match self.pool.fetch(self.settings.backend, call, PROBE_TIMEOUT).await {
+            Ok(response) if response.status == 200 => responses::msgpack(&true),
             Ok(_) => responses::error(&ErrorDetails::new(codetable::STALE_ORDER)),
             Err(_) => responses::error(&ErrorDetails::new(codetable::BACKEND_FAILED)),
         }
@@ -311,28 +311,28 @@
 
     async fn probe_once(&self) {
         let call = OutboundRequest::get(self.settings.probe_path.as_str());
-        let answer = self.pool.fetch(self.settings.backend, call, PROBE_BOUND).await;
-        let mut view = self.lock_view();
-        let was_healthy = view.failures < PROBE_FAILURES;
-        match answer {
-            Ok(answer) if answer.status < 500 => {
-                view.load =
-                    serde_json::from_slice(&answer.body).ok().filter(|_| answer.status == 200);
-                view.failures = 0;
+        let response = self.pool.fetch(self.settings.backend, call, PROBE_TIMEOUT).await;
+        let mut status = self.lock_status();
+        let was_healthy = status.failures < MAX_PROBE_FAILURES;
+        match response {
+            Ok(response) if response.status < 500 => {
+                status.load =
+                    serde_json::from_slice(&response.body).ok().filter(|_| response.status == 200);
+                status.failures = 0;
             }
             _ => {
-                view.failures += 1;
+                status.failures += 1;
                 self.pool.evict(self.settings.backend);
             }
         }
-        let healthy = view.failures < PROBE_FAILURES;
+        let healthy = status.failures < MAX_PROBE_FAILURES;
         if healthy != was_healthy {
             tracing::info!(healthy, backend = %self.settings.backend, "backend server changed");
         }
     }
 
     /// Keeps the catalogue in force: from entries, or from the platform if no entry answers.
-    async fn mirror(self: Arc<Self>) {
+    async fn sync_catalogue(self: Arc<Self>) {
         loop {
             let common = &self.settings.common;
             let entries = self.mirrors.entries_to_ask(&common.data_centre, &common.peers);
@@ -367,11 +367,11 @@
         smol::Timer::after(STOP_NOTICE).await;
         let start = Instant::now();
         while self.lock_ledger().running() > 0 && start.elapsed() < self.settings.common.drain {
-            smol::Timer::after(STOP_STEP).await;
+            smol::Timer::after(STOP_CHECK_INTERVAL).await;
         }
         let settling = Instant::now();
-        while self.lock_ledger().unsettled() > 0 && settling.elapsed() < SETTLE_WAIT {
-            smol::Timer::after(STOP_STEP).await;
+        while self.lock_ledger().unsettled() > 0 && settling.elapsed() < SETTLE_TIMEOUT {
+            smol::Timer::after(STOP_CHECK_INTERVAL).await;
         }
         self.register(false).await;
         tracing::info!(id = %self.id, left = self.lock_ledger().running(), "stopped");
@@ -405,11 +405,11 @@
     let agent = Arc::new(Agent::new(settings, address)?);
     smol::spawn(serve(Arc::clone(&agent), listener)).detach();
     smol::spawn(Arc::clone(&agent).probe()).detach();
-    smol::spawn(Arc::clone(&agent).mirror()).detach();
+    smol::spawn(Arc::clone(&agent).sync_catalogue()).detach();
     let registering = Arc::clone(&agent);
     smol::spawn(async move {
         while !registering.register(true).await {
-            smol::Timer::after(REGISTER_PAUSE).await;
+            smol::Timer::after(REGISTER_RETRY_INTERVAL).await;
         }
     })
     .detach();
@@ -418,7 +418,7 @@
 }
 
 async fn serve(agent: Arc<Agent>, listener: TcpListener) {
-    let limits = ServerLimits { max_body: ORDER_LIMIT, ..ServerLimits::default() };
-    let handler = move |call| Arc::clone(&agent).answer(call);
+    let limits = ServerLimits { max_body: MAX_COMMAND_BYTES, ..ServerLimits::default() };
+    let handler = move |call| Arc::clone(&agent).respond(call);
     listeners::serve(listener, limits, handler).await;
 }
--- a/toucanrail-daemons/src/attempts.rs
+++ b/toucanrail-daemons/src/attempts.rs
@@ -23,29 +23,29 @@
 
 /// Silence of an agent's answer after which its connection counts as lost; the agent sends a sign
 /// of life four times as often.
-const FRAME_SILENCE: Duration = Duration::from_secs(2);
-const ASK_BOUND: Duration = Duration::from_millis(500);
-const ASK_PAUSE: Duration = Duration::from_millis(100);
+const FRAME_TIMEOUT: Duration = Duration::from_secs(2);
+const QUERY_TIMEOUT: Duration = Duration::from_millis(500);
+const QUERY_INTERVAL: Duration = Duration::from_millis(100);
 /// How long a request waits for the fate of a lost try before it goes on without.
-const FATE_WAIT: Duration = Duration::from_secs(2);
+const RESULT_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Takes what an attempt brings, as it comes.
-pub trait AnswerSink: Send {
+pub trait ResponseSink: Send {
     /// Takes the status and fields.
-    fn take_head(&mut self, status: u16, fields: Vec<HeaderField>);
+    fn handle_head(&mut self, status: u16, fields: Vec<HeaderField>);
 
     /// Takes bytes of the body; false once the caller is gone.
-    fn take_body(&mut self, bytes: Vec<u8>, tokens: Tokens) -> impl Future<Output = bool> + Send;
+    fn handle_body(&mut self, bytes: Vec<u8>, tokens: Tokens) -> impl Future<Output = bool> + Send;
 
     /// Waits until the caller is gone.
-    fn wait_gone(&self) -> impl Future<Output = ()> + Send;
+    fn wait_caller_gone(&self) -> impl Future<Output = ()> + Send;
 }
 
 /// How an attempt ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum AttemptEnd {
+pub enum AttemptResult {
     /// The answer is whole.
-    Whole {
+    Complete {
         /// What it used.
         used: Tokens,
     },
@@ -57,7 +57,7 @@
         retry_after: Duration,
     },
     /// It ran, but its answer is not whole here.
-    Lost {
+    Incomplete {
         /// Why.
         code: ResultCode,
         /// What it provably used.
@@ -65,10 +65,10 @@
         /// What it may have used besides.
         unproved: Tokens,
         /// The whole answer, where the agent kept it.
-        answer: Option<StoredResponse>,
+        response: Option<StoredResponse>,
     },
     /// The agent cannot say yet how it ended.
-    Open {
+    Unresolved {
         /// Why.
         code: ResultCode,
     },
@@ -85,20 +85,20 @@
 
 /// What went wrong with the answer's connection.
 #[derive(Debug)]
-enum FrameFault {
-    Gone,
-    Silent,
-    Cut,
-    Foreign,
+enum ExchangeError {
+    CallerGone,
+    Timeout,
+    Truncated,
+    ForeignResponse,
 }
 
-impl FrameFault {
+impl ExchangeError {
     const fn code(&self) -> ResultCode {
         match self {
-            Self::Gone => codetable::CANCELLED,
-            Self::Silent => codetable::SILENT_CONNECTION,
-            Self::Cut => codetable::ANSWER_CUT,
-            Self::Foreign => codetable::FOREIGN_ANSWER,
+            Self::CallerGone => codetable::CANCELLED,
+            Self::Timeout => codetable::SILENT_CONNECTION,
+            Self::Truncated => codetable::ANSWER_CUT,
+            Self::ForeignResponse => codetable::FOREIGN_ANSWER,
         }
     }
 }
@@ -107,76 +107,80 @@
 pub async fn run_attempt<Sink>(
     entry: &Arc<Entry>,
     target: &AttemptTarget,
-    order: &RunCommand,
+    command: &RunCommand,
     sink: &mut Sink,
-) -> AttemptEnd
+) -> AttemptResult
 where
-    Sink: AnswerSink,
+    Sink: ResponseSink,
 {
     let started = Instant::now();
     let opened = async {
-        let bound = FRAME_SILENCE;
-        Some(entry.client.open(target.address, routes::RUN, order, bound).await)
+        Some(entry.client.open(target.address, routes::RUN, command, FRAME_TIMEOUT).await)
     };
     let gone = async {
-        sink.wait_gone().await;
+        sink.wait_caller_gone().await;
         None
     };
-    let fault = match opened.or(gone).await {
-        Some(Ok(answer)) => match follow(entry, target, order, answer, sink, started).await {
-            Ok(end) => return end,
-            Err(fault) => fault,
-        },
+    let error = match opened.or(gone).await {
+        Some(Ok(response)) => {
+            match forward_frames(entry, target, command, response, sink, started).await {
+                Ok(result) => return result,
+                Err(error) => error,
+            }
+        }
         Some(Err(RequestError::NotSent(error))) => {
             tracing::debug!(%error, agent = %target.agent, "agent not reached");
             let code = codetable::NO_BACKEND_SERVER;
-            return AttemptEnd::NotRun { code, retry_after: Duration::from_secs(1) };
+            return AttemptResult::NotRun { code, retry_after: Duration::from_secs(1) };
         }
         Some(Err(RequestError::MaybeSent(error))) if error.kind() == io::ErrorKind::TimedOut => {
-            FrameFault::Silent
+            ExchangeError::Timeout
         }
-        Some(Err(RequestError::MaybeSent(_))) => FrameFault::Cut,
-        None => FrameFault::Gone,
+        Some(Err(RequestError::MaybeSent(_))) => ExchangeError::Truncated,
+        None => ExchangeError::CallerGone,
     };
     // One lost connection speaks for those that idle beside it.
     entry.client.forget(target.address);
-    let waited =
-        time_limits::timeout(FATE_WAIT, find_fate(entry, target, &order.run, order.hold)).await;
+    let waited = time_limits::timeout(
+        RESULT_TIMEOUT,
+        query_result(entry, target, &command.run, command.hold),
+    )
+    .await;
     match waited {
-        Some(AttemptEnd::Lost { used, unproved, answer, .. }) => {
-            AttemptEnd::Lost { code: fault.code(), used, unproved, answer }
+        Some(AttemptResult::Incomplete { used, unproved, response, .. }) => {
+            AttemptResult::Incomplete { code: error.code(), used, unproved, response }
         }
-        Some(end) => end,
-        None => AttemptEnd::Open { code: fault.code() },
+        Some(result) => result,
+        None => AttemptResult::Unresolved { code: error.code() },
     }
 }
 
 /// Passes frames on until the last one; each must be the next of this very request.
-async fn follow<Sink>(
+async fn forward_frames<Sink>(
     entry: &Arc<Entry>,
     target: &AttemptTarget,
-    order: &RunCommand,
-    mut answer: StreamingResponse,
+    command: &RunCommand,
+    mut response: StreamingResponse,
     sink: &mut Sink,
     started: Instant,
-) -> Result<AttemptEnd, FrameFault>
+) -> Result<AttemptResult, ExchangeError>
 where
-    Sink: AnswerSink,
+    Sink: ResponseSink,
 {
-    let mut scanner = FrameDecoder::new();
+    let mut decoder = FrameDecoder::new();
     let mut received = 0;
     let mut first = true;
     loop {
-        while let Some(frame) = scanner.next_frame().map_err(|_| FrameFault::Cut)? {
-            if *frame.request() != order.request {
-                return Err(FrameFault::Foreign);
+        while let Some(frame) = decoder.next_frame().map_err(|_| ExchangeError::Truncated)? {
+            if *frame.request() != command.request {
+                return Err(ExchangeError::ForeignResponse);
             }
             match frame {
                 RunFrame::Alive { .. } => {}
-                RunFrame::Head { status, fields, .. } => sink.take_head(status, fields),
+                RunFrame::Head { status, fields, .. } => sink.handle_head(status, fields),
                 RunFrame::Data { offset, bytes, tokens, .. } => {
                     if offset != received {
-                        return Err(FrameFault::Cut);
+                        return Err(ExchangeError::Truncated);
                     }
                     received += bytes.len() as u64;
                     if std::mem::take(&mut first) {
@@ -187,87 +191,89 @@
                             now,
                         );
                     }
-                    if !sink.take_body(bytes, tokens).await {
-                        return Err(FrameFault::Gone);
+                    if !sink.handle_body(bytes, tokens).await {
+                        return Err(ExchangeError::CallerGone);
                     }
                 }
                 RunFrame::End { bytes, used, .. } if bytes == received => {
-                    finish_reading(answer).await;
-                    return Ok(AttemptEnd::Whole { used });
+                    drain_response(response).await;
+                    return Ok(AttemptResult::Complete { used });
                 }
-                RunFrame::End { .. } => return Err(FrameFault::Cut),
+                RunFrame::End { .. } => return Err(ExchangeError::Truncated),
                 RunFrame::Refused { code, retry_after, .. } => {
-                    finish_reading(answer).await;
+                    drain_response(response).await;
                     let retry_after = Duration::from_millis(retry_after);
                     // It came before: what became of it must be asked.
                     return if code == codetable::ALREADY_SEEN {
-                        Err(FrameFault::Cut)
+                        Err(ExchangeError::Truncated)
                     } else {
-                        Ok(AttemptEnd::NotRun { code, retry_after })
+                        Ok(AttemptResult::NotRun { code, retry_after })
                     };
                 }
                 RunFrame::Failed { code, used, unproved, .. } => {
-                    finish_reading(answer).await;
-                    return Ok(AttemptEnd::Lost { code, used, unproved, answer: None });
+                    drain_response(response).await;
+                    return Ok(AttemptResult::Incomplete { code, used, unproved, response: None });
                 }
             }
         }
         let read = async {
-            answer.read_chunk(FRAME_SILENCE).await.map_err(|error| match error.kind() {
-                io::ErrorKind::TimedOut => FrameFault::Silent,
-                _ => FrameFault::Cut,
+            response.read_chunk(FRAME_TIMEOUT).await.map_err(|error| match error.kind() {
+                io::ErrorKind::TimedOut => ExchangeError::Timeout,
+                _ => ExchangeError::Truncated,
             })
         };
         let gone = async {
-            sink.wait_gone().await;
-            Err(FrameFault::Gone)
+            sink.wait_caller_gone().await;
+            Err(ExchangeError::CallerGone)
         };
         let bytes = read.or(gone).await?;
         if bytes.is_empty() {
-            return Err(FrameFault::Cut);
+            return Err(ExchangeError::Truncated);
         }
-        scanner.feed(&bytes);
+        decoder.feed(&bytes);
     }
 }
 
 /// Reads the end of the last chunk, so that the connection can be used again.
-async fn finish_reading(mut answer: StreamingResponse) {
-    if answer.read_chunk(ASK_BOUND).await.is_ok_and(|bytes| bytes.is_empty()) {
-        answer.release();
+async fn drain_response(mut response: StreamingResponse) {
+    if response.read_chunk(QUERY_TIMEOUT).await.is_ok_and(|bytes| bytes.is_empty()) {
+        response.release();
     }
 }
 
 /// Cancels a try and asks until its agent says how it ended, or is provably gone.
-pub async fn find_fate(
+pub async fn query_result(
     entry: &Arc<Entry>,
     target: &AttemptTarget,
     run: &RunId,
     hold: Tokens,
-) -> AttemptEnd {
-    let order = RunQuery { run: Arc::clone(run), mode: QueryMode::Cancel };
+) -> AttemptResult {
+    let query = RunQuery { run: Arc::clone(run), mode: QueryMode::Cancel };
     loop {
         let reply: io::Result<AgentReply> =
-            entry.client.send(target.address, routes::ASK, &order, ASK_BOUND).await;
+            entry.client.send(target.address, routes::ASK, &query, QUERY_TIMEOUT).await;
         match reply {
-            Ok(reply) if reply.agent != target.agent => return vanished(hold),
+            Ok(reply) if reply.agent != target.agent => return agent_gone_result(hold),
             Ok(AgentReply { fate: Some(RunReport::NeverCame), .. }) => {
                 let code = codetable::VOIDED;
-                return AttemptEnd::NotRun { code, retry_after: Duration::from_secs(1) };
+                return AttemptResult::NotRun { code, retry_after: Duration::from_secs(1) };
             }
             Ok(AgentReply {
                 fate: Some(RunReport::Ended { used, unproved, answer, .. }), ..
             }) => {
                 let code = codetable::ANSWER_CUT;
-                return AttemptEnd::Lost { code, used, unproved, answer };
+                return AttemptResult::Incomplete { code, used, unproved, response: answer };
+            }
+            Err(_) if reclaiming::is_agent_gone(entry, &target.agent) => {
+                return agent_gone_result(hold);
             }
-            Err(_) if reclaiming::is_gone(entry, &target.agent) => return vanished(hold),
             Ok(_) | Err(_) => {}
         }
-        smol::Timer::after(ASK_PAUSE).await;
+        smol::Timer::after(QUERY_INTERVAL).await;
     }
 }
 
-fn vanished(hold: Tokens) -> AttemptEnd {
+fn agent_gone_result(hold: Tokens) -> AttemptResult {
     let code = codetable::BACKEND_FAILED;
-    AttemptEnd::Lost { code, used: 0, unproved: hold, answer: None }
+    AttemptResult::Incomplete { code, used: 0, unproved: hold, response: None }
 }
--- a/toucanrail-daemons/src/billing.rs
+++ b/toucanrail-daemons/src/billing.rs
@@ -8,8 +8,8 @@
 use toucanrail::ids::{RunId, Tokens, Version};
 use toucanrail::records::{self, RecordState, RunRecord};
 
-use crate::attempts::{self, AttemptEnd, AttemptTarget};
-use crate::callers::CallPlan;
+use crate::attempts::{self, AttemptResult, AttemptTarget};
+use crate::planning::RequestPlan;
 use crate::recording;
 use crate::states::Entry;
 
@@ -44,7 +44,7 @@
     }
 
     /// Returns the bill, or none if nothing ran.
-    pub fn into_bill(self, plan: &CallPlan, hold: &GrantHold) -> Option<BillRow> {
+    pub fn into_bill(self, plan: &RequestPlan, hold: &GrantHold) -> Option<BillRow> {
         if self.runs.is_empty() {
             return None;
         }
@@ -64,12 +64,12 @@
 
 /// Tells the tries of a request whether it has its bill: there must be only one.
 #[derive(Debug, Clone)]
-pub struct BillMark {
+pub struct BillClaim {
     billed: Arc<AtomicBool>,
     ended: async_channel::Receiver<()>,
 }
 
-/// The request's end of a [`BillMark`]; dropping it ends the request.
+/// The request's end of a [`BillClaim`]; dropping it ends the request.
 #[derive(Debug)]
 pub struct BillMarker {
     billed: Arc<AtomicBool>,
@@ -77,25 +77,25 @@
 }
 
 /// Makes both ends.
-pub fn make_mark() -> (BillMarker, BillMark) {
+pub fn new_bill_claim() -> (BillMarker, BillClaim) {
     let billed = Arc::new(AtomicBool::new(false));
     let (sender, ended) = async_channel::bounded(1);
     let marker = BillMarker { billed: Arc::clone(&billed), _ended: sender };
-    (marker, BillMark { billed, ended })
+    (marker, BillClaim { billed, ended })
 }
 
 impl BillMarker {
     /// Notes a bill of the request.
-    pub fn note(&self, bill: Option<&BillRow>) {
+    pub fn record(&self, bill: Option<&BillRow>) {
         if bill.is_some_and(|row| row.billed > 0) {
             self.billed.store(true, Ordering::SeqCst);
         }
     }
 }
 
-impl BillMark {
+impl BillClaim {
     /// Waits for the request's end, then takes the right to bill it, if nothing has.
-    async fn take(&self) -> bool {
+    async fn claim(&self) -> bool {
         // Nothing is ever sent: the channel ends with the request.
         self.ended.recv().await.ok();
         !self.billed.swap(true, Ordering::SeqCst)
@@ -104,11 +104,11 @@
 
 /// A try whose end is not known, and the money that it holds.
 #[derive(Debug)]
-pub struct OpenTry {
+pub struct PendingAttempt {
     /// The entry.
     pub entry: Arc<Entry>,
     /// The request.
-    pub plan: CallPlan,
+    pub plan: RequestPlan,
     /// Where the try went.
     pub target: AttemptTarget,
     /// The try.
@@ -118,38 +118,40 @@
     /// Its record, if it may not be repeated.
     pub record: Option<(RunRecord, Version)>,
     /// Whether the caller has part of its answer, or may not try again.
-    pub charged: bool,
+    pub chargeable: bool,
     /// Whether the request has its bill.
-    pub mark: BillMark,
+    pub claim: BillClaim,
     /// Keeps the entry from stopping before the money is settled.
     pub guard: Arc<()>,
 }
 
-impl OpenTry {
+impl PendingAttempt {
     /// Asks until the end is known, then settles it.
     ///
     /// Guards against two bills of one request: another try may have brought the answer meanwhile,
     /// and then what this one used is written off.
-    pub async fn follow(self) {
-        let fate = attempts::find_fate(&self.entry, &self.target, &self.run, self.hold.amount);
-        let end = fate.await;
+    pub async fn resolve(self) {
+        let resolving =
+            attempts::query_result(&self.entry, &self.target, &self.run, self.hold.amount);
+        let result = resolving.await;
         if let Some((record, version)) = &self.record {
-            recording::close_surely(&self.entry, record, *version, record_state(&end)).await;
+            recording::close_record_retrying(&self.entry, record, *version, record_state(&result))
+                .await;
         }
-        let bill = self.read_bill(&end).await;
+        let bill = self.make_bill(&result).await;
         let mut tables = self.entry.lock();
         let grants = &mut tables.grants;
         grants.mark_agent(&self.hold.shard, &self.target.agent, false);
         grants.end_hold(&self.hold, bill);
     }
 
-    async fn read_bill(&self, end: &AttemptEnd) -> Option<BillRow> {
-        let AttemptEnd::Lost { used, unproved, .. } = end else {
+    async fn make_bill(&self, result: &AttemptResult) -> Option<BillRow> {
+        let AttemptResult::Incomplete { used, unproved, .. } = result else {
             return None;
         };
         let mut sum = UsageSum { unproved: *unproved, ..UsageSum::default() };
         sum.add_run(&self.target, &self.run, *used);
-        if self.charged && *used > 0 && self.mark.take().await {
+        if self.chargeable && *used > 0 && self.claim.claim().await {
             sum.billed = *used;
         } else {
             sum.written_off = *used;
@@ -159,10 +161,12 @@
 }
 
 /// Returns what the record of a try says that ended like this.
-pub fn record_state(end: &AttemptEnd) -> RecordState {
-    match end {
-        AttemptEnd::NotRun { .. } => RecordState::NotRun,
-        AttemptEnd::Lost { answer: Some(answer), .. } => records::finished_state(answer.clone()),
+pub fn record_state(result: &AttemptResult) -> RecordState {
+    match result {
+        AttemptResult::NotRun { .. } => RecordState::NotRun,
+        AttemptResult::Incomplete { response: Some(response), .. } => {
+            records::finished_state(response.clone())
+        }
         _ => RecordState::Unknown,
     }
 }
--- a/toucanrail-daemons/src/entries.rs
+++ b/toucanrail-daemons/src/entries.rs
@@ -13,11 +13,11 @@
 use toucanrail_wire::listeners::{self, ReceivedRequest, ServerLimits};
 use toucanrail_wire::responses::{self, ErrorDetails};
 
-use crate::callers;
 use crate::fleets::routes;
+use crate::planning;
 use crate::reclaiming;
 use crate::serving;
-use crate::settling;
+use crate::settlement;
 use crate::states::{Entry, EntrySettings};
 use crate::watching;
 
@@ -57,10 +57,10 @@
     fn answer_models(&self, call: &ReceivedRequest) -> Response {
         let state = self.mirrors.lock();
         let customer: Result<CustomerEntry, _> =
-            callers::read_customer(&state.catalogue, call).cloned();
+            planning::find_customer(&state.catalogue, call).cloned();
         match customer {
             Ok(customer) => {
-                responses::json(200, &callers::list_models(&state.catalogue, &customer))
+                responses::json(200, &planning::list_models(&state.catalogue, &customer))
             }
             Err(note) => self.refuse(&note),
         }
@@ -86,7 +86,7 @@
             },
             routes::RECALL => match self.client.read::<RecallCommand>(&call) {
                 Ok(order) => {
-                    let returned = settling::give_back(&self, &order).await;
+                    let returned = settlement::release_unused(&self, &order).await;
                     responses::msgpack(&RecallReply { returned })
                 }
                 Err(refusal) => *refusal,
@@ -127,7 +127,7 @@
         }
         // What is still open keeps its tenure: peers reclaim it once this process is gone, with
         // what the agents know.
-        settling::leave(self, self.requests() == 0).await;
+        settlement::settle_all(self, self.requests() == 0).await;
         self.register(false).await;
         tracing::info!(id = %self.id, left = self.requests(), "stopped");
     }
@@ -169,8 +169,8 @@
     let fleet_handler = move |call| Arc::clone(&fleet_entry).answer_inner(call);
     smol::spawn(listeners::serve(fleet, ServerLimits::default(), fleet_handler)).detach();
     watching::start(&entry);
-    settling::start(&entry);
-    smol::spawn(reclaiming::watch_lost(Arc::clone(&entry))).detach();
+    settlement::start(&entry);
+    smol::spawn(reclaiming::watch_lost_peers(Arc::clone(&entry))).detach();
     tracing::info!(id = %entry.id, %address, %inner, "entry started");
     Ok(EntryHandle { entry, address, inner })
 }
--- a/toucanrail-daemons/src/running.rs
+++ b/toucanrail-daemons/src/execution.rs
@@ -1,4 +1,4 @@
-//! Runs one order at the agent's backend server and frames its answer.
+//! Runs one command at the agent's backend server and frames its answer.
 
 use std::io;
 use std::sync::Arc;
@@ -19,19 +19,19 @@
 use crate::agents::Agent;
 
 /// Time between two signs of life to the entry.
-const HEARTBEAT: Duration = Duration::from_millis(500);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 /// Silence of the backend server after which it is asked, on a fresh connection, whether it still
-/// works on the request.
-const SILENCE: Duration = Duration::from_millis(1_500);
-/// Longest wait for the backend server's word on a request.
-const WORD_BOUND: Duration = Duration::from_secs(1);
+/// active on the request.
+const SILENCE_THRESHOLD: Duration = Duration::from_millis(1_500);
+/// Longest wait for the backend server's status on a request.
+const STATUS_TIMEOUT: Duration = Duration::from_secs(1);
 /// Tries to learn what a cancelled request used.
-const WORD_TRIES: u32 = 8;
-const WORD_PAUSE: Duration = Duration::from_millis(100);
+const MAX_CANCEL_ATTEMPTS: u32 = 8;
+const CANCEL_RETRY_DELAY: Duration = Duration::from_millis(100);
 /// Status with which a model engine says that it does not know a request.
-const UNKNOWN_STATUS: u16 = 404;
+const UNKNOWN_REQUEST_STATUS: u16 = 404;
 /// Fields that belong to one connection, or are made anew on the next.
-const HOP_FIELDS: [&str; 9] = [
+const HOP_BY_HOP_FIELDS: [&str; 9] = [
     "connection",
     "content-length",
     "date",
@@ -45,7 +45,7 @@
 
 /// What the backend server says of one request.
 #[derive(Debug, Clone, Copy, Deserialize)]
-struct ServerWord {
+struct EngineStatus {
     active: bool,
     used: Tokens,
     generated: Tokens,
@@ -53,10 +53,10 @@
 
 /// Whether the backend server knows a request.
 #[derive(Debug, Clone, Copy)]
-enum ServerReply {
-    Known(ServerWord),
+enum StatusReply {
+    Known(EngineStatus),
     Unknown,
-    Silent,
+    NoReply,
 }
 
 /// What the reading side saw.
@@ -80,7 +80,7 @@
 /// One try under way.
 struct RunTask {
     agent: Arc<Agent>,
-    order: RunCommand,
+    command: RunCommand,
     writer: PipeWriter,
     meter: RunMeter,
     head: Option<(u16, Vec<HeaderField>)>,
@@ -91,19 +91,19 @@
 }
 
 /// Tells whether a field is passed on.
-pub fn is_passed(name: &str) -> bool {
-    !HOP_FIELDS.contains(&name)
+pub fn is_forwarded(name: &str) -> bool {
+    !HOP_BY_HOP_FIELDS.contains(&name)
 }
 
-/// Runs an admitted order to its end and notes it in the ledger; the entry may go away meanwhile.
-pub async fn run_order(agent: Arc<Agent>, order: RunCommand, writer: PipeWriter) {
+/// Runs an admitted command to its end and notes it in the ledger; the entry may go away meanwhile.
+pub async fn run_command(agent: Arc<Agent>, command: RunCommand, writer: PipeWriter) {
     let (sender, events) = async_channel::bounded(16);
-    let reading = smol::spawn(read_answer(Arc::clone(&agent), order.clone(), sender));
+    let reading = smol::spawn(read_response(Arc::clone(&agent), command.clone(), sender));
     let mut task = RunTask {
-        meter: RunMeter::new(order.usage, order.streamed, order.resume_from),
-        deadline: Instant::now() + Duration::from_millis(order.time_left),
+        meter: RunMeter::new(command.usage, command.streamed, command.resume_from),
+        deadline: Instant::now() + Duration::from_millis(command.time_left),
         agent,
-        order,
+        command,
         writer,
         head: None,
         offset: 0,
@@ -112,7 +112,7 @@
     };
     loop {
         let event = next_event(&events, &task.writer, task.orphaned).await;
-        if !task.take_event(event).await {
+        if !task.handle_event(event).await {
             break;
         }
     }
@@ -138,21 +138,21 @@
         RunEvent::EntryGone
     };
     let tick = async {
-        smol::Timer::after(HEARTBEAT).await;
+        smol::Timer::after(HEARTBEAT_INTERVAL).await;
         RunEvent::Tick
     };
     read.or(gone).or(tick).await
 }
 
-async fn read_answer(
+async fn read_response(
     agent: Arc<Agent>,
-    order: RunCommand,
+    command: RunCommand,
     events: async_channel::Sender<ReadEvent>,
 ) {
-    let bound = Duration::from_millis(order.time_left);
-    let call = backend_call(&order);
-    let mut answer = match agent.pool.open(agent.settings.backend, call, bound).await {
-        Ok(answer) => answer,
+    let timeout = Duration::from_millis(command.time_left);
+    let call = backend_request(&command);
+    let mut response = match agent.pool.open(agent.settings.backend, call, timeout).await {
+        Ok(response) => response,
         Err(RequestError::NotSent(error)) => {
             events.send(ReadEvent::NotSent(error)).await.ok();
             return;
@@ -162,25 +162,26 @@
             return;
         }
     };
-    let named = answer.response.header("engine-request-id").map(|values| values.last().as_str());
-    let foreign = named.is_some_and(|id| id != &*order.run);
+    let response_id =
+        response.response.header("engine-request-id").map(|values| values.last().as_str());
+    let foreign = response_id.is_some_and(|id| id != &*command.run);
     let head = ReadEvent::Head {
-        status: answer.status(),
-        fields: passed_fields(&answer.response),
+        status: response.status(),
+        fields: forwarded_fields(&response.response),
         foreign,
     };
     if events.send(head).await.is_err() || foreign {
         return;
     }
     loop {
-        let event = match answer.read_chunk(bound).await {
+        let event = match response.read_chunk(timeout).await {
             Ok(bytes) if bytes.is_empty() => ReadEvent::End,
             Ok(bytes) => ReadEvent::Bytes(bytes),
             Err(error) => ReadEvent::Broken(error),
         };
         let last = !matches!(event, ReadEvent::Bytes(_));
         if matches!(event, ReadEvent::End) {
-            answer.release();
+            response.release();
             events.send(event).await.ok();
             return;
         }
@@ -190,26 +191,26 @@
     }
 }
 
-fn backend_call(order: &RunCommand) -> OutboundRequest {
-    let method = order.method.parse().unwrap_or(Method::Post);
-    let mut call = OutboundRequest::new(method, &*order.path);
-    for field in &order.fields {
+fn backend_request(command: &RunCommand) -> OutboundRequest {
+    let method = command.method.parse().unwrap_or(Method::Post);
+    let mut call = OutboundRequest::new(method, &*command.path);
+    for field in &command.fields {
         call = call.field(&field.name, &*field.value);
     }
-    if matches!(order.usage, UsageRule::Reported { .. }) {
+    if matches!(command.usage, UsageRule::Reported { .. }) {
         call = call
-            .field("engine-request-id", &*order.run)
-            .field("engine-account", &*order.customer)
-            .field("engine-priority", order.priority.to_string())
-            .field("engine-resume-from", order.resume_from.to_string());
+            .field("engine-request-id", &*command.run)
+            .field("engine-account", &*command.customer)
+            .field("engine-priority", command.priority.to_string())
+            .field("engine-resume-from", command.resume_from.to_string());
     }
-    call.body.clone_from(&order.body);
+    call.body.clone_from(&command.body);
     // A kept connection that dies under a call leaves its end unknown; not worth it here.
-    if order.repeatable { call } else { call.on_new_connection() }
+    if command.repeatable { call } else { call.on_new_connection() }
 }
 
-fn passed_fields(response: &http_types::Response) -> Vec<HeaderField> {
-    let fields = response.iter().filter(|(name, _)| is_passed(name.as_str()));
+fn forwarded_fields(response: &http_types::Response) -> Vec<HeaderField> {
+    let fields = response.iter().filter(|(name, _)| is_forwarded(name.as_str()));
     let fields = fields.map(|(name, values)| HeaderField {
         name: Arc::from(name.as_str()),
         value: Arc::from(values.last().as_str()),
@@ -219,15 +220,15 @@
 
 impl RunTask {
     /// Takes an event; false once the try has ended.
-    async fn take_event(&mut self, event: RunEvent) -> bool {
+    async fn handle_event(&mut self, event: RunEvent) -> bool {
         match event {
             RunEvent::Read(event) => {
                 self.heard_at = Instant::now();
-                self.take_read(event).await
+                self.handle_read(event).await
             }
-            RunEvent::Tick => self.take_tick().await,
+            RunEvent::Tick => self.handle_tick().await,
             // What may not be repeated goes on to its end: a retry must get its answer.
-            RunEvent::EntryGone if !self.order.repeatable => {
+            RunEvent::EntryGone if !self.command.repeatable => {
                 self.orphaned = true;
                 true
             }
@@ -235,7 +236,7 @@
         }
     }
 
-    async fn take_read(&mut self, event: ReadEvent) -> bool {
+    async fn handle_read(&mut self, event: ReadEvent) -> bool {
         match event {
             ReadEvent::NotSent(error) => {
                 tracing::debug!(%error, "backend server not reached");
@@ -255,20 +256,20 @@
             ReadEvent::Head { status, fields, .. } => {
                 self.meter.set_status(status);
                 self.head = Some((status, fields.clone()));
-                let request = Arc::clone(&self.order.request);
+                let request = Arc::clone(&self.command.request);
                 self.send(&RunFrame::Head { request, status, fields }).await;
                 true
             }
-            ReadEvent::Bytes(bytes) => self.pass_bytes(&bytes).await,
-            ReadEvent::End if self.meter.is_complete() => self.end().await,
+            ReadEvent::Bytes(bytes) => self.forward_bytes(&bytes).await,
+            ReadEvent::End if self.meter.is_complete() => self.complete().await,
             ReadEvent::End => self.fail(codetable::ANSWER_CUT, RunState::Ran).await,
         }
     }
 
-    async fn pass_bytes(&mut self, bytes: &[u8]) -> bool {
+    async fn forward_bytes(&mut self, bytes: &[u8]) -> bool {
         let bytes = self.meter.process_bytes(bytes);
         // The agent keeps to the hold even if the engine would not.
-        if self.meter.min_used() > self.order.hold {
+        if self.meter.min_used() > self.command.hold {
             return self.fail(codetable::ANSWER_CUT, RunState::Ran).await;
         }
         if bytes.is_empty() {
@@ -276,78 +277,78 @@
         }
         let offset = self.offset;
         self.offset += bytes.len() as u64;
-        let request = Arc::clone(&self.order.request);
+        let request = Arc::clone(&self.command.request);
         let tokens = self.meter.tokens;
         self.send(&RunFrame::Data { request, offset, tokens, bytes }).await;
         true
     }
 
     /// Tells the entry that this side lives, and looks after a backend server that fell silent.
-    async fn take_tick(&mut self) -> bool {
-        let request = Arc::clone(&self.order.request);
+    async fn handle_tick(&mut self) -> bool {
+        let request = Arc::clone(&self.command.request);
         self.send(&RunFrame::Alive { request }).await;
         if Instant::now() >= self.deadline {
             return self.fail(codetable::DEADLINE_PASSED, RunState::Ran).await;
         }
-        let engine = matches!(self.order.usage, UsageRule::Reported { .. });
-        if !engine || self.heard_at.elapsed() < SILENCE {
+        let is_engine = matches!(self.command.usage, UsageRule::Reported { .. });
+        if !is_engine || self.heard_at.elapsed() < SILENCE_THRESHOLD {
             return true;
         }
         self.heard_at = Instant::now();
         // The connection may be lost in between without either end knowing: the engine then says
         // that it has generated more than came here, or that it has ended.
-        let works = match self.ask_server("usage").await {
-            ServerReply::Known(word) => word.active && !self.is_behind(word),
-            ServerReply::Unknown => self.head.is_none(),
-            ServerReply::Silent => self.agent.is_backend_healthy(),
+        let active = match self.query_engine("usage").await {
+            StatusReply::Known(status) => status.active && !self.is_behind(status),
+            StatusReply::Unknown => self.head.is_none(),
+            StatusReply::NoReply => self.agent.is_backend_healthy(),
         };
-        if works {
+        if active {
             return true;
         }
         self.fail(codetable::SILENT_CONNECTION, RunState::Unknown).await
     }
 
-    fn is_behind(&self, word: ServerWord) -> bool {
-        self.order.streamed && word.generated > self.meter.generated()
+    fn is_behind(&self, status: EngineStatus) -> bool {
+        self.command.streamed && status.generated > self.meter.generated()
     }
 
-    async fn ask_server(&self, question: &str) -> ServerReply {
-        let path = format!("/engine/{question}/{}", self.order.run);
+    async fn query_engine(&self, question: &str) -> StatusReply {
+        let path = format!("/engine/{question}/{}", self.command.run);
         let call = OutboundRequest::get(path).on_new_connection();
-        let answer = self.agent.pool.fetch(self.agent.settings.backend, call, WORD_BOUND).await;
-        match answer {
-            Ok(answer) if answer.status == UNKNOWN_STATUS => ServerReply::Unknown,
-            Ok(answer) => {
-                serde_json::from_slice(&answer.body).map_or(ServerReply::Silent, ServerReply::Known)
-            }
-            Err(_) => ServerReply::Silent,
+        let response =
+            self.agent.pool.fetch(self.agent.settings.backend, call, STATUS_TIMEOUT).await;
+        match response {
+            Ok(response) if response.status == UNKNOWN_REQUEST_STATUS => StatusReply::Unknown,
+            Ok(response) => serde_json::from_slice(&response.body)
+                .map_or(StatusReply::NoReply, StatusReply::Known),
+            Err(_) => StatusReply::NoReply,
         }
     }
 
     async fn withdraw(&self) -> bool {
-        self.agent.lock_ledger().withdraw(&self.order.run);
-        let request = Arc::clone(&self.order.request);
+        self.agent.lock_ledger().withdraw(&self.command.run);
+        let request = Arc::clone(&self.command.request);
         let code = codetable::NO_BACKEND_SERVER;
         self.send(&RunFrame::Refused { request, code, retry_after: 1_000 }).await;
         false
     }
 
-    async fn end(&mut self) -> bool {
+    async fn complete(&mut self) -> bool {
         let (used, unproved) = match self.meter.used() {
             Some(used) => (used, 0),
             None => self.settle_usage().await,
         };
-        self.note_end(true, used, unproved);
-        let request = Arc::clone(&self.order.request);
+        self.record_end(true, used, unproved);
+        let request = Arc::clone(&self.command.request);
         self.send(&RunFrame::End { request, bytes: self.offset, used: used + unproved }).await;
         false
     }
 
     async fn fail(&mut self, code: ResultCode, run: RunState) -> bool {
         let (used, unproved) = self.settle_usage().await;
-        self.note_end(false, used, unproved);
+        self.record_end(false, used, unproved);
         self.agent.board.count_event("runs_failed");
-        let request = Arc::clone(&self.order.request);
+        let request = Arc::clone(&self.command.request);
         self.send(&RunFrame::Failed { request, code, run, used, unproved }).await;
         false
     }
@@ -357,33 +358,33 @@
     /// Guards against a cancel that overtakes its request on another connection: an engine that
     /// does not know the request yet may still run it, so it is asked until it knows it.
     async fn settle_usage(&self) -> (Tokens, Tokens) {
-        let least = self.meter.min_used().min(self.order.hold);
-        if matches!(self.order.usage, UsageRule::Fixed(_)) {
-            return (least, 0);
+        let min_used = self.meter.min_used().min(self.command.hold);
+        if matches!(self.command.usage, UsageRule::Fixed(_)) {
+            return (min_used, 0);
         }
-        for attempt in 0..WORD_TRIES {
-            match self.ask_server("cancel").await {
-                ServerReply::Known(word) => {
-                    return (word.used.max(least).min(self.order.hold), 0);
+        for attempt in 0..MAX_CANCEL_ATTEMPTS {
+            match self.query_engine("cancel").await {
+                StatusReply::Known(status) => {
+                    return (status.used.max(min_used).min(self.command.hold), 0);
                 }
-                ServerReply::Unknown => smol::Timer::after(WORD_PAUSE).await,
-                ServerReply::Silent => smol::Timer::after(HEARTBEAT * attempt).await,
+                StatusReply::Unknown => smol::Timer::after(CANCEL_RETRY_DELAY).await,
+                StatusReply::NoReply => smol::Timer::after(HEARTBEAT_INTERVAL * attempt).await,
             };
         }
-        (least, self.order.hold - least)
+        (min_used, self.command.hold - min_used)
     }
 
-    fn note_end(&mut self, whole: bool, used: Tokens, unproved: Tokens) {
-        let empty = RunMeter::new(self.order.usage, false, 0);
+    fn record_end(&mut self, whole: bool, used: Tokens, unproved: Tokens) {
+        let empty = RunMeter::new(self.command.usage, false, 0);
         let meter = std::mem::replace(&mut self.meter, empty);
-        let kept = meter.into_body().filter(|_| whole && !self.order.repeatable);
-        let answer = kept.zip(self.head.clone()).map(|(body, (status, fields))| StoredResponse {
+        let body = meter.into_body().filter(|_| whole && !self.command.repeatable);
+        let response = body.zip(self.head.clone()).map(|(body, (status, fields))| StoredResponse {
             status,
             fields,
             body,
         });
         let mut ledger = self.agent.lock_ledger();
-        ledger.finish(&self.order.run, whole, used, unproved, answer);
+        ledger.finish(&self.command.run, whole, used, unproved, response);
     }
 
     fn send(&self, frame: &RunFrame) -> impl Future<Output = bool> + Send + '_ {
--- a/toucanrail-daemons/src/lib.rs
+++ b/toucanrail-daemons/src/lib.rs
@@ -7,24 +7,24 @@
 //! ```
 
 pub mod agents;
-pub mod answering;
 pub mod attempts;
 pub mod billing;
-pub mod callers;
 pub mod demos;
 pub mod editing;
 pub mod entries;
+pub mod execution;
 pub mod fleets;
 pub mod inspecting;
 pub mod mirroring;
 pub mod observing;
 pub mod operators;
+pub mod planning;
 pub mod reclaiming;
 pub mod recording;
 pub mod registering;
-pub mod running;
+pub mod responding;
 pub mod serving;
-pub mod settling;
+pub mod settlement;
 pub mod starting;
 pub mod states;
 pub mod watching;
--- a/toucanrail-daemons/src/callers.rs
+++ b/toucanrail-daemons/src/planning.rs
@@ -14,21 +14,21 @@
 use toucanrail_wire::listeners::ReceivedRequest;
 use toucanrail_wire::responses::ErrorDetails;
 
-use crate::running;
+use crate::execution;
 
 /// Tokens that an engine's chat template may add to each message.
 const TEMPLATE_TOKENS: Tokens = 8;
 /// Bytes of a prompt that stand for its prefix when a server is chosen.
 const PREFIX_BYTES: usize = 256;
-const KEY_LIMIT: usize = 256;
+const MAX_KEY_BYTES: usize = 256;
 /// Most tokens that a caller may ask for; ten times the longest context of today's models.
-const OUTPUT_LIMIT: Tokens = 10_000_000;
+const MAX_OUTPUT_TOKENS: Tokens = 10_000_000;
 /// Fields of the caller that backend servers do not get.
-const OWN_FIELDS: [&str; 3] = ["authorization", "expect", "toucanrail-deadline-ms"];
+const INTERNAL_FIELDS: [&str; 3] = ["authorization", "expect", "toucanrail-deadline-ms"];
 
 /// One request, read and checked.
 #[derive(Debug, Clone)]
-pub struct CallPlan {
+pub struct RequestPlan {
     /// Its id.
     pub request: RequestId,
     /// Whether the caller gave a key.
@@ -44,7 +44,7 @@
     /// Fields passed on.
     pub fields: Vec<HeaderField>,
     /// What is sent on.
-    pub body: CallBody,
+    pub body: RequestBody,
     /// Whether the answer streams as events.
     pub streamed: bool,
     /// How usage is counted.
@@ -63,7 +63,7 @@
 
 /// The body to send on.
 #[derive(Debug, Clone)]
-pub enum CallBody {
+pub enum RequestBody {
     /// As the caller sent it.
     Plain(Vec<u8>),
     /// A completion, with its limit.
@@ -71,24 +71,24 @@
         /// The fields of the JSON body.
         fields: Map<String, Value>,
         /// The output limit.
-        output: Tokens,
+        max_output: Tokens,
     },
 }
 
-impl CallBody {
-    /// Encodes the body for a run that goes on behind the first `resumed` tokens.
-    pub fn encode(&self, resumed: Tokens) -> Vec<u8> {
+impl RequestBody {
+    /// Encodes the body for a run that goes on behind the first `resume_from` tokens.
+    pub fn encode(&self, resume_from: Tokens) -> Vec<u8> {
         match self {
             Self::Plain(bytes) => bytes.clone(),
-            Self::Completion { fields, output } if resumed == 0 => {
-                debug_assert_eq!(fields.get("max_tokens"), Some(&json!(output)));
+            Self::Completion { fields, max_output } if resume_from == 0 => {
+                debug_assert_eq!(fields.get("max_tokens"), Some(&json!(max_output)));
                 // Text and numbers that were read as JSON are written as JSON again.
                 serde_json::to_vec(fields).unwrap_or_default()
             }
-            Self::Completion { fields, output } => {
+            Self::Completion { fields, max_output } => {
                 let mut fields = fields.clone();
-                let left = output.saturating_sub(resumed);
-                fields.insert("max_tokens".to_owned(), json!(left));
+                let remaining = max_output.saturating_sub(resume_from);
+                fields.insert("max_tokens".to_owned(), json!(remaining));
                 serde_json::to_vec(&fields).unwrap_or_default()
             }
         }
@@ -97,81 +97,82 @@
 
 type PlanResult<Value> = Result<Value, Box<ErrorDetails>>;
 
-fn refuse<Value>(code: ResultCode, detail: &str) -> PlanResult<Value> {
+fn reject<Value>(code: ResultCode, detail: &str) -> PlanResult<Value> {
     Err(Box::new(ErrorDetails::new(code).detail(detail)))
 }
 
-fn refuse_field<Value>(field: &'static str, detail: &str) -> PlanResult<Value> {
+fn reject_field<Value>(field: &'static str, detail: &str) -> PlanResult<Value> {
     Err(Box::new(ErrorDetails::new(codetable::BAD_REQUEST).field(field).detail(detail)))
 }
 
 /// Finds the customer of a call's bearer key.
-pub fn read_customer<'table>(
+pub fn find_customer<'table>(
     table: &'table CatalogueTable,
     call: &ReceivedRequest,
 ) -> PlanResult<&'table CustomerEntry> {
     let bearer = call.field("authorization").and_then(|value| value.strip_prefix("Bearer "));
     let customer =
         bearer.and_then(|key| table.customer_by_key_digest(&paths::hash_text(key.trim())));
-    customer.map_or_else(|| refuse(codetable::UNKNOWN_KEY, ""), Ok)
+    customer.map_or_else(|| reject(codetable::UNKNOWN_KEY, ""), Ok)
 }
 
 /// Reads a call into a plan.
-pub fn read_plan(table: &CatalogueTable, call: &ReceivedRequest) -> PlanResult<CallPlan> {
-    let customer = read_customer(table, call)?.clone();
+pub fn parse_plan(table: &CatalogueTable, call: &ReceivedRequest) -> PlanResult<RequestPlan> {
+    let customer = find_customer(table, call)?.clone();
     match call.path() {
-        "/v1/chat/completions" | "/v1/completions" => read_completion(table, customer, call),
-        _ => read_plain(table, customer, call),
+        "/v1/chat/completions" | "/v1/completions" => parse_completion(table, customer, call),
+        _ => parse_plain(table, customer, call),
     }
 }
 
-fn read_completion(
+fn parse_completion(
     table: &CatalogueTable,
     customer: CustomerEntry,
     call: &ReceivedRequest,
-) -> PlanResult<CallPlan> {
+) -> PlanResult<RequestPlan> {
     let fields: Result<Map<String, Value>, _> = serde_json::from_slice(&call.body);
     let Ok(mut fields) = fields else {
-        return refuse(codetable::BAD_REQUEST, "The body is not a JSON object.");
+        return reject(codetable::BAD_REQUEST, "The body is not a JSON object.");
     };
     let model = fields.get("model").and_then(Value::as_str).unwrap_or_default();
     let Some(service) = table.service_by_model(model).filter(|found| may_use(&customer, found))
     else {
-        return refuse(codetable::NO_SUCH_MODEL, "See GET /v1/models.");
+        return reject(codetable::NO_SUCH_MODEL, "See GET /v1/models.");
     };
     let service = service.clone();
-    let chat = call.path() == "/v1/chat/completions";
-    let Some((prompt, messages)) = read_prompt(&fields, chat) else {
-        return refuse(codetable::BAD_REQUEST, "It has no messages, or no prompt text.");
+    let is_chat = call.path() == "/v1/chat/completions";
+    let Some((prompt, messages)) = parse_prompt(&fields, is_chat) else {
+        return reject(codetable::BAD_REQUEST, "It has no messages, or no prompt text.");
     };
     if fields.get("n").and_then(Value::as_u64).unwrap_or(1) != 1 {
-        return refuse(codetable::BAD_REQUEST, "Only n = 1 is supported.");
+        return reject(codetable::BAD_REQUEST, "Only n = 1 is supported.");
     }
-    let output = read_output(&fields)?.unwrap_or(service.max_output).min(service.max_output);
+    let max_output =
+        parse_max_output(&fields)?.unwrap_or(service.max_output).min(service.max_output);
     fields.remove("max_completion_tokens");
-    fields.insert("max_tokens".to_owned(), json!(output));
+    fields.insert("max_tokens".to_owned(), json!(max_output));
     let streamed = fields.get("stream").and_then(Value::as_bool).unwrap_or(false);
     let hidden = streamed && !wants_usage(&fields);
     if streamed {
         fields.insert("stream_options".to_owned(), json!({ "include_usage": true }));
     }
-    let body = CallBody::Completion { fields, output };
+    let body = RequestBody::Completion { fields, max_output };
     let prompt_bytes = body.encode(0).len() as u64;
-    let prompt_bound =
+    let max_prompt_tokens =
         prompt_bytes.div_ceil(service.least_bytes_per_token) + messages * TEMPLATE_TOKENS;
     let plan = base_plan(customer, service, call, call.path(), body)?;
-    Ok(CallPlan {
+    Ok(RequestPlan {
         streamed,
         usage: UsageRule::Reported { hidden },
-        hold: prompt_bound + output,
+        hold: max_prompt_tokens + max_output,
         prefix: Some(routing::hash_prefix(prompt.as_bytes(), PREFIX_BYTES)),
         ..plan
     })
 }
 
 /// Returns the prompt's text and the number of its messages.
-fn read_prompt(fields: &Map<String, Value>, chat: bool) -> Option<(String, u64)> {
-    if !chat {
+fn parse_prompt(fields: &Map<String, Value>, is_chat: bool) -> Option<(String, u64)> {
+    if !is_chat {
         return fields.get("prompt")?.as_str().map(|prompt| (prompt.to_owned(), 1));
     }
     let messages = fields.get("messages")?.as_array().filter(|messages| !messages.is_empty())?;
@@ -185,14 +186,14 @@
 
 /// Reads how many tokens the caller asks for, if it says; more than the service allows is cut to that,
 /// but a number that no engine could mean is a fault of the caller.
-fn read_output(fields: &Map<String, Value>) -> PlanResult<Option<Tokens>> {
+fn parse_max_output(fields: &Map<String, Value>) -> PlanResult<Option<Tokens>> {
     for name in ["max_tokens", "max_completion_tokens"] {
         let Some(value) = fields.get(name).filter(|value| !value.is_null()) else {
             continue;
         };
-        return match value.as_u64().filter(|count| (1..=OUTPUT_LIMIT).contains(count)) {
+        return match value.as_u64().filter(|count| (1..=MAX_OUTPUT_TOKENS).contains(count)) {
             Some(count) => Ok(Some(count)),
-            None => refuse_field(name, "It is no number of tokens."),
+            None => reject_field(name, "It is no number of tokens."),
         };
     }
     Ok(None)
@@ -208,30 +209,30 @@
     customer.services.is_empty() || customer.services.contains(&service.name)
 }
 
-fn read_plain(
+fn parse_plain(
     table: &CatalogueTable,
     customer: CustomerEntry,
     call: &ReceivedRequest,
-) -> PlanResult<CallPlan> {
+) -> PlanResult<RequestPlan> {
     let found = table.service_by_path(call.path()).filter(|found| may_use(&customer, found));
     let Some(service) = found.filter(|found| found.kind == ServiceKind::Plain) else {
-        return refuse(codetable::NO_SUCH_ROUTE, "");
+        return reject(codetable::NO_SUCH_ROUTE, "");
     };
     let service = service.clone();
     let route = service.route.as_deref().unwrap_or_default();
-    let below = call.path().strip_prefix(route).unwrap_or_default();
-    let below = if below.is_empty() { "/" } else { below };
-    let repeatable = service.is_repeatable(call.request.method().as_ref(), below);
+    let subpath = call.path().strip_prefix(route).unwrap_or_default();
+    let subpath = if subpath.is_empty() { "/" } else { subpath };
+    let repeatable = service.is_repeatable(call.request.method().as_ref(), subpath);
     let path = match call.request.url().query() {
-        Some(query) => format!("{below}?{query}"),
-        None => below.to_owned(),
+        Some(query) => format!("{subpath}?{query}"),
+        None => subpath.to_owned(),
     };
     let price = service.price;
-    let plan = base_plan(customer, service, call, &path, CallBody::Plain(call.body.clone()))?;
+    let plan = base_plan(customer, service, call, &path, RequestBody::Plain(call.body.clone()))?;
     if !repeatable && !plan.keyed {
-        return refuse(codetable::KEY_REQUIRED, "");
+        return reject(codetable::KEY_REQUIRED, "");
     }
-    Ok(CallPlan { usage: UsageRule::Fixed(price), hold: price, repeatable, ..plan })
+    Ok(RequestPlan { usage: UsageRule::Fixed(price), hold: price, repeatable, ..plan })
 }
 
 fn base_plan(
@@ -239,32 +240,33 @@
     service: ServiceEntry,
     call: &ReceivedRequest,
     path: &str,
-    body: CallBody,
-) -> PlanResult<CallPlan> {
+    body: RequestBody,
+) -> PlanResult<RequestPlan> {
     let key = call.field("idempotency-key").filter(|key| !key.is_empty());
-    if key.is_some_and(|key| key.len() > KEY_LIMIT) {
-        return refuse(codetable::BAD_REQUEST, "The Idempotency-Key is too long.");
+    if key.is_some_and(|key| key.len() > MAX_KEY_BYTES) {
+        return reject(codetable::BAD_REQUEST, "The Idempotency-Key is too long.");
     }
     let request = match key {
         Some(key) => paths::keyed_request_id(&customer.name, key),
         None => Arc::from(format!("{:032x}", fastrand::u128(..))),
     };
     let method: Arc<str> = Arc::from(call.request.method().as_ref());
-    let longest = Duration::from_secs(service.deadline_seconds);
-    let asked = call.field("toucanrail-deadline-ms").and_then(|text| text.parse().ok());
-    let deadline = asked.map_or(longest, |millis| Duration::from_millis(millis).min(longest));
+    let max_deadline = Duration::from_secs(service.deadline_seconds);
+    let requested = call.field("toucanrail-deadline-ms").and_then(|text| text.parse().ok());
+    let deadline =
+        requested.map_or(max_deadline, |millis| Duration::from_millis(millis).min(max_deadline));
     let digest = key.map_or_else(String::new, |_| {
         let body = paths::hash_bytes(&call.body);
         paths::hash_text(&format!("{method} {path} {body}"))
     });
-    Ok(CallPlan {
+    Ok(RequestPlan {
         request,
         keyed: key.is_some(),
         customer,
         service,
         method,
         path: Arc::from(path),
-        fields: passed_fields(call),
+        fields: forwarded_fields(call),
         body,
         streamed: false,
         usage: UsageRule::Fixed(0),
@@ -276,10 +278,12 @@
     })
 }
 
-fn passed_fields(call: &ReceivedRequest) -> Vec<HeaderField> {
+fn forwarded_fields(call: &ReceivedRequest) -> Vec<HeaderField> {
     let fields = call.request.iter().filter(|(name, _)| {
         let name = name.as_str();
-        running::is_passed(name) && !OWN_FIELDS.contains(&name) && !name.starts_with("engine-")
+        execution::is_forwarded(name)
+            && !INTERNAL_FIELDS.contains(&name)
+            && !name.starts_with("engine-")
     });
     let fields = fields.map(|(name, values)| HeaderField {
         name: Arc::from(name.as_str()),
--- a/toucanrail-daemons/src/reclaiming.rs
+++ b/toucanrail-daemons/src/reclaiming.rs
@@ -17,25 +17,26 @@
 use crate::registering;
 use crate::states::Entry;
 
-const LOOK_INTERVAL: Duration = Duration::from_millis(300);
-const FENCE_BOUND: Duration = Duration::from_millis(800);
+const CHECK_INTERVAL: Duration = Duration::from_millis(300);
+const FENCE_TIMEOUT: Duration = Duration::from_millis(800);
 /// Head start of each entry over the next in rank, so that one does the work.
 /// Time that peers have to finish what they began.
-const OWN_DELAY: Duration = Duration::from_secs(3);
+const OWN_RECLAIM_INTERVAL: Duration = Duration::from_secs(3);
 const RANK_DELAY: Duration = Duration::from_secs(2);
 
 /// Looks for lost peers and reclaims their tenures, again and again.
-pub async fn watch_lost(entry: Arc<Entry>) {
+pub async fn watch_lost_peers(entry: Arc<Entry>) {
     let mut lost_since: BTreeMap<EntryId, Duration> = BTreeMap::new();
     loop {
-        smol::Timer::after(LOOK_INTERVAL).await;
+        smol::Timer::after(CHECK_INTERVAL).await;
         let now = entry.now();
         let mut lost = entry.lock().members.lost_peers(now);
-        lost.extend(find_orphans(&entry));
+        lost.extend(find_unregistered_holders(&entry));
         lost_since.retain(|peer, _| lost.contains(peer));
         for peer in lost {
             let since = *lost_since.entry(Arc::clone(&peer)).or_insert(now);
-            if now.saturating_sub(since) >= head_start(&entry, &peer) && may_reclaim(&entry, &peer)
+            if now.saturating_sub(since) >= reclaim_delay(&entry, &peer)
+                && may_reclaim(&entry, &peer)
             {
                 reclaim_all(&entry, &peer).await;
             }
@@ -45,7 +46,7 @@
 
 /// Finds holders whose registration has ended: they are no longer among the peers, so that nobody
 /// would miss them.
-fn find_orphans(entry: &Entry) -> Vec<EntryId> {
+fn find_unregistered_holders(entry: &Entry) -> Vec<EntryId> {
     let holders: BTreeSet<EntryId> = {
         let tables = entry.lock();
         let shards = tables.grants.shards();
@@ -59,7 +60,7 @@
 }
 
 /// Ranks the live entries for a dead one; the first begins at once.
-fn head_start(entry: &Entry, dead: &EntryId) -> Duration {
+fn reclaim_delay(entry: &Entry, dead: &EntryId) -> Duration {
     let tables = entry.lock();
     let lost = tables.members.lost_peers(entry.now());
     let peers = tables.members.peers().map(|peer| Arc::clone(&peer.node.id));
@@ -91,7 +92,7 @@
             ReclaimOutcome::Closed { proved, bills, runs } => {
                 entry.board.count_event("tenures_reclaimed");
                 tracing::info!(%dead, %shard, proved, bills, "tenure reclaimed");
-                drop_runs(entry, runs).await;
+                acknowledge_runs(entry, runs).await;
             }
             ReclaimOutcome::NotNeeded => {}
             ReclaimOutcome::Waiting | ReclaimOutcome::Unavailable => finished = false,
@@ -106,9 +107,9 @@
 ///
 /// Guards against money that stays revoked: an entry that seemed dead and lives is no longer
 /// lost, so the peer that began may never come back to it.
-pub async fn finish_own(entry: Arc<Entry>, shard: ShardName) {
+pub async fn reclaim_own(entry: Arc<Entry>, shard: ShardName) {
     loop {
-        smol::Timer::after(OWN_DELAY).await;
+        smol::Timer::after(OWN_RECLAIM_INTERVAL).await;
         let outcome = reclaim(&entry, &shard, &entry.id).await;
         if !matches!(outcome, ReclaimOutcome::Waiting | ReclaimOutcome::Unavailable) {
             return;
@@ -131,20 +132,20 @@
     machine.into_outcome()
 }
 
-async fn fence(entry: &Arc<Entry>, agent: &AgentId, order: FenceCommand) -> ReclaimReply {
-    if is_gone(entry, agent) {
+async fn fence(entry: &Arc<Entry>, agent: &AgentId, command: FenceCommand) -> ReclaimReply {
+    if is_agent_gone(entry, agent) {
         return ReclaimReply::Gone;
     }
-    let Some(address) = find_agent(entry, agent) else {
+    let Some(address) = agent_address(entry, agent) else {
         return ReclaimReply::Unreachable;
     };
     let reply: std::io::Result<FenceReply> =
-        entry.client.send(address, routes::FENCE, &order, FENCE_BOUND).await;
+        entry.client.send(address, routes::FENCE, &command, FENCE_TIMEOUT).await;
     reply.map_or(ReclaimReply::Unreachable, ReclaimReply::Fenced)
 }
 
 /// Returns where a registered agent is reached.
-pub fn find_agent(entry: &Entry, agent: &AgentId) -> Option<SocketAddr> {
+pub fn agent_address(entry: &Entry, agent: &AgentId) -> Option<SocketAddr> {
     let state = entry.mirrors.lock();
     let node: NodeEntry = storecalls::decode_value(state.nodes.get(agent)?)?;
     Some(node.address)
@@ -152,7 +153,7 @@
 
 /// Tells whether an incarnation of an agent is provably gone: its registration was ended, or its
 /// VM left the list. One that was never seen may only be new.
-pub fn is_gone(entry: &Entry, agent: &AgentId) -> bool {
+pub fn is_agent_gone(entry: &Entry, agent: &AgentId) -> bool {
     let node: Option<NodeEntry> = {
         let state = entry.mirrors.lock();
         if state.nodes.version(agent).is_none() {
@@ -163,14 +164,14 @@
     node.is_none_or(|node| entry.lock().members.is_vm_gone(&node.vm))
 }
 
-async fn drop_runs(entry: &Arc<Entry>, runs: BTreeMap<AgentId, Vec<RunId>>) {
+async fn acknowledge_runs(entry: &Arc<Entry>, runs: BTreeMap<AgentId, Vec<RunId>>) {
     for (agent, runs) in runs.into_iter().filter(|(_, runs)| !runs.is_empty()) {
-        let Some(address) = find_agent(entry, &agent) else {
+        let Some(address) = agent_address(entry, &agent) else {
             continue;
         };
-        let order = AckCommand { runs };
+        let command = AckCommand { runs };
         let reply: std::io::Result<AgentReply> =
-            entry.client.send(address, routes::ACK, &order, FENCE_BOUND).await;
+            entry.client.send(address, routes::ACK, &command, FENCE_TIMEOUT).await;
         if reply.is_err() {
             entry.board.count_event("acks_lost");
         }
--- a/toucanrail-daemons/src/recording.rs
+++ b/toucanrail-daemons/src/recording.rs
@@ -11,16 +11,16 @@
 use toucanrail::storecalls::{self, StoreCall, StoreReply, WriteExpectation};
 use toucanrail_wire::stores::ObjectStore;
 
-use crate::callers::CallPlan;
 use crate::fleets::routes;
+use crate::planning::RequestPlan;
 use crate::reclaiming;
 use crate::states::Entry;
 
-const ASK_BOUND: Duration = Duration::from_secs(1);
-const WRITE_PAUSE: Duration = Duration::from_millis(500);
+const QUERY_TIMEOUT: Duration = Duration::from_secs(1);
+const WRITE_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Opens the record of a request for a try at `agent`, or finds what became of an earlier one.
-pub async fn open_record(entry: &Arc<Entry>, plan: &CallPlan, agent: &AgentId) -> RecordOutcome {
+pub async fn open_record(entry: &Arc<Entry>, plan: &RequestPlan, agent: &AgentId) -> RecordOutcome {
     let mut machine = RecordMachine::new(RunRecord {
         request: Arc::clone(&plan.request),
         customer: Arc::clone(&plan.customer.name),
@@ -35,7 +35,7 @@
         let reply = match call {
             RecordCall::Store(call) => RecordReply::Store(entry.store.call(&call).await),
             RecordCall::Query { agent, run, mode } => {
-                ask(entry, &agent, RunQuery { run, mode }).await
+                query_agent(entry, &agent, RunQuery { run, mode }).await
             }
         };
         machine.handle_reply(reply);
@@ -43,16 +43,16 @@
     machine.into_outcome()
 }
 
-async fn ask(entry: &Arc<Entry>, agent: &AgentId, order: RunQuery) -> RecordReply {
-    if reclaiming::is_gone(entry, agent) {
+async fn query_agent(entry: &Arc<Entry>, agent: &AgentId, query: RunQuery) -> RecordReply {
+    if reclaiming::is_agent_gone(entry, agent) {
         return RecordReply::Gone;
     }
-    let Some(address) = reclaiming::find_agent(entry, agent) else {
+    let Some(address) = reclaiming::agent_address(entry, agent) else {
         return RecordReply::Unreachable;
     };
-    debug_assert_ne!(order.mode, QueryMode::Cancel);
+    debug_assert_ne!(query.mode, QueryMode::Cancel);
     let reply: std::io::Result<AgentReply> =
-        entry.client.send(address, routes::ASK, &order, ASK_BOUND).await;
+        entry.client.send(address, routes::ASK, &query, QUERY_TIMEOUT).await;
     match reply {
         Ok(reply) if reply.agent != *agent => RecordReply::Gone,
         Ok(AgentReply { fate: Some(fate), .. }) => RecordReply::Report(fate),
@@ -80,7 +80,7 @@
 /// Writes how a recorded try ended until the platform takes it.
 ///
 /// The run stays in its agent's ledger meanwhile, so that a retry learns its end from there.
-pub async fn close_surely(
+pub async fn close_record_retrying(
     entry: &Arc<Entry>,
     record: &RunRecord,
     version: Version,
@@ -88,6 +88,6 @@
 ) {
     while !close_record(entry, record, version, state.clone()).await {
         entry.board.count_event("records_delayed");
-        smol::Timer::after(WRITE_PAUSE).await;
+        smol::Timer::after(WRITE_RETRY_INTERVAL).await;
     }
 }
--- a/toucanrail-daemons/src/answering.rs
+++ b/toucanrail-daemons/src/responding.rs
@@ -8,82 +8,83 @@
 use toucanrail_wire::pipes::{self, PipeWriter};
 use toucanrail_wire::responses;
 
-use crate::attempts::AnswerSink;
-use crate::callers::CallPlan;
+use crate::attempts::ResponseSink;
+use crate::planning::RequestPlan;
 
 /// Bytes of an answer that does not stream which are held back until it is whole, so that a cut
 /// one can be tried again unseen.
-const HELD_BYTES: usize = 1024 * 1024;
-/// Largest answer kept for a retry of a keyed request.
-const KEPT_BYTES: usize = 256 * 1024;
+const MAX_HELD_BYTES: usize = 1024 * 1024;
+/// Largest answer stored for a retry of a keyed request.
+const MAX_REPLAY_BYTES: usize = 256 * 1024;
 
 /// The caller's side of a request: its answer, sent once its head is due.
 #[derive(Debug)]
-pub struct CallerSide {
+pub struct ResponseWriter {
     /// Takes the answer once its head is due.
     pub reply: async_channel::Sender<Response>,
-    writer: Option<PipeWriter>,
+    pipe: Option<PipeWriter>,
     streamed: bool,
     /// Status and fields, once they came.
     pub head: Option<(u16, Vec<HeaderField>)>,
     /// The body of an answer that does not stream, until it is whole.
     pub held: Vec<u8>,
     /// The body so far, for a retry of a keyed request.
-    pub kept: Option<Vec<u8>>,
+    pub replay_body: Option<Vec<u8>>,
     /// Tokens that the caller has.
     pub tokens: Tokens,
     repeatable: bool,
 }
 
-impl CallerSide {
+impl ResponseWriter {
     /// Makes the side of a caller who waits for an answer.
-    pub fn new(plan: &CallPlan, reply: async_channel::Sender<Response>) -> Self {
+    pub fn new(plan: &RequestPlan, reply: async_channel::Sender<Response>) -> Self {
         Self {
             reply,
-            writer: None,
+            pipe: None,
             streamed: plan.streamed,
             head: None,
             held: Vec::new(),
-            kept: plan.keyed.then(Vec::new),
+            replay_body: plan.keyed.then(Vec::new),
             tokens: 0,
             repeatable: plan.repeatable,
         }
     }
 
     /// Tells whether the caller has part of the answer.
-    pub fn is_begun(&self) -> bool {
-        self.writer.is_some()
+    pub fn has_started(&self) -> bool {
+        self.pipe.is_some()
     }
 
-    async fn begin(&mut self) {
+    async fn start(&mut self) {
         let (status, fields) = self.head.clone().unwrap_or((200, Vec::new()));
-        let (writer, body) = pipes::make_pipe();
+        let (pipe, body) = pipes::make_pipe();
         let mut response = responses::stream(status, body);
-        dress(&mut response, &fields);
-        self.writer = Some(writer);
+        set_fields(&mut response, &fields);
+        self.pipe = Some(pipe);
         self.reply.send(response).await.ok();
     }
 
-    fn keep(&mut self, bytes: &[u8]) {
-        if let Some(kept) = &mut self.kept {
-            kept.extend_from_slice(bytes);
+    fn store_for_replay(&mut self, bytes: &[u8]) {
+        if let Some(replay_body) = &mut self.replay_body {
+            replay_body.extend_from_slice(bytes);
         }
-        if self.kept.as_ref().is_some_and(|kept| kept.len() > KEPT_BYTES) {
-            self.kept = None;
+        if self.replay_body.as_ref().is_some_and(|replay_body| replay_body.len() > MAX_REPLAY_BYTES)
+        {
+            self.replay_body = None;
         }
     }
 
     /// Ends a whole answer.
     pub async fn finish(&mut self) {
-        if self.writer.is_none() && self.held.len() <= HELD_BYTES {
+        if self.pipe.is_none() && self.held.len() <= MAX_HELD_BYTES {
             let (status, fields) = self.head.clone().unwrap_or((200, Vec::new()));
             let mut response = responses::bytes(status, std::mem::take(&mut self.held));
-            dress(&mut response, &fields);
+            set_fields(&mut response, &fields);
             self.reply.send(response).await.ok();
             return;
         }
-        if let Some(writer) = self.writer.take() {
-            writer.finish().await;
+        if let Some(pipe) = self.pipe.take() {
+            pipe.finish().await;
         }
     }
 
@@ -92,12 +93,12 @@
         self.head = None;
         self.held.clear();
         self.tokens = 0;
-        self.kept = self.kept.take().map(|_| Vec::new());
+        self.replay_body = self.replay_body.take().map(|_| Vec::new());
     }
 }
 
 /// Puts the fields of an answer that ran on a response.
-pub fn dress(response: &mut Response, fields: &[HeaderField]) {
+pub fn set_fields(response: &mut Response, fields: &[HeaderField]) {
     for field in fields {
         response.insert_header(&*field.name, &*field.value);
     }
@@ -105,39 +106,39 @@
     response.insert_header(responses::RUN_HEADER, RunState::Ran.as_str());
 }
 
-impl AnswerSink for CallerSide {
-    fn take_head(&mut self, status: u16, fields: Vec<HeaderField>) {
-        if !self.is_begun() {
+impl ResponseSink for ResponseWriter {
+    fn handle_head(&mut self, status: u16, fields: Vec<HeaderField>) {
+        if !self.has_started() {
             self.streamed &= status == 200;
             self.head = Some((status, fields));
         }
     }
 
-    async fn take_body(&mut self, bytes: Vec<u8>, tokens: Tokens) -> bool {
+    async fn handle_body(&mut self, bytes: Vec<u8>, tokens: Tokens) -> bool {
         self.tokens = tokens;
-        self.keep(&bytes);
-        if !self.streamed && self.writer.is_none() {
+        self.store_for_replay(&bytes);
+        if !self.streamed && self.pipe.is_none() {
             self.held.extend_from_slice(&bytes);
-            if self.held.len() <= HELD_BYTES {
+            if self.held.len() <= MAX_HELD_BYTES {
                 return true;
             }
-            self.begin().await;
+            self.start().await;
             let held = std::mem::take(&mut self.held);
-            return self.pass(held).await;
+            return self.forward(held).await;
         }
-        if self.writer.is_none() {
-            self.begin().await;
+        if self.pipe.is_none() {
+            self.start().await;
         }
-        self.pass(bytes).await
+        self.forward(bytes).await
     }
 
-    async fn wait_gone(&self) {
+    async fn wait_caller_gone(&self) {
         // What may not be repeated goes on to its end: a retry must get its answer.
         if !self.repeatable {
             return std::future::pending().await;
         }
-        if let Some(writer) = &self.writer {
-            writer.wait_closed().await;
+        if let Some(pipe) = &self.pipe {
+            pipe.wait_closed().await;
         } else {
             let reply = self.reply.clone();
             reply.closed().await;
@@ -145,10 +146,10 @@
     }
 }
 
-impl CallerSide {
-    async fn pass(&self, bytes: Vec<u8>) -> bool {
-        match &self.writer {
-            Some(writer) => writer.send(bytes).await,
+impl ResponseWriter {
+    async fn forward(&self, bytes: Vec<u8>) -> bool {
+        match &self.pipe {
+            Some(pipe) => pipe.send(bytes).await,
             None => false,
         }
     }
--- a/toucanrail-daemons/src/serving.rs
+++ b/toucanrail-daemons/src/serving.rs
@@ -19,24 +19,24 @@
 use toucanrail_wire::listeners::ReceivedRequest;
 use toucanrail_wire::responses::{self, ErrorDetails};
 
-use crate::answering::{self, CallerSide};
-use crate::attempts::{self, AttemptEnd, AttemptTarget};
-use crate::billing::{self, BillMark, BillMarker, OpenTry, UsageSum};
-use crate::callers::{self, CallPlan};
+use crate::attempts::{self, AttemptResult, AttemptTarget};
+use crate::billing::{self, BillClaim, BillMarker, PendingAttempt, UsageSum};
+use crate::planning::{self, RequestPlan};
 use crate::recording;
-use crate::settling;
+use crate::responding::{self, ResponseWriter};
+use crate::settlement;
 use crate::states::Entry;
 
 /// Tries of one request, the first included.
-const TRY_LIMIT: u32 = 4;
+const MAX_ATTEMPTS: u32 = 4;
 /// When to come back after a refusal that nothing better is known for.
-const DEFAULT_RETRY: Duration = Duration::from_secs(1);
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 /// Largest answer kept in the record of a request that may not be repeated.
-const RECORD_BYTES: usize = 512 * 1024;
+const MAX_RECORD_BYTES: usize = 512 * 1024;
 
 /// Serves one call.
 pub async fn serve(entry: Arc<Entry>, call: ReceivedRequest) -> Response {
-    let plan = callers::read_plan(&entry.mirrors.lock().catalogue, &call);
+    let plan = planning::parse_plan(&entry.mirrors.lock().catalogue, &call);
     let plan = match plan {
         Ok(plan) => plan,
         Err(note) => return entry.refuse(&note),
@@ -58,85 +58,85 @@
 #[derive(Debug)]
 struct RequestTask {
     entry: Arc<Entry>,
-    plan: CallPlan,
-    caller: CallerSide,
+    plan: RequestPlan,
+    writer: ResponseWriter,
     arrived: Instant,
     steps: Vec<TraceStep>,
     hold: Option<GrantHold>,
     sum: UsageSum,
     marker: BillMarker,
-    mark: BillMark,
+    claim: BillClaim,
     tried: BTreeSet<AgentId>,
     attempt: u32,
     record: Option<(RunRecord, Version)>,
     /// What earlier tries say about the run; none while all were provably not run.
-    ran: Option<RunState>,
+    run_state: Option<RunState>,
     _guard: Arc<()>,
 }
 
 /// How a request ends.
 #[derive(Debug)]
 enum RequestEnd {
-    Whole,
+    Complete,
     Refused(ErrorDetails),
     Replayed(StoredResponse),
     CallerGone,
 }
 
 impl RequestTask {
-    fn new(entry: Arc<Entry>, plan: CallPlan, reply: async_channel::Sender<Response>) -> Self {
+    fn new(entry: Arc<Entry>, plan: RequestPlan, reply: async_channel::Sender<Response>) -> Self {
         let guard = entry.begin_request();
-        let caller = CallerSide::new(&plan, reply);
-        let (marker, mark) = billing::make_mark();
+        let writer = ResponseWriter::new(&plan, reply);
+        let (marker, claim) = billing::new_bill_claim();
         Self {
             entry,
             plan,
-            caller,
+            writer,
             arrived: Instant::now(),
             steps: Vec::new(),
             hold: None,
             sum: UsageSum::default(),
             marker,
-            mark,
+            claim,
             tried: BTreeSet::new(),
             attempt: 0,
             record: None,
-            ran: None,
+            run_state: None,
             _guard: guard,
         }
     }
 
     async fn run(mut self) {
-        self.note(format!("arrived at {}", self.entry.id));
+        self.trace(format!("arrived at {}", self.entry.id));
         let end = match self.begin_keyed() {
-            Ok(None) => self.run_begun().await,
-            Ok(Some(answer)) => RequestEnd::Replayed(answer),
+            Ok(None) => self.run_new().await,
+            Ok(Some(response)) => RequestEnd::Replayed(response),
             Err(code) => RequestEnd::Refused(self.refusal(code)),
         };
-        self.reply_end(end).await;
+        self.send_end(end).await;
         let steps = std::mem::take(&mut self.steps);
         self.entry.lock().traces.append(&self.plan.request, steps);
     }
 
-    fn note(&mut self, event: String) {
+    fn trace(&mut self, event: String) {
         let after = self.arrived.elapsed();
         self.steps.push(TraceStep { after, event: Arc::from(event) });
     }
 
     fn refusal(&self, code: ResultCode) -> ErrorDetails {
         let note = ErrorDetails::new(code);
-        let later = [
+        let retryable = [
             codetable::IN_FLIGHT,
             codetable::BUDGET_UNCONFIRMED,
             codetable::NO_BACKEND_SERVER,
             codetable::STORE_UNAVAILABLE,
             codetable::STOPPING,
         ];
-        let note = match self.ran {
+        let note = match self.run_state {
             Some(run) => note.run(run),
             None => note,
         };
-        if later.contains(&code) { note.retry_after(DEFAULT_RETRY) } else { note }
+        if retryable.contains(&code) { note.retry_after(DEFAULT_RETRY_AFTER) } else { note }
     }
 
     /// A keyed request that may be repeated is remembered here; one that may not, in its record.
@@ -147,7 +147,7 @@
         self.entry.lock().replays.begin(&self.plan.request, &self.plan.digest)
     }
 
-    async fn run_begun(&mut self) -> RequestEnd {
+    async fn run_new(&mut self) -> RequestEnd {
         let end = match self.admit().await {
             Ok(()) => {
                 let end = self.run_admitted().await;
@@ -165,11 +165,12 @@
         if !self.plan.keyed || !self.plan.repeatable {
             return;
         }
-        let whole = matches!(end, RequestEnd::Whole);
-        let body = self.caller.kept.take().filter(|_| whole);
-        let answer = body.zip(self.caller.head.clone());
-        let answer = answer.map(|(body, (status, fields))| StoredResponse { status, fields, body });
-        self.entry.lock().replays.end(&self.plan.request, answer);
+        let complete = matches!(end, RequestEnd::Complete);
+        let body = self.writer.replay_body.take().filter(|_| complete);
+        let response = body.zip(self.writer.head.clone());
+        let response =
+            response.map(|(body, (status, fields))| StoredResponse { status, fields, body });
+        self.entry.lock().replays.end(&self.plan.request, response);
     }
 
     async fn admit(&mut self) -> Result<(), Box<ErrorDetails>> {
@@ -180,21 +181,21 @@
             let mut tables = self.entry.lock();
             let (slots, load) = tables.servers.capacity(&service, now);
             let entries = tables.members.peers().count() as u64 + 1;
-            let known = ServiceLoad { slots, load, entries };
+            let service_load = ServiceLoad { slots, load, entries };
             if slots == 0 {
                 return Err(Box::new(self.refusal(codetable::NO_BACKEND_SERVER)));
             }
             tables.retries.record_request(now);
             let (class, weight) = (customer.class, customer.weight);
-            tables.limits.admit(&service, &customer.name, class, weight, known)
+            tables.limits.admit(&service, &customer.name, class, weight, service_load)
         };
         admitted.map_err(|refusal| {
             let note = ErrorDetails::new(refusal.code).retry_after(refusal.retry_after);
             Box::new(note)
         })?;
-        match self.take_hold(self.plan.hold).await {
+        match self.acquire_hold(self.plan.hold).await {
             Ok(hold) => {
-                self.note(format!("holds {} in tenure {}", hold.amount, hold.epoch));
+                self.trace(format!("holds {} in tenure {}", hold.amount, hold.epoch));
                 self.hold = Some(hold);
                 Ok(())
             }
@@ -205,22 +206,22 @@
         }
     }
 
-    async fn take_hold(&self, amount: Tokens) -> Result<GrantHold, ResultCode> {
-        settling::take_hold(&self.entry, &self.plan.customer.name, amount).await
+    async fn acquire_hold(&self, amount: Tokens) -> Result<GrantHold, ResultCode> {
+        settlement::acquire_hold(&self.entry, &self.plan.customer.name, amount).await
     }
 
     async fn run_admitted(&mut self) -> RequestEnd {
-        let end = self.run_tries().await;
+        let end = self.run_attempts().await;
         self.settle();
         end
     }
 
-    async fn run_tries(&mut self) -> RequestEnd {
-        let mut last = codetable::NO_BACKEND_SERVER;
-        let mut wait = DEFAULT_RETRY;
-        while self.attempt < TRY_LIMIT {
+    async fn run_attempts(&mut self) -> RequestEnd {
+        let mut last_code = codetable::NO_BACKEND_SERVER;
+        let mut retry_delay = DEFAULT_RETRY_AFTER;
+        while self.attempt < MAX_ATTEMPTS {
             if self.time_left().is_zero() {
-                last = codetable::DEADLINE_PASSED;
+                last_code = codetable::DEADLINE_PASSED;
                 break;
             }
             let Some(target) = self.pick_server() else {
@@ -231,25 +232,27 @@
                 Ok(run) => run,
                 Err(end) => return end,
             };
-            let end = self.try_server(&target, run).await;
-            match end {
-                AttemptEnd::Whole { .. } => {
-                    self.caller.finish().await;
-                    return RequestEnd::Whole;
+            let result = self.send_attempt(&target, run).await;
+            match result {
+                AttemptResult::Complete { .. } => {
+                    self.writer.finish().await;
+                    return RequestEnd::Complete;
                 }
-                AttemptEnd::NotRun { code, retry_after } => {
-                    last = code;
-                    wait = retry_after;
+                AttemptResult::NotRun { code, retry_after } => {
+                    last_code = code;
+                    retry_delay = retry_after;
                 }
-                AttemptEnd::Lost { answer: Some(answer), .. } if !self.plan.repeatable => {
-                    return RequestEnd::Replayed(answer);
+                AttemptResult::Incomplete { response: Some(response), .. }
+                    if !self.plan.repeatable =>
+                {
+                    return RequestEnd::Replayed(response);
                 }
-                AttemptEnd::Lost { code, .. } | AttemptEnd::Open { code } => {
+                AttemptResult::Incomplete { code, .. } | AttemptResult::Unresolved { code } => {
                     if code == codetable::CANCELLED {
                         return RequestEnd::CallerGone;
                     }
-                    last = code;
-                    if !self.may_retry().await {
+                    last_code = code;
+                    if !self.prepare_retry().await {
                         break;
                     }
                     // Where no other server is left, a lost connection does not speak against
@@ -260,9 +263,9 @@
                 }
             }
         }
-        let note = self.refusal(last);
-        let later = note.run == RunState::NotRun;
-        RequestEnd::Refused(if later { note.retry_after(wait) } else { note })
+        let note = self.refusal(last_code);
+        let not_run = note.run == RunState::NotRun;
+        RequestEnd::Refused(if not_run { note.retry_after(retry_delay) } else { note })
     }
 
     fn time_left(&self) -> Duration {
@@ -271,9 +274,9 @@
 
     /// Tells whether a request whose try was lost may go again: it is repeatable, the caller has
     /// nothing that could not be continued, and the retry budget and its own hold allow it.
-    async fn may_retry(&mut self) -> bool {
+    async fn prepare_retry(&mut self) -> bool {
         let resumable = self.plan.service.resumes && self.plan.streamed;
-        if !self.plan.repeatable || (self.caller.is_begun() && !resumable) {
+        if !self.plan.repeatable || (self.writer.has_started() && !resumable) {
             return false;
         }
         let now = self.entry.now();
@@ -281,8 +284,8 @@
             self.entry.board.count_event("retries_refused");
             return false;
         }
-        if !self.caller.is_begun() {
-            self.caller.reset();
+        if !self.writer.has_started() {
+            self.writer.reset();
         }
         let pause = retries::backoff(self.attempt, fastrand::f64());
         smol::Timer::after(pause.min(self.time_left())).await;
@@ -295,24 +298,24 @@
         let Some(hold) = self.hold.clone() else {
             return false;
         };
-        let free = hold.amount.saturating_sub(self.sum.total());
-        let missing = self.plan.hold.saturating_sub(free);
+        let unused = hold.amount.saturating_sub(self.sum.total());
+        let missing = self.plan.hold.saturating_sub(unused);
         if missing == 0 {
             return true;
         }
-        let Ok(more) = self.take_hold(missing).await else {
+        let Ok(extra) = self.acquire_hold(missing).await else {
             return false;
         };
-        if more.epoch == hold.epoch {
-            let amount = hold.amount + more.amount;
+        if extra.epoch == hold.epoch {
+            let amount = hold.amount + extra.amount;
             self.hold = Some(GrantHold { amount, ..hold });
             return true;
         }
         // The tenure was lost meanwhile: what was used belongs to it, the rest begins anew.
-        self.entry.lock().grants.end_hold(&more, None);
+        self.entry.lock().grants.end_hold(&extra, None);
         self.sum.write_off();
         self.settle();
-        self.hold = self.take_hold(self.plan.hold).await.ok();
+        self.hold = self.acquire_hold(self.plan.hold).await.ok();
         self.hold.is_some()
     }
 
@@ -342,38 +345,38 @@
         }
         match recording::open_record(&self.entry, &self.plan, &target.agent).await {
             RecordOutcome::Run { record, version } => {
-                self.note(format!("recorded as try {} at {}", record.attempt, record.agent));
+                self.trace(format!("recorded as try {} at {}", record.attempt, record.agent));
                 let run = record.run();
                 self.record = Some((record, version));
                 Ok(run)
             }
-            RecordOutcome::Replay(answer) => Err(RequestEnd::Replayed(answer)),
+            RecordOutcome::Replay(response) => Err(RequestEnd::Replayed(response)),
             RecordOutcome::Refuse(code) => Err(RequestEnd::Refused(self.refusal(code))),
         }
     }
 
-    async fn try_server(&mut self, target: &AttemptTarget, run: RunId) -> AttemptEnd {
+    async fn send_attempt(&mut self, target: &AttemptTarget, run: RunId) -> AttemptResult {
         self.tried.insert(Arc::clone(&target.agent));
         let Some(hold) = self.hold.clone() else {
             let code = codetable::BUDGET_UNCONFIRMED;
-            return AttemptEnd::NotRun { code, retry_after: DEFAULT_RETRY };
+            return AttemptResult::NotRun { code, retry_after: DEFAULT_RETRY_AFTER };
         };
-        let order = self.build_order(target, &run, &hold);
-        self.note(format!("sent to {} as {run}", target.agent));
+        let command = self.build_command(target, &run, &hold);
+        self.trace(format!("sent to {} as {run}", target.agent));
         {
             let mut tables = self.entry.lock();
             tables.servers.record_sent(&target.agent);
             tables.grants.mark_agent(&hold.shard, &target.agent, true);
         }
         let entry = Arc::clone(&self.entry);
-        let end = attempts::run_attempt(&entry, target, &order, &mut self.caller).await;
-        self.take_end(target, &run, &hold, &end).await;
-        end
+        let result = attempts::run_attempt(&entry, target, &command, &mut self.writer).await;
+        self.record_result(target, &run, &hold, &result).await;
+        result
     }
 
-    fn build_order(&self, target: &AttemptTarget, run: &RunId, hold: &GrantHold) -> RunCommand {
+    fn build_command(&self, target: &AttemptTarget, run: &RunId, hold: &GrantHold) -> RunCommand {
         let plan = &self.plan;
-        let resumed = if self.caller.is_begun() { self.caller.tokens } else { 0 };
+        let resume_from = if self.writer.has_started() { self.writer.tokens } else { 0 };
         RunCommand {
             request: Arc::clone(&plan.request),
             run: Arc::clone(run),
@@ -388,120 +391,120 @@
             repeatable: plan.repeatable,
             priority: plan.customer.class.priority(),
             time_left: self.time_left().as_millis() as u64,
-            resume_from: resumed,
+            resume_from,
             usage: plan.usage,
             streamed: plan.streamed,
             method: Arc::clone(&plan.method),
             path: Arc::clone(&plan.path),
             fields: plan.fields.clone(),
-            body: plan.body.encode(resumed),
+            body: plan.body.encode(resume_from),
         }
     }
 
     /// Books how a try ended: its usage, its server's standing and its record.
-    async fn take_end(
+    async fn record_result(
         &mut self,
         target: &AttemptTarget,
         run: &RunId,
         hold: &GrantHold,
-        end: &AttemptEnd,
+        result: &AttemptResult,
     ) {
-        let delivered = self.caller.is_begun();
-        let open = matches!(end, AttemptEnd::Open { .. });
+        let delivered = self.writer.has_started();
+        let unresolved = matches!(result, AttemptResult::Unresolved { .. });
         {
             let now = self.entry.now();
             let mut tables = self.entry.lock();
             tables.servers.record_ended(&target.agent);
-            match end {
-                AttemptEnd::NotRun { code, .. } if *code == codetable::STOPPING => {
+            match result {
+                AttemptResult::NotRun { code, .. } if *code == codetable::STOPPING => {
                     tables.servers.record_leaving(&target.agent);
                 }
-                AttemptEnd::Whole { .. } => {}
-                AttemptEnd::Lost { code, .. } | AttemptEnd::Open { code }
+                AttemptResult::Complete { .. } => {}
+                AttemptResult::Incomplete { code, .. } | AttemptResult::Unresolved { code }
                     if *code == codetable::CANCELLED => {}
                 _ => tables.servers.record_failure(&target.agent, now),
             }
-            if !open {
+            if !unresolved {
                 tables.grants.mark_agent(&hold.shard, &target.agent, false);
             }
         }
-        match end {
-            AttemptEnd::Whole { used } => {
-                self.note(format!("whole, used {used}"));
+        match result {
+            AttemptResult::Complete { used } => {
+                self.trace(format!("whole, used {used}"));
                 self.sum.add_run(target, run, *used);
                 self.sum.billed += used;
             }
-            AttemptEnd::NotRun { code, .. } => {
-                self.note(format!("not run: {}", code.row().name));
+            AttemptResult::NotRun { code, .. } => {
+                self.trace(format!("not run: {}", code.row().name));
             }
-            AttemptEnd::Lost { code, used, unproved, answer } => {
-                self.note(format!("lost: {}, used {used}, unproved {unproved}", code.row().name));
+            AttemptResult::Incomplete { code, used, unproved, response } => {
+                self.trace(format!("lost: {}, used {used}, unproved {unproved}", code.row().name));
                 self.sum.add_run(target, run, *used);
-                self.note_ran(*used);
+                self.record_run_state(*used);
                 self.sum.unproved += unproved;
-                let charged = delivered || answer.is_some() || !self.plan.repeatable;
+                let chargeable = delivered || response.is_some() || !self.plan.repeatable;
                 let gone = *code == codetable::CANCELLED;
-                if charged || gone {
+                if chargeable || gone {
                     self.sum.billed += used;
                 } else {
                     self.sum.written_off += used;
                 }
             }
-            AttemptEnd::Open { code } => {
-                self.note(format!("not known yet: {}", code.row().name));
-                self.note_ran(0);
-                self.leave_open(target, run);
+            AttemptResult::Unresolved { code } => {
+                self.trace(format!("not known yet: {}", code.row().name));
+                self.record_run_state(0);
+                self.resolve_later(target, run);
             }
         }
-        self.close_record(end).await;
+        self.close_record(result).await;
     }
 
     /// Notes what a lost try says about the run: any use proves that it ran.
-    fn note_ran(&mut self, used: Tokens) {
+    fn record_run_state(&mut self, used: Tokens) {
         if used > 0 {
-            self.ran = Some(RunState::Ran);
-        } else if self.ran.is_none() {
-            self.ran = Some(RunState::Unknown);
+            self.run_state = Some(RunState::Ran);
+        } else if self.run_state.is_none() {
+            self.run_state = Some(RunState::Unknown);
         }
     }
 
     /// Follows a try whose agent does not answer: its part of the hold stays until its end is known.
-    fn leave_open(&mut self, target: &AttemptTarget, run: &RunId) {
+    fn resolve_later(&mut self, target: &AttemptTarget, run: &RunId) {
         let Some(hold) = &mut self.hold else {
             return;
         };
-        let part = GrantHold { amount: self.plan.hold, ..hold.clone() };
-        hold.amount = hold.amount.saturating_sub(part.amount);
-        let open = OpenTry {
+        let attempt_hold = GrantHold { amount: self.plan.hold, ..hold.clone() };
+        hold.amount = hold.amount.saturating_sub(attempt_hold.amount);
+        let pending = PendingAttempt {
             entry: Arc::clone(&self.entry),
             plan: self.plan.clone(),
             target: target.clone(),
             run: Arc::clone(run),
-            hold: part,
+            hold: attempt_hold,
             record: self.record.take(),
-            charged: self.caller.is_begun() || !self.plan.repeatable,
-            mark: self.mark.clone(),
+            chargeable: self.writer.has_started() || !self.plan.repeatable,
+            claim: self.claim.clone(),
             guard: self.entry.begin_request(),
         };
-        smol::spawn(open.follow()).detach();
+        smol::spawn(pending.resolve()).detach();
     }
 
-    async fn close_record(&mut self, end: &AttemptEnd) {
+    async fn close_record(&mut self, result: &AttemptResult) {
         let Some((record, version)) = self.record.take() else {
             return;
         };
-        let state = match end {
+        let state = match result {
             // Too large to be kept: a retry is told that it ran, not what it answered.
-            AttemptEnd::Whole { .. } if self.caller.is_begun() => RecordState::Unknown,
-            AttemptEnd::Whole { .. } if self.caller.held.len() > RECORD_BYTES => {
+            AttemptResult::Complete { .. } if self.writer.has_started() => RecordState::Unknown,
+            AttemptResult::Complete { .. } if self.writer.held.len() > MAX_RECORD_BYTES => {
                 RecordState::Unknown
             }
-            AttemptEnd::Whole { .. } => {
-                let body = self.caller.held.clone();
-                let (status, fields) = self.caller.head.clone().unwrap_or((200, Vec::new()));
+            AttemptResult::Complete { .. } => {
+                let body = self.writer.held.clone();
+                let (status, fields) = self.writer.head.clone().unwrap_or((200, Vec::new()));
                 records::finished_state(StoredResponse { status, fields, body })
             }
-            _ => billing::record_state(end),
+            _ => billing::record_state(result),
         };
         if recording::close_record(&self.entry, &record, version, state.clone()).await {
             return;
@@ -511,7 +514,7 @@
         let bill = self.hold.take().map(|hold| (self.take_bill(&hold), hold));
         let guard = entry.begin_request();
         smol::spawn(async move {
-            recording::close_surely(&entry, &record, version, state).await;
+            recording::close_record_retrying(&entry, &record, version, state).await;
             if let Some((bill, hold)) = bill {
                 entry.lock().grants.end_hold(&hold, bill);
             }
@@ -527,7 +530,7 @@
             self.entry.board.count_event("usage_over_hold");
         }
         let bill = sum.into_bill(&self.plan, hold);
-        self.marker.note(bill.as_ref());
+        self.marker.record(bill.as_ref());
         bill
     }
 
@@ -535,32 +538,32 @@
         if let Some(hold) = self.hold.take() {
             let bill = self.take_bill(&hold);
             if let Some(row) = &bill {
-                self.note(format!("to be billed {}", row.billed));
+                self.trace(format!("to be billed {}", row.billed));
             }
             self.entry.lock().grants.end_hold(&hold, bill);
         }
     }
 
-    async fn reply_end(&mut self, end: RequestEnd) {
+    async fn send_end(&mut self, end: RequestEnd) {
         match end {
-            RequestEnd::Whole => {
+            RequestEnd::Complete => {
                 self.entry.board.count_result(codetable::OK);
                 self.entry.board.first_byte.observe(self.arrived.elapsed().as_secs_f64());
             }
             RequestEnd::CallerGone => self.entry.board.count_result(codetable::CANCELLED),
-            RequestEnd::Replayed(answer) => {
-                self.note("answered as the first time".to_owned());
+            RequestEnd::Replayed(stored) => {
+                self.trace("answered as the first time".to_owned());
                 self.entry.board.count_event("answers_replayed");
-                let mut response = responses::bytes(answer.status, answer.body);
-                answering::dress(&mut response, &answer.fields);
-                self.caller.reply.send(response).await.ok();
+                let mut response = responses::bytes(stored.status, stored.body);
+                responding::set_fields(&mut response, &stored.fields);
+                self.writer.reply.send(response).await.ok();
             }
             RequestEnd::Refused(note) => {
-                self.note(format!("refused: {} {}", note.code.number(), note.run.as_str()));
+                self.trace(format!("refused: {} {}", note.code.number(), note.run.as_str()));
                 let response = self.entry.refuse(&note);
                 // With part of the answer out, dropping the writer cuts it visibly.
-                if !self.caller.is_begun() {
-                    self.caller.reply.send(response).await.ok();
+                if !self.writer.has_started() {
+                    self.writer.reply.send(response).await.ok();
                 }
             }
         }
--- a/toucanrail-daemons/src/settling.rs
+++ b/toucanrail-daemons/src/settlement.rs
@@ -21,19 +21,19 @@
 use crate::states::Entry;
 
 /// Time for which an account found exhausted is refused without asking again.
-const EXHAUSTED_TIME: Duration = Duration::from_millis(100);
+const EXHAUSTED_CACHE_TIME: Duration = Duration::from_millis(100);
 /// Rounds of recalls for one request.
-const RECALL_LIMIT: u32 = 4;
+const MAX_RECALLS: u32 = 4;
 /// Longest wait for a peer to give back unused grant.
-const RECALL_BOUND: Duration = Duration::from_millis(400);
+const RECALL_TIMEOUT: Duration = Duration::from_millis(400);
 /// Longest wait of a recall for its own sync.
-const GIVE_BACK_BOUND: Duration = Duration::from_millis(300);
+const RELEASE_TIMEOUT: Duration = Duration::from_millis(300);
 /// Pause after a sync that brought nothing, however many requests wait for the next.
 const SYNC_PAUSE: Duration = Duration::from_millis(20);
-const ACK_BOUND: Duration = Duration::from_millis(500);
+const ACK_TIMEOUT: Duration = Duration::from_millis(500);
 /// Longest wait of a stopping entry for its settlements.
-const LEAVE_BOUND: Duration = Duration::from_secs(10);
-const LEAVE_STEP: Duration = Duration::from_millis(50);
+const LEAVE_TIMEOUT: Duration = Duration::from_secs(10);
+const LEAVE_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Starts the loops that settle.
 pub fn start(entry: &Arc<Entry>) {
@@ -47,8 +47,8 @@
         let wanted = entry.wanted.listen();
         let shards = entry.lock().grants.shards();
         for shard in shards {
-            let free = running.lock().is_ok_and(|mut running| running.insert(Arc::clone(&shard)));
-            if free {
+            let idle = running.lock().is_ok_and(|mut running| running.insert(Arc::clone(&shard)));
+            if idle {
                 let entry = Arc::clone(&entry);
                 let running = Arc::clone(&running);
                 smol::spawn(async move {
@@ -99,7 +99,7 @@
         SyncOutcome::Revoked { .. } => {
             entry.board.count_event("tenures_lost");
             tracing::warn!(id = %entry.id, %shard, "tenure was revoked");
-            let finish = reclaiming::finish_own(Arc::clone(entry), Arc::clone(shard));
+            let finish = reclaiming::reclaim_own(Arc::clone(entry), Arc::clone(shard));
             smol::spawn(finish).detach();
         }
     }
@@ -125,35 +125,35 @@
 
 /// Tells agents which runs are settled.
 async fn send_acks(entry: &Arc<Entry>) {
-    let due = entry.lock().grants.pending_acks();
-    for (agent, runs) in due {
+    let pending = entry.lock().grants.pending_acks();
+    for (agent, runs) in pending {
         send_ack(entry, &agent, runs).await;
     }
 }
 
 async fn send_ack(entry: &Arc<Entry>, agent: &AgentId, runs: Vec<RunId>) {
-    let known = entry.lock().servers.get(agent).map(|row| (row.address, Arc::clone(&row.vm)));
-    let Some((address, vm)) = known else {
+    let target = entry.lock().servers.get(agent).map(|row| (row.address, Arc::clone(&row.vm)));
+    let Some((address, vm)) = target else {
         // Its registration has ended, so its process has.
         entry.lock().grants.record_acked(agent, &BTreeSet::new(), true);
         return;
     };
-    let order = AckCommand { runs };
+    let command = AckCommand { runs };
     let reply: std::io::Result<AgentReply> =
-        entry.client.send(address, routes::ACK, &order, ACK_BOUND).await;
+        entry.client.send(address, routes::ACK, &command, ACK_TIMEOUT).await;
     let mut tables = entry.lock();
     let gone = match &reply {
         Ok(reply) => reply.agent != *agent,
         Err(_) => tables.members.is_vm_gone(&vm),
     };
     if gone || reply.is_ok() {
-        let dropped: BTreeSet<RunId> = order.runs.into_iter().collect();
-        tables.grants.record_acked(agent, &dropped, gone);
+        let acked: BTreeSet<RunId> = command.runs.into_iter().collect();
+        tables.grants.record_acked(agent, &acked, gone);
     }
 }
 
 /// Takes a hold, waiting for a sync and recalling from peers if the grant is short.
-pub async fn take_hold(
+pub async fn acquire_hold(
     entry: &Arc<Entry>,
     customer: &CustomerId,
     amount: Tokens,
@@ -167,8 +167,8 @@
         }
     }
     let exhausted = entry.lock().exhausted.get(customer).copied();
-    let known = exhausted.filter(|(until, refused)| *until > entry.now() && amount >= *refused);
-    if known.is_some() {
+    let refused = exhausted.filter(|(until, least)| *until > entry.now() && amount >= *least);
+    if refused.is_some() {
         return Err(codetable::BUDGET_EXHAUSTED);
     }
     entry.lock().grants.begin_wait(customer, amount);
@@ -178,7 +178,7 @@
     let mut tables = entry.lock();
     tables.grants.end_wait(customer, amount);
     if waited == Err(codetable::BUDGET_EXHAUSTED) {
-        tables.exhausted.insert(Arc::clone(customer), (entry.now() + EXHAUSTED_TIME, amount));
+        tables.exhausted.insert(Arc::clone(customer), (entry.now() + EXHAUSTED_CACHE_TIME, amount));
     }
     waited
 }
@@ -190,21 +190,21 @@
     customer: &CustomerId,
     amount: Tokens,
 ) -> Result<GrantHold, ResultCode> {
-    let mut fresh = false;
+    let mut confirmed = false;
     let mut recalls = 0;
     loop {
         let synced = entry.synced.listen();
-        let tried = entry.lock().grants.hold(customer, amount);
-        match tried {
+        let acquired = entry.lock().grants.hold(customer, amount);
+        match acquired {
             Ok(hold) => return Ok(hold),
-            Err(HoldRefusal::Exhausted(missing)) if fresh => {
-                let may_recall = entry.settings.policy.recalls() && recalls < RECALL_LIMIT;
+            Err(HoldRefusal::Exhausted(missing)) if confirmed => {
+                let may_recall = entry.settings.policy.recalls() && recalls < MAX_RECALLS;
                 if !may_recall || recall(entry, customer, missing).await == 0 {
                     return Err(codetable::BUDGET_EXHAUSTED);
                 }
                 // Another entry may be short too and take it first: then there is another round.
                 recalls += 1;
-                fresh = false;
+                confirmed = false;
                 continue;
             }
             Err(HoldRefusal::Exhausted(_) | HoldRefusal::Short(_)) => {}
@@ -213,7 +213,7 @@
         let before = entry.lock().grants.confirmed_syncs(&shard);
         entry.wanted.notify(usize::MAX);
         synced.await;
-        fresh = entry.lock().grants.confirmed_syncs(&shard) > before;
+        confirmed = entry.lock().grants.confirmed_syncs(&shard) > before;
     }
 }
 
@@ -221,21 +221,21 @@
 async fn recall(entry: &Arc<Entry>, customer: &CustomerId, wanted: Tokens) -> Tokens {
     entry.board.count_event("recalls");
     let peers: Vec<_> = entry.lock().members.peers().map(|peer| peer.node.address).collect();
-    let order =
+    let command =
         RecallCommand { from: Arc::clone(&entry.id), customer: Arc::clone(customer), wanted };
-    let asked: Vec<_> = peers
+    let calls: Vec<_> = peers
         .into_iter()
         .map(|address| {
-            let (entry, order) = (Arc::clone(entry), order.clone());
+            let (entry, command) = (Arc::clone(entry), command.clone());
             smol::spawn(async move {
                 let reply: std::io::Result<RecallReply> =
-                    entry.client.send(address, routes::RECALL, &order, RECALL_BOUND).await;
+                    entry.client.send(address, routes::RECALL, &command, RECALL_TIMEOUT).await;
                 reply.map_or(0, |reply| reply.returned)
             })
         })
         .collect();
     let mut returned = 0;
-    for task in asked {
+    for task in calls {
         returned += task.await;
     }
     entry.board.add_events("recalled_tokens", returned);
@@ -243,24 +243,24 @@
 }
 
 /// Gives unused grant back to the shard for a peer; returns how much was reserved for it.
-pub async fn give_back(entry: &Arc<Entry>, order: &RecallCommand) -> Tokens {
+pub async fn release_unused(entry: &Arc<Entry>, command: &RecallCommand) -> Tokens {
     let synced = entry.synced.listen();
-    let given = entry.lock().grants.recall(&order.customer, order.wanted, &order.from);
-    if given > 0 {
+    let released = entry.lock().grants.recall(&command.customer, command.wanted, &command.from);
+    if released > 0 {
         entry.wanted.notify(usize::MAX);
-        time_limits::timeout(GIVE_BACK_BOUND, synced).await;
+        time_limits::timeout(RELEASE_TIMEOUT, synced).await;
     }
-    given
+    released
 }
 
 /// Settles everything, has agents drop it, and ends all tenures.
 ///
 /// With `close` false, holds are still open and the tenures stay for peers to reclaim.
-pub async fn leave(entry: &Arc<Entry>, close: bool) {
+pub async fn settle_all(entry: &Arc<Entry>, close: bool) {
     let settling = async {
         while !entry.lock().grants.is_settled() {
             entry.wanted.notify(usize::MAX);
-            smol::Timer::after(LEAVE_STEP).await;
+            smol::Timer::after(LEAVE_CHECK_INTERVAL).await;
         }
         send_acks(entry).await;
         let shards = if close { entry.lock().grants.shards() } else { Vec::new() };
@@ -268,11 +268,11 @@
             // A sync that was under way may come first: only the leaving one ends the tenure.
             while entry.lock().grants.has_tenure(&shard) {
                 sync_shard(entry, &shard, true).await;
-                smol::Timer::after(LEAVE_STEP).await;
+                smol::Timer::after(LEAVE_CHECK_INTERVAL).await;
             }
         }
     };
-    if time_limits::timeout(LEAVE_BOUND, settling).await.is_none() {
+    if time_limits::timeout(LEAVE_TIMEOUT, settling).await.is_none() {
         tracing::warn!(id = %entry.id, "stopped with bills that peers will settle");
     }
 }
