--- a/toucanrail-daemons/src/agents.rs
+++ b/toucanrail-daemons/src/agents.rs
@@ -1,4 +1,4 @@
-//! The agent: the only way to its backend server.
+//! The agent, through which all requests to its backend server pass.
 
 use std::io;
 use std::net::SocketAddr;
@@ -32,45 +32,45 @@
 use crate::registering;
 use crate::starting::{self, CommonSettings};
 
-/// Largest order, in bytes.
+/// Maximum size of a command, in bytes.
 const MAX_COMMAND_BYTES: usize = 4 * 1024 * 1024;
-/// Time between two looks at the backend server.
+/// Interval between health probes of the backend server.
 const PROBE_INTERVAL: Duration = Duration::from_millis(250);
 const PROBE_TIMEOUT: Duration = Duration::from_millis(800);
-/// Failed looks in a row that mark the backend server as not answering.
-const MAX_PROBE_FAILURES: u32 = 3;
-/// How long a stopping agent waits for its last runs to be settled.
+/// Number of consecutive failed probes after which the backend server counts as unhealthy.
+const UNHEALTHY_PROBE_FAILURES: u32 = 3;
+/// Longest wait of a stopping agent for its last runs to be settled.
 const SETTLE_TIMEOUT: Duration = Duration::from_secs(5);
-/// Time in which every entry has asked for a report and heard that the agent is leaving.
+/// Time within which every entry has fetched a load report that says that the agent is stopping.
 const STOP_NOTICE: Duration = Duration::from_secs(1);
 const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 const REGISTER_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Settings of the agent alone.
+/// Settings that only agents have.
 pub const SETTINGS: [SettingRow; 4] = [
     SettingRow { name: "backend", default: None, help: "Address of the backend server." },
     SettingRow { name: "service", default: None, help: "Service of the backend server." },
-    SettingRow { name: "probe-path", default: Some("/engine/load"), help: "Path to look at." },
-    SettingRow { name: "slots", default: Some("8"), help: "Calls at once, if it does not say." },
+    SettingRow { name: "probe-path", default: Some("/engine/load"), help: "Path to probe." },
+    SettingRow { name: "slots", default: Some("8"), help: "Concurrent calls, if not reported." },
 ];
 
-/// The agent's settings.
+/// Settings of an agent.
 #[derive(Debug, Clone)]
 pub struct AgentSettings {
-    /// Those that entries have too.
+    /// Settings shared with entries.
     pub common: CommonSettings,
-    /// The backend server.
+    /// Address of the backend server.
     pub backend: SocketAddr,
-    /// Its service.
+    /// Service of the backend server.
     pub service: ServiceName,
-    /// Calls that it takes at once, where it does not report it.
+    /// Number of concurrent calls of the backend server, if it does not report it.
     pub slots: u64,
-    /// Path on which the backend server is looked at; a model engine reports its load there.
+    /// Path that is probed at the backend server; a model engine reports its load there.
     pub probe_path: String,
 }
 
 impl AgentSettings {
-    /// Reads the settings, noting faults.
+    /// Reads the settings; errors are recorded in `values`.
     pub fn read(values: &mut SettingValues) -> Self {
         let address = |text: &str| text.parse().ok().map(Some);
         Self {
@@ -85,14 +85,14 @@
     }
 }
 
-/// Load as a model engine reports it.
+/// Load report of a model engine.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BackendLoad {
-    /// Requests that it runs at once.
+    /// Number of requests that it runs concurrently.
     pub slots: u64,
-    /// Requests that run.
+    /// Number of running requests.
     pub running: u64,
-    /// Requests that wait.
+    /// Number of queued requests.
     pub waiting: u64,
 }
 
@@ -103,16 +103,16 @@
     fence: u64,
 }
 
-/// One run of the agent.
+/// One incarnation of an agent.
 #[derive(Debug)]
 pub struct Agent {
-    /// Its incarnation.
+    /// Id of this incarnation.
     pub id: AgentId,
-    /// Its settings.
+    /// Settings.
     pub settings: AgentSettings,
-    /// Connections to its backend server.
+    /// Connections to the backend server.
     pub pool: ConnectionPool,
-    /// Its metrics.
+    /// Metrics.
     pub board: MetricBoard,
     address: SocketAddr,
     client: FleetClient,
@@ -123,10 +123,10 @@
 }
 
 impl Agent {
-    /// Makes an agent that listens at `address`.
+    /// Creates an agent that listens at `address`.
     ///
     /// # Errors
-    /// If its metrics cannot be set up.
+    /// If its metrics cannot be registered.
     pub fn new(settings: AgentSettings, address: SocketAddr) -> io::Result<Self> {
         let id = starting::new_incarnation(&settings.common.name);
         let limits = ClientLimits { connect_timeout: PROBE_TIMEOUT, ..ClientLimits::default() };
@@ -144,7 +144,7 @@
         })
     }
 
-    /// Locks the ledger.
+    /// Locks the ledger of runs.
     pub fn lock_ledger(&self) -> MutexGuard<'_, UsageLedger> {
         self.ledger.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -153,9 +153,9 @@
         self.status.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Tells whether the backend server answered lately.
+    /// Tells whether the backend server responds to probes.
     pub fn is_backend_healthy(&self) -> bool {
-        self.lock_status().failures < MAX_PROBE_FAILURES
+        self.lock_status().failures < UNHEALTHY_PROBE_FAILURES
     }
 
     async fn respond(self: Arc<Self>, call: ReceivedRequest) -> Response {
@@ -236,7 +236,7 @@
             slots: load.slots,
             running: load.running,
             waiting: load.waiting,
-            healthy: status.failures < MAX_PROBE_FAILURES,
+            healthy: status.failures < UNHEALTHY_PROBE_FAILURES,
             leaving: ledger.leaving,
             in_force,
         }
@@ -269,16 +269,17 @@
         if report == toucanrail::messages::RunReport::Running && query.mode == QueryMode::Cancel {
             let call =
                 OutboundRequest::get(format!("/engine/cancel/{}", query.run)).on_new_connection();
-            // The run's own task sees its stream end and notes what was used.
+            // The task of the run sees the stream end and records the usage.
             self.pool.fetch(self.settings.backend, call, PROBE_TIMEOUT).await.ok();
         }
         responses::msgpack(&AgentReply { agent: Arc::clone(&self.id), fate: Some(report) })
     }
 
-    /// Passes an order on to the model engine unless its fencing number is old.
+    /// Forwards a command to the model engine unless its fencing number is outdated.
     ///
-    /// Guards against an order of a holder that was replaced while paused: some engines take any
-    /// order, so the agent, their only way in, refuses numbers lower than it has seen.
+    /// Guards against a command from a holder that was replaced while it was paused. Some engines
+    /// accept any command, so the agent, through which all of them pass, refuses fencing numbers
+    /// lower than the highest it has seen.
     async fn forward_engine_command(&self, call: &ReceivedRequest) -> Response {
         let command: EngineCommand = match self.client.read(call) {
             Ok(command) => command,
@@ -301,7 +302,7 @@
         }
     }
 
-    /// Looks at the backend server again and again.
+    /// Probes the backend server periodically.
     async fn probe(self: Arc<Self>) {
         loop {
             self.probe_once().await;
@@ -313,7 +314,7 @@
         let call = OutboundRequest::get(self.settings.probe_path.as_str());
         let response = self.pool.fetch(self.settings.backend, call, PROBE_TIMEOUT).await;
         let mut status = self.lock_status();
-        let was_healthy = status.failures < MAX_PROBE_FAILURES;
+        let was_healthy = status.failures < UNHEALTHY_PROBE_FAILURES;
         match response {
             Ok(response) if response.status < 500 => {
                 status.load =
@@ -325,13 +326,13 @@
                 self.pool.evict(self.settings.backend);
             }
         }
-        let healthy = status.failures < MAX_PROBE_FAILURES;
+        let healthy = status.failures < UNHEALTHY_PROBE_FAILURES;
         if healthy != was_healthy {
-            tracing::info!(healthy, backend = %self.settings.backend, "backend server changed");
+            tracing::info!(healthy, backend = %self.settings.backend, "backend health changed");
         }
     }
 
-    /// Keeps the catalogue in force: from entries, or from the platform if no entry answers.
+    /// Keeps the catalogue up to date: from entries, or from the store if no entry answers.
     async fn sync_catalogue(self: Arc<Self>) {
         loop {
             let common = &self.settings.common;
@@ -344,7 +345,7 @@
         }
     }
 
-    /// Writes the registration; empty to end it.
+    /// Writes the registration, or ends it if `present` is false.
     async fn register(&self, present: bool) -> bool {
         let common = &self.settings.common;
         let node = NodeEntry {
@@ -359,11 +360,13 @@
         registering::write_node(&self.store, &self.id, value).await
     }
 
-    /// Takes no new work, lets what runs finish and be settled, then ends the registration.
+    /// Stops accepting work, waits until running requests have ended and are settled, then ends the
+    /// registration.
     async fn drain(&self) {
         self.lock_ledger().leaving = true;
         tracing::info!(id = %self.id, "stopping");
-        // An order on its way to a process that ends has an unknown end: entries hear first.
+        // The outcome of a command in transit to a process that ends would be unknown, so entries
+        // are told before.
         smol::Timer::after(STOP_NOTICE).await;
         let start = Instant::now();
         while self.lock_ledger().running() > 0 && start.elapsed() < self.settings.common.drain {
@@ -382,23 +385,23 @@
 #[derive(Debug)]
 pub struct AgentHandle {
     agent: Arc<Agent>,
-    /// Where it listens.
+    /// Address that it listens at.
     pub address: SocketAddr,
 }
 
 impl AgentHandle {
-    /// Returns the incarnation.
+    /// Returns the id of the incarnation.
     pub fn id(&self) -> &AgentId {
         &self.agent.id
     }
 
-    /// Stops gracefully.
+    /// Stops the agent gracefully.
     pub async fn stop(self) {
         self.agent.drain().await;
     }
 }
 
-/// Starts an agent on the present executor.
+/// Starts an agent on the current executor.
 pub fn start(settings: AgentSettings) -> io::Result<AgentHandle> {
     let listener = listeners::bind(&settings.common.listen)?;
     let address = listener.local_addr()?;
--- a/toucanrail-daemons/src/attempts.rs
+++ b/toucanrail-daemons/src/attempts.rs
@@ -1,4 +1,4 @@
-//! One try of a request at one agent, as the entry sees it.
+//! The entry's side of one attempt of a request at one agent.
 
 use std::io;
 use std::net::SocketAddr;
@@ -21,60 +21,62 @@
 use crate::reclaiming;
 use crate::states::Entry;
 
-/// Silence of an agent's answer after which its connection counts as lost; the agent sends a sign
-/// of life four times as often.
+/// Time without a frame after which the connection to an agent counts as lost; the agent sends
+/// keep-alive frames four times as often.
 const FRAME_TIMEOUT: Duration = Duration::from_secs(2);
 const QUERY_TIMEOUT: Duration = Duration::from_millis(500);
 const QUERY_INTERVAL: Duration = Duration::from_millis(100);
-/// How long a request waits for the fate of a lost try before it goes on without.
+/// Longest wait of a request for the result of an attempt whose connection was lost, before the
+/// request proceeds without it.
 const RESULT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Takes what an attempt brings, as it comes.
+/// Receives the response of an attempt while it arrives.
 pub trait ResponseSink: Send {
-    /// Takes the status and fields.
+    /// Handles the status code and header fields.
     fn handle_head(&mut self, status: u16, fields: Vec<HeaderField>);
 
-    /// Takes bytes of the body; false once the caller is gone.
+    /// Handles a part of the body, after which the response has `tokens` tokens; `false` if the
+    /// caller has disconnected.
     fn handle_body(&mut self, bytes: Vec<u8>, tokens: Tokens) -> impl Future<Output = bool> + Send;
 
-    /// Waits until the caller is gone.
+    /// Waits until the caller has disconnected.
     fn wait_caller_gone(&self) -> impl Future<Output = ()> + Send;
 }
 
-/// How an attempt ended.
+/// Result of an attempt.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum AttemptResult {
-    /// The answer is whole.
+    /// The complete response was received.
     Complete {
-        /// What it used.
+        /// Number of tokens used.
         used: Tokens,
     },
     /// It provably did not run and never will.
     NotRun {
-        /// Why.
+        /// Reason.
         code: ResultCode,
-        /// When to come back.
+        /// When the caller may retry.
         retry_after: Duration,
     },
-    /// It ran, but its answer is not whole here.
+    /// It ran, but the complete response was not received here.
     Incomplete {
-        /// Why.
+        /// Reason.
         code: ResultCode,
-        /// What it provably used.
+        /// Number of tokens provably used.
         used: Tokens,
-        /// What it may have used besides.
+        /// Number of further tokens that may have been used.
         unproved: Tokens,
-        /// The whole answer, where the agent kept it.
-        response: Option<StoredResponse>,
+        /// The complete response, if the agent stored it.
+        answer: Option<StoredResponse>,
     },
-    /// The agent cannot say yet how it ended.
+    /// The agent has not yet reported how the attempt ended.
     Unresolved {
-        /// Why.
+        /// Reason.
         code: ResultCode,
     },
 }
 
-/// Where an attempt goes.
+/// Agent that an attempt is sent to.
 #[derive(Debug, Clone)]
 pub struct AttemptTarget {
     /// The agent's incarnation.
@@ -83,7 +85,7 @@
     pub address: SocketAddr,
 }
 
-/// What went wrong with the answer's connection.
+/// Why the exchange with an agent ended early.
 #[derive(Debug)]
 enum ExchangeError {
     CallerGone,
@@ -103,7 +105,7 @@
     }
 }
 
-/// Sends an order and passes its answer on.
+/// Sends a run command to an agent and forwards the response to `sink`.
 pub async fn run_attempt<Sink>(
     entry: &Arc<Entry>,
     target: &AttemptTarget,
@@ -115,7 +117,8 @@
 {
     let started = Instant::now();
     let opened = async {
-        Some(entry.client.open(target.address, routes::RUN, command, FRAME_TIMEOUT).await)
+        let timeout = FRAME_TIMEOUT;
+        Some(entry.client.open(target.address, routes::RUN, command, timeout).await)
     };
     let gone = async {
         sink.wait_caller_gone().await;
@@ -129,7 +132,7 @@
             }
         }
         Some(Err(RequestError::NotSent(error))) => {
-            tracing::debug!(%error, agent = %target.agent, "agent not reached");
+            tracing::debug!(%error, agent = %target.agent, "could not reach the agent");
             let code = codetable::NO_BACKEND_SERVER;
             return AttemptResult::NotRun { code, retry_after: Duration::from_secs(1) };
         }
@@ -139,7 +142,7 @@
         Some(Err(RequestError::MaybeSent(_))) => ExchangeError::Truncated,
         None => ExchangeError::CallerGone,
     };
-    // One lost connection speaks for those that idle beside it.
+    // If one connection to the agent is lost, its idle connections are probably lost too.
     entry.client.forget(target.address);
     let waited = time_limits::timeout(
         RESULT_TIMEOUT,
@@ -147,15 +150,16 @@
     )
     .await;
     match waited {
-        Some(AttemptResult::Incomplete { used, unproved, response, .. }) => {
-            AttemptResult::Incomplete { code: error.code(), used, unproved, response }
+        Some(AttemptResult::Incomplete { used, unproved, answer, .. }) => {
+            AttemptResult::Incomplete { code: error.code(), used, unproved, answer }
         }
         Some(result) => result,
         None => AttemptResult::Unresolved { code: error.code() },
     }
 }
 
-/// Passes frames on until the last one; each must be the next of this very request.
+/// Forwards frames up to the last one, checking that each belongs to this request and that no data
+/// is missing in between.
 async fn forward_frames<Sink>(
     entry: &Arc<Entry>,
     target: &AttemptTarget,
@@ -203,7 +207,7 @@
                 RunFrame::Refused { code, retry_after, .. } => {
                     drain_response(response).await;
                     let retry_after = Duration::from_millis(retry_after);
-                    // It came before: what became of it must be asked.
+                    // The attempt has reached the agent before, so its result has to be queried.
                     return if code == codetable::ALREADY_SEEN {
                         Err(ExchangeError::Truncated)
                     } else {
@@ -212,7 +216,7 @@
                 }
                 RunFrame::Failed { code, used, unproved, .. } => {
                     drain_response(response).await;
-                    return Ok(AttemptResult::Incomplete { code, used, unproved, response: None });
+                    return Ok(AttemptResult::Incomplete { code, used, unproved, answer: None });
                 }
             }
         }
@@ -234,14 +238,14 @@
     }
 }
 
-/// Reads the end of the last chunk, so that the connection can be used again.
+/// Reads the end of the chunked body, so that the connection can be reused.
 async fn drain_response(mut response: StreamingResponse) {
     if response.read_chunk(QUERY_TIMEOUT).await.is_ok_and(|bytes| bytes.is_empty()) {
         response.release();
     }
 }
 
-/// Cancels a try and asks until its agent says how it ended, or is provably gone.
+/// Cancels an attempt and queries its agent until it reports the result or is provably gone.
 pub async fn query_result(
     entry: &Arc<Entry>,
     target: &AttemptTarget,
@@ -253,7 +257,7 @@
         let reply: io::Result<AgentReply> =
             entry.client.send(target.address, routes::ASK, &query, QUERY_TIMEOUT).await;
         match reply {
-            Ok(reply) if reply.agent != target.agent => return agent_gone_result(hold),
+            Ok(reply) if reply.agent != target.agent => return gone_result(hold),
             Ok(AgentReply { fate: Some(RunReport::NeverCame), .. }) => {
                 let code = codetable::VOIDED;
                 return AttemptResult::NotRun { code, retry_after: Duration::from_secs(1) };
@@ -262,18 +266,16 @@
                 fate: Some(RunReport::Ended { used, unproved, answer, .. }), ..
             }) => {
                 let code = codetable::ANSWER_CUT;
-                return AttemptResult::Incomplete { code, used, unproved, response: answer };
-            }
-            Err(_) if reclaiming::is_agent_gone(entry, &target.agent) => {
-                return agent_gone_result(hold);
+                return AttemptResult::Incomplete { code, used, unproved, answer };
             }
+            Err(_) if reclaiming::is_agent_gone(entry, &target.agent) => return gone_result(hold),
             Ok(_) | Err(_) => {}
         }
         smol::Timer::after(QUERY_INTERVAL).await;
     }
 }
 
-fn agent_gone_result(hold: Tokens) -> AttemptResult {
+fn gone_result(hold: Tokens) -> AttemptResult {
     let code = codetable::BACKEND_FAILED;
-    AttemptResult::Incomplete { code, used: 0, unproved: hold, response: None }
+    AttemptResult::Incomplete { code, used: 0, unproved: hold, answer: None }
 }
--- a/toucanrail-daemons/src/billing.rs
+++ b/toucanrail-daemons/src/billing.rs
@@ -1,4 +1,4 @@
-//! What a request has used, and the one bill that comes of it.
+//! Usage of a request, and the single bill for it.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -13,37 +13,37 @@
 use crate::recording;
 use crate::states::Entry;
 
-/// What a request's tries have used and no bill carries yet.
+/// Usage of a request's attempts that has not been billed yet.
 #[derive(Debug, Default)]
 pub struct UsageSum {
-    /// Charged to the customer.
+    /// Tokens charged to the customer.
     pub billed: Tokens,
-    /// Spent, not charged.
+    /// Tokens spent but not charged.
     pub written_off: Tokens,
-    /// Held by tries whose usage cannot be known.
+    /// Tokens held by attempts whose usage cannot be determined.
     pub unproved: Tokens,
-    /// The tries.
+    /// The attempts.
     pub runs: Vec<BilledRun>,
 }
 
 impl UsageSum {
-    /// Returns all that the tries took from the hold.
+    /// Returns the number of tokens that the attempts took from the hold.
     pub fn total(&self) -> Tokens {
         self.billed + self.written_off + self.unproved
     }
 
-    /// Adds a try.
+    /// Adds an attempt that used `used` tokens; the caller adds them to one of the totals.
     pub fn add_run(&mut self, target: &AttemptTarget, run: &RunId, used: Tokens) {
         let (run, agent) = (Arc::clone(run), Arc::clone(&target.agent));
         self.runs.push(BilledRun { run, agent, used });
     }
 
-    /// Turns all of it into usage that is not charged.
+    /// Converts the charged tokens into tokens that are not charged.
     pub fn write_off(&mut self) {
         self.written_off += std::mem::take(&mut self.billed);
     }
 
-    /// Returns the bill, or none if nothing ran.
+    /// Returns the bill, or `None` if no attempt ran.
     pub fn into_bill(self, plan: &RequestPlan, hold: &GrantHold) -> Option<BillRow> {
         if self.runs.is_empty() {
             return None;
@@ -62,21 +62,22 @@
     }
 }
 
-/// Tells the tries of a request whether it has its bill: there must be only one.
+/// Right to bill a request after its end, shared by its unresolved attempts: at most one of them
+/// may do so, and none if the request itself was billed.
 #[derive(Debug, Clone)]
 pub struct BillClaim {
     billed: Arc<AtomicBool>,
     ended: async_channel::Receiver<()>,
 }
 
-/// The request's end of a [`BillClaim`]; dropping it ends the request.
+/// The request's counterpart of a [`BillClaim`]; dropping it marks the end of the request.
 #[derive(Debug)]
 pub struct BillMarker {
     billed: Arc<AtomicBool>,
     _ended: async_channel::Sender<()>,
 }
 
-/// Makes both ends.
+/// Creates both for a new request.
 pub fn new_bill_claim() -> (BillMarker, BillClaim) {
     let billed = Arc::new(AtomicBool::new(false));
     let (sender, ended) = async_channel::bounded(1);
@@ -85,7 +86,7 @@
 }
 
 impl BillMarker {
-    /// Notes a bill of the request.
+    /// Records a bill of the request.
     pub fn record(&self, bill: Option<&BillRow>) {
         if bill.is_some_and(|row| row.billed > 0) {
             self.billed.store(true, Ordering::SeqCst);
@@ -94,42 +95,44 @@
 }
 
 impl BillClaim {
-    /// Waits for the request's end, then takes the right to bill it, if nothing has.
+    /// Waits for the end of the request, then claims the right to bill it; `false` if it has
+    /// already been billed.
     async fn claim(&self) -> bool {
-        // Nothing is ever sent: the channel ends with the request.
+        // Nothing is ever sent; the channel is closed when the request ends.
         self.ended.recv().await.ok();
         !self.billed.swap(true, Ordering::SeqCst)
     }
 }
 
-/// A try whose end is not known, and the money that it holds.
+/// An attempt whose result is not known yet, with the budget that it holds.
 #[derive(Debug)]
 pub struct PendingAttempt {
-    /// The entry.
+    /// Entry that serves the request.
     pub entry: Arc<Entry>,
     /// The request.
     pub plan: RequestPlan,
-    /// Where the try went.
+    /// Agent that the attempt was sent to.
     pub target: AttemptTarget,
-    /// The try.
+    /// Id of the attempt.
     pub run: RunId,
-    /// What it holds.
+    /// Hold of the attempt.
     pub hold: GrantHold,
-    /// Its record, if it may not be repeated.
+    /// Run record, if the request is not repeatable.
     pub record: Option<(RunRecord, Version)>,
-    /// Whether the caller has part of its answer, or may not try again.
+    /// Whether usage may be charged: the caller has received part of the response, or the request
+    /// is not repeatable.
     pub chargeable: bool,
-    /// Whether the request has its bill.
+    /// Right to bill the request.
     pub claim: BillClaim,
-    /// Keeps the entry from stopping before the money is settled.
+    /// Keeps the entry from stopping before the hold is settled.
     pub guard: Arc<()>,
 }
 
 impl PendingAttempt {
-    /// Asks until the end is known, then settles it.
+    /// Queries the agent until the result is known, then settles the hold.
     ///
-    /// Guards against two bills of one request: another try may have brought the answer meanwhile,
-    /// and then what this one used is written off.
+    /// Guards against billing a request twice: if another attempt has delivered the response in the
+    /// meantime, the usage of this one is written off.
     pub async fn resolve(self) {
         let resolving =
             attempts::query_result(&self.entry, &self.target, &self.run, self.hold.amount);
@@ -160,12 +163,12 @@
     }
 }
 
-/// Returns what the record of a try says that ended like this.
+/// Returns the state to write to the run record of an attempt with the given result.
 pub fn record_state(result: &AttemptResult) -> RecordState {
     match result {
         AttemptResult::NotRun { .. } => RecordState::NotRun,
-        AttemptResult::Incomplete { response: Some(response), .. } => {
-            records::finished_state(response.clone())
+        AttemptResult::Incomplete { answer: Some(answer), .. } => {
+            records::finished_state(answer.clone())
         }
         _ => RecordState::Unknown,
     }
--- a/toucanrail-daemons/src/execution.rs
+++ b/toucanrail-daemons/src/execution.rs
@@ -1,4 +1,4 @@
-//! Runs one command at the agent's backend server and frames its answer.
+//! Runs one command at the agent's backend server and sends the response to the entry in frames.
 
 use std::io;
 use std::sync::Arc;
@@ -18,19 +18,19 @@
 
 use crate::agents::Agent;
 
-/// Time between two signs of life to the entry.
+/// Interval between keep-alive frames to the entry.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
-/// Silence of the backend server after which it is asked, on a fresh connection, whether it still
-/// active on the request.
+/// Time without data from the backend server after which it is asked, on a new connection, whether
+/// it is still processing the request.
 const SILENCE_THRESHOLD: Duration = Duration::from_millis(1_500);
-/// Longest wait for the backend server's status on a request.
+/// Timeout of a query for the status of a request.
 const STATUS_TIMEOUT: Duration = Duration::from_secs(1);
-/// Tries to learn what a cancelled request used.
+/// Maximum number of cancel calls to learn the usage of a request.
 const MAX_CANCEL_ATTEMPTS: u32 = 8;
 const CANCEL_RETRY_DELAY: Duration = Duration::from_millis(100);
-/// Status with which a model engine says that it does not know a request.
+/// HTTP status with which a model engine reports that it does not know a request.
 const UNKNOWN_REQUEST_STATUS: u16 = 404;
-/// Fields that belong to one connection, or are made anew on the next.
+/// Header fields that apply to a single connection or are generated anew on the next one.
 const HOP_BY_HOP_FIELDS: [&str; 9] = [
     "connection",
     "content-length",
@@ -43,7 +43,7 @@
     "upgrade",
 ];
 
-/// What the backend server says of one request.
+/// Status of a request at a model engine.
 #[derive(Debug, Clone, Copy, Deserialize)]
 struct EngineStatus {
     active: bool,
@@ -51,7 +51,7 @@
     generated: Tokens,
 }
 
-/// Whether the backend server knows a request.
+/// Reply of a model engine to a status query or a cancel call.
 #[derive(Debug, Clone, Copy)]
 enum StatusReply {
     Known(EngineStatus),
@@ -59,7 +59,7 @@
     NoReply,
 }
 
-/// What the reading side saw.
+/// Event from the task that reads the backend server's response.
 #[derive(Debug)]
 enum ReadEvent {
     NotSent(io::Error),
@@ -69,7 +69,7 @@
     End,
 }
 
-/// What happened next.
+/// Event in the processing of a run.
 #[derive(Debug)]
 enum RunEvent {
     Read(ReadEvent),
@@ -77,7 +77,7 @@
     EntryGone,
 }
 
-/// One try under way.
+/// One attempt in progress.
 struct RunTask {
     agent: Arc<Agent>,
     command: RunCommand,
@@ -90,12 +90,13 @@
     orphaned: bool,
 }
 
-/// Tells whether a field is passed on.
+/// Tells whether a header field is forwarded.
 pub fn is_forwarded(name: &str) -> bool {
     !HOP_BY_HOP_FIELDS.contains(&name)
 }
 
-/// Runs an admitted command to its end and notes it in the ledger; the entry may go away meanwhile.
+/// Runs an admitted command and records its result in the ledger, even if the entry disconnects in
+/// the meantime.
 pub async fn run_command(agent: Arc<Agent>, command: RunCommand, writer: PipeWriter) {
     let (sender, events) = async_channel::bounded(16);
     let reading = smol::spawn(read_response(Arc::clone(&agent), command.clone(), sender));
@@ -117,7 +118,8 @@
         }
     }
     task.writer.finish().await;
-    // Dropping the reading side closes its connection, so that nothing of it is used again.
+    // Cancelling the reader closes its connection unless the response was complete, so that an
+    // unfinished exchange is not reused.
     reading.cancel().await;
 }
 
@@ -205,7 +207,8 @@
             .field("engine-resume-from", command.resume_from.to_string());
     }
     call.body.clone_from(&command.body);
-    // A kept connection that dies under a call leaves its end unknown; not worth it here.
+    // If a pooled connection breaks during a call, its outcome is unknown. That risk is not worth
+    // the saved handshake for a non-repeatable request.
     if command.repeatable { call } else { call.on_new_connection() }
 }
 
@@ -219,7 +222,7 @@
 }
 
 impl RunTask {
-    /// Takes an event; false once the try has ended.
+    /// Handles an event; `false` once the attempt has ended.
     async fn handle_event(&mut self, event: RunEvent) -> bool {
         match event {
             RunEvent::Read(event) => {
@@ -227,7 +230,7 @@
                 self.handle_read(event).await
             }
             RunEvent::Tick => self.handle_tick().await,
-            // What may not be repeated goes on to its end: a retry must get its answer.
+            // A non-repeatable request runs to its end, as a retry has to get its response.
             RunEvent::EntryGone if !self.command.repeatable => {
                 self.orphaned = true;
                 true
@@ -239,11 +242,11 @@
     async fn handle_read(&mut self, event: ReadEvent) -> bool {
         match event {
             ReadEvent::NotSent(error) => {
-                tracing::debug!(%error, "backend server not reached");
+                tracing::debug!(%error, "could not reach the backend server");
                 self.withdraw().await
             }
             ReadEvent::Broken(error) => {
-                tracing::debug!(%error, "answer cut");
+                tracing::debug!(%error, "response truncated");
                 let code = match self.head {
                     Some(_) => codetable::ANSWER_CUT,
                     None => codetable::BACKEND_FAILED,
@@ -268,7 +271,7 @@
 
     async fn forward_bytes(&mut self, bytes: &[u8]) -> bool {
         let bytes = self.meter.process_bytes(bytes);
-        // The agent keeps to the hold even if the engine would not.
+        // The agent enforces the hold even if the engine does not.
         if self.meter.min_used() > self.command.hold {
             return self.fail(codetable::ANSWER_CUT, RunState::Ran).await;
         }
@@ -283,7 +286,8 @@
         true
     }
 
-    /// Tells the entry that this side lives, and looks after a backend server that fell silent.
+    /// Sends a keep-alive frame to the entry, and checks on a backend server that has stopped
+    /// sending.
     async fn handle_tick(&mut self) -> bool {
         let request = Arc::clone(&self.command.request);
         self.send(&RunFrame::Alive { request }).await;
@@ -295,8 +299,8 @@
             return true;
         }
         self.heard_at = Instant::now();
-        // The connection may be lost in between without either end knowing: the engine then says
-        // that it has generated more than came here, or that it has ended.
+        // The connection may be lost without either end noticing. The engine then reports that it
+        // has generated more tokens than were received here, or that the request has ended.
         let active = match self.query_engine("usage").await {
             StatusReply::Known(status) => status.active && !self.is_behind(status),
             StatusReply::Unknown => self.head.is_none(),
@@ -353,10 +357,12 @@
         false
     }
 
-    /// Cancels the request and learns what it used; what cannot be learned stays unproved.
+    /// Cancels the request and returns its usage as proved and unproved tokens; the entire rest of
+    /// the hold is unproved if the engine does not report the usage.
     ///
-    /// Guards against a cancel that overtakes its request on another connection: an engine that
-    /// does not know the request yet may still run it, so it is asked until it knows it.
+    /// Guards against a cancel call that overtakes its request on another connection: an engine
+    /// that does not know the request yet may still run it, so the call is repeated until the
+    /// engine knows it.
     async fn settle_usage(&self) -> (Tokens, Tokens) {
         let min_used = self.meter.min_used().min(self.command.hold);
         if matches!(self.command.usage, UsageRule::Fixed(_)) {
@@ -374,17 +380,17 @@
         (min_used, self.command.hold - min_used)
     }
 
-    fn record_end(&mut self, whole: bool, used: Tokens, unproved: Tokens) {
+    fn record_end(&mut self, complete: bool, used: Tokens, unproved: Tokens) {
         let empty = RunMeter::new(self.command.usage, false, 0);
         let meter = std::mem::replace(&mut self.meter, empty);
-        let body = meter.into_body().filter(|_| whole && !self.command.repeatable);
+        let body = meter.into_body().filter(|_| complete && !self.command.repeatable);
         let response = body.zip(self.head.clone()).map(|(body, (status, fields))| StoredResponse {
             status,
             fields,
             body,
         });
         let mut ledger = self.agent.lock_ledger();
-        ledger.finish(&self.command.run, whole, used, unproved, response);
+        ledger.finish(&self.command.run, complete, used, unproved, response);
     }
 
     fn send(&self, frame: &RunFrame) -> impl Future<Output = bool> + Send + '_ {
--- a/toucanrail-daemons/src/planning.rs
+++ b/toucanrail-daemons/src/planning.rs
@@ -1,4 +1,5 @@
-//! Reads a caller's request into a plan: who pays, which service, what it may use at most.
+//! Parses a caller's request into a plan: the customer that pays, the service, and the maximum
+//! usage.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,73 +17,76 @@
 
 use crate::execution;
 
-/// Tokens that an engine's chat template may add to each message.
+/// Number of tokens that an engine's chat template may add to each message.
 const TEMPLATE_TOKENS: Tokens = 8;
-/// Bytes of a prompt that stand for its prefix when a server is chosen.
+/// Number of leading bytes of a prompt whose hash identifies its prefix when a server is chosen.
 const PREFIX_BYTES: usize = 256;
+/// Maximum length of an idempotency key.
 const MAX_KEY_BYTES: usize = 256;
-/// Most tokens that a caller may ask for; ten times the longest context of today's models.
+/// Maximum number of tokens that a caller may request; ten times the longest context of current
+/// models.
 const MAX_OUTPUT_TOKENS: Tokens = 10_000_000;
-/// Fields of the caller that backend servers do not get.
+/// Header fields of the caller that are not forwarded to backend servers.
 const INTERNAL_FIELDS: [&str; 3] = ["authorization", "expect", "toucanrail-deadline-ms"];
 
-/// One request, read and checked.
+/// A parsed and validated request.
 #[derive(Debug, Clone)]
 pub struct RequestPlan {
-    /// Its id.
+    /// Request id.
     pub request: RequestId,
-    /// Whether the caller gave a key.
+    /// Whether the caller gave an idempotency key.
     pub keyed: bool,
-    /// Who pays.
+    /// Customer that pays.
     pub customer: CustomerEntry,
-    /// What it is for.
+    /// Service that is called.
     pub service: ServiceEntry,
-    /// The method.
+    /// HTTP method.
     pub method: Arc<str>,
-    /// Path and query at the backend server.
+    /// Path and query to request from the backend server.
     pub path: Arc<str>,
-    /// Fields passed on.
+    /// Header fields to forward.
     pub fields: Vec<HeaderField>,
-    /// What is sent on.
+    /// Body to forward.
     pub body: RequestBody,
-    /// Whether the answer streams as events.
+    /// Whether the response is streamed as server-sent events.
     pub streamed: bool,
-    /// How usage is counted.
+    /// How usage is determined.
     pub usage: UsageRule,
-    /// The most that one run uses.
+    /// Maximum number of tokens that one attempt uses.
     pub hold: Tokens,
-    /// Hash of the prompt's prefix.
+    /// Hash of the prompt's prefix, if there is a prompt.
     pub prefix: Option<u64>,
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     pub repeatable: bool,
-    /// Time from its arrival to its end.
+    /// Time limit of the request, counted from its arrival.
     pub deadline: Duration,
-    /// Digest of method, path and body.
+    /// Digest of method, path and body, by which reuse of an idempotency key for another request is
+    /// detected; empty without a key.
     pub digest: Arc<str>,
 }
 
-/// The body to send on.
+/// Request body to forward.
 #[derive(Debug, Clone)]
 pub enum RequestBody {
-    /// As the caller sent it.
+    /// The body as the caller sent it.
     Plain(Vec<u8>),
-    /// A completion, with its limit.
+    /// A completion request with its output limit.
     Completion {
         /// The fields of the JSON body.
         fields: Map<String, Value>,
-        /// The output limit.
+        /// Maximum number of output tokens.
         max_output: Tokens,
     },
 }
 
 impl RequestBody {
-    /// Encodes the body for a run that goes on behind the first `resume_from` tokens.
+    /// Encodes the body for an attempt that resumes after the first `resume_from` tokens.
     pub fn encode(&self, resume_from: Tokens) -> Vec<u8> {
         match self {
             Self::Plain(bytes) => bytes.clone(),
             Self::Completion { fields, max_output } if resume_from == 0 => {
                 debug_assert_eq!(fields.get("max_tokens"), Some(&json!(max_output)));
-                // Text and numbers that were read as JSON are written as JSON again.
+                // Values that were parsed from JSON can always be encoded as JSON again.
                 serde_json::to_vec(fields).unwrap_or_default()
             }
             Self::Completion { fields, max_output } => {
@@ -105,7 +109,7 @@
     Err(Box::new(ErrorDetails::new(codetable::BAD_REQUEST).field(field).detail(detail)))
 }
 
-/// Finds the customer of a call's bearer key.
+/// Returns the customer to whom the request's bearer key belongs.
 pub fn find_customer<'table>(
     table: &'table CatalogueTable,
     call: &ReceivedRequest,
@@ -116,7 +120,7 @@
     customer.map_or_else(|| reject(codetable::UNKNOWN_KEY, ""), Ok)
 }
 
-/// Reads a call into a plan.
+/// Parses a request into a plan.
 pub fn parse_plan(table: &CatalogueTable, call: &ReceivedRequest) -> PlanResult<RequestPlan> {
     let customer = find_customer(table, call)?.clone();
     match call.path() {
@@ -170,7 +174,7 @@
     })
 }
 
-/// Returns the prompt's text and the number of its messages.
+/// Returns the text of the prompt and the number of its messages.
 fn parse_prompt(fields: &Map<String, Value>, is_chat: bool) -> Option<(String, u64)> {
     if !is_chat {
         return fields.get("prompt")?.as_str().map(|prompt| (prompt.to_owned(), 1));
@@ -184,8 +188,10 @@
     Some((texts.collect::<Vec<_>>().join("\n"), messages.len() as u64))
 }
 
-/// Reads how many tokens the caller asks for, if it says; more than the service allows is cut to that,
-/// but a number that no engine could mean is a fault of the caller.
+/// Returns the maximum number of output tokens in the request, if there is one.
+///
+/// More tokens than the service allows are accepted, as the caller of this function reduces them to
+/// the service's limit; a number that no engine supports is an error of the request.
 fn parse_max_output(fields: &Map<String, Value>) -> PlanResult<Option<Tokens>> {
     for name in ["max_tokens", "max_completion_tokens"] {
         let Some(value) = fields.get(name).filter(|value| !value.is_null()) else {
@@ -292,7 +298,7 @@
     fields.collect()
 }
 
-/// Returns the body of `GET /v1/models`: the models that a customer may use.
+/// Returns the response body of `GET /v1/models`: the models that a customer may use.
 pub fn list_models(table: &CatalogueTable, customer: &CustomerEntry) -> Value {
     let services = table.services().filter(|service| may_use(customer, service));
     let models = services.filter_map(|service| {
--- a/toucanrail-daemons/src/reclaiming.rs
+++ b/toucanrail-daemons/src/reclaiming.rs
@@ -1,4 +1,4 @@
-//! Brings back what dead entries held.
+//! Reclaims the budget tenures of entries that have died.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -19,12 +19,13 @@
 
 const CHECK_INTERVAL: Duration = Duration::from_millis(300);
 const FENCE_TIMEOUT: Duration = Duration::from_millis(800);
-/// Head start of each entry over the next in rank, so that one does the work.
-/// Time that peers have to finish what they began.
+/// Time for peers to finish the reclaim of this entry's own tenure before this entry tries to.
 const OWN_RECLAIM_INTERVAL: Duration = Duration::from_secs(3);
+/// Delay of each entry relative to the one before it in rank, so that normally only one of them
+/// reclaims.
 const RANK_DELAY: Duration = Duration::from_secs(2);
 
-/// Looks for lost peers and reclaims their tenures, again and again.
+/// Checks for lost peers periodically and reclaims their tenures.
 pub async fn watch_lost_peers(entry: Arc<Entry>) {
     let mut lost_since: BTreeMap<EntryId, Duration> = BTreeMap::new();
     loop {
@@ -44,8 +45,8 @@
     }
 }
 
-/// Finds holders whose registration has ended: they are no longer among the peers, so that nobody
-/// would miss them.
+/// Finds holders of tenures whose registration has ended. They are no longer among the peers, so
+/// `lost_peers` does not report them.
 fn find_unregistered_holders(entry: &Entry) -> Vec<EntryId> {
     let holders: BTreeSet<EntryId> = {
         let tables = entry.lock();
@@ -59,7 +60,8 @@
     holders.into_iter().filter(|holder| *holder != entry.id && ended(holder)).collect()
 }
 
-/// Ranks the live entries for a dead one; the first begins at once.
+/// Returns how long this entry waits before it reclaims the tenures of `dead`, by its rank among
+/// the live entries; the first in rank does not wait.
 fn reclaim_delay(entry: &Entry, dead: &EntryId) -> Duration {
     let tables = entry.lock();
     let lost = tables.members.lost_peers(entry.now());
@@ -71,8 +73,11 @@
     RANK_DELAY * rank as u32
 }
 
-/// A peer that is only silent may be on the other side of a cut. It is left alone unless this
-/// entry reaches every agent: revoking it could not return its money before all have fenced it.
+/// Tells whether this entry may reclaim the tenures of `dead`.
+///
+/// A peer that does not respond may be on the other side of a network partition. Its tenures are
+/// reclaimed only if this entry reaches every agent, as its budget cannot be returned before all
+/// agents have fenced it.
 fn may_reclaim(entry: &Entry, dead: &EntryId) -> bool {
     let tables = entry.lock();
     let now = entry.now();
@@ -103,10 +108,10 @@
     }
 }
 
-/// Finishes the reclaim of this entry's own lost tenure if nobody else does.
+/// Finishes the reclaim of this entry's own revoked tenure if no peer does.
 ///
-/// Guards against money that stays revoked: an entry that seemed dead and lives is no longer
-/// lost, so the peer that began may never come back to it.
+/// Guards against budget that stays revoked: if an entry was wrongly considered lost, the peer that
+/// began the reclaim no longer considers it lost and may never finish.
 pub async fn reclaim_own(entry: Arc<Entry>, shard: ShardName) {
     loop {
         smol::Timer::after(OWN_RECLAIM_INTERVAL).await;
@@ -144,15 +149,15 @@
     reply.map_or(ReclaimReply::Unreachable, ReclaimReply::Fenced)
 }
 
-/// Returns where a registered agent is reached.
+/// Returns the address of a registered agent.
 pub fn agent_address(entry: &Entry, agent: &AgentId) -> Option<SocketAddr> {
     let state = entry.mirrors.lock();
     let node: NodeEntry = storecalls::decode_value(state.nodes.get(agent)?)?;
     Some(node.address)
 }
 
-/// Tells whether an incarnation of an agent is provably gone: its registration was ended, or its
-/// VM left the list. One that was never seen may only be new.
+/// Tells whether an incarnation of an agent is provably gone: its registration has ended, or its VM
+/// is no longer in the VM list. An agent whose registration was never seen may be new.
 pub fn is_agent_gone(entry: &Entry, agent: &AgentId) -> bool {
     let node: Option<NodeEntry> = {
         let state = entry.mirrors.lock();
--- a/toucanrail-daemons/src/recording.rs
+++ b/toucanrail-daemons/src/recording.rs
@@ -1,4 +1,4 @@
-//! The entry's side of the records of runs that may not be repeated.
+//! Run records of non-repeatable requests, as the entry reads and writes them.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,7 +19,8 @@
 const QUERY_TIMEOUT: Duration = Duration::from_secs(1);
 const WRITE_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Opens the record of a request for a try at `agent`, or finds what became of an earlier one.
+/// Opens the record of a request for an attempt at `agent`, or determines the outcome of an earlier
+/// attempt.
 pub async fn open_record(entry: &Arc<Entry>, plan: &RequestPlan, agent: &AgentId) -> RecordOutcome {
     let mut machine = RecordMachine::new(RunRecord {
         request: Arc::clone(&plan.request),
@@ -55,12 +56,12 @@
         entry.client.send(address, routes::ASK, &query, QUERY_TIMEOUT).await;
     match reply {
         Ok(reply) if reply.agent != *agent => RecordReply::Gone,
-        Ok(AgentReply { fate: Some(fate), .. }) => RecordReply::Report(fate),
+        Ok(AgentReply { fate: Some(report), .. }) => RecordReply::Report(report),
         _ => RecordReply::Unreachable,
     }
 }
 
-/// Writes how a recorded try ended; false if the platform did not take it.
+/// Writes the result of a recorded attempt; `false` if the store did not accept it.
 pub async fn close_record(
     entry: &Arc<Entry>,
     record: &RunRecord,
@@ -73,13 +74,13 @@
         expect: WriteExpectation::At(version),
         value: storecalls::encode_value(&closed),
     };
-    // After a conflict another entry has found out and written how it ended.
+    // On a conflict, another entry has already determined and written the result.
     matches!(entry.store.call(&put).await, StoreReply::Written { .. } | StoreReply::Conflict)
 }
 
-/// Writes how a recorded try ended until the platform takes it.
+/// Writes the result of a recorded attempt, retrying until the store accepts it.
 ///
-/// The run stays in its agent's ledger meanwhile, so that a retry learns its end from there.
+/// The run stays in its agent's ledger until then, so that a retry gets the result from there.
 pub async fn close_record_retrying(
     entry: &Arc<Entry>,
     record: &RunRecord,
--- a/toucanrail-daemons/src/responding.rs
+++ b/toucanrail-daemons/src/responding.rs
@@ -1,4 +1,4 @@
-//! The caller's side of a request: what it gets, and when.
+//! Writes the response of a request to its caller.
 
 use http_types::Response;
 use toucanrail::codes::RunState;
@@ -11,32 +11,32 @@
 use crate::attempts::ResponseSink;
 use crate::planning::RequestPlan;
 
-/// Bytes of an answer that does not stream which are held back until it is whole, so that a cut
-/// one can be tried again unseen.
+/// Maximum size of a non-streamed response body that is held back until it is complete. While it is
+/// held back, a truncated response can be retried without the caller noticing.
 const MAX_HELD_BYTES: usize = 1024 * 1024;
-/// Largest answer stored for a retry of a keyed request.
+/// Maximum size of a response body that is stored for retries of a keyed request.
 const MAX_REPLAY_BYTES: usize = 256 * 1024;
 
-/// The caller's side of a request: its answer, sent once its head is due.
+/// Writes the response of one request, which may come from several attempts.
 #[derive(Debug)]
 pub struct ResponseWriter {
-    /// Takes the answer once its head is due.
+    /// Receives the response once its head can be sent.
     pub reply: async_channel::Sender<Response>,
     pipe: Option<PipeWriter>,
     streamed: bool,
-    /// Status and fields, once they came.
+    /// Status code and header fields, once received.
     pub head: Option<(u16, Vec<HeaderField>)>,
-    /// The body of an answer that does not stream, until it is whole.
+    /// Body of a non-streamed response, held back until it is complete.
     pub held: Vec<u8>,
-    /// The body so far, for a retry of a keyed request.
+    /// Body so far, to be stored for retries of a keyed request; `None` if it is not stored.
     pub replay_body: Option<Vec<u8>>,
-    /// Tokens that the caller has.
+    /// Number of tokens that the caller has received.
     pub tokens: Tokens,
     repeatable: bool,
 }
 
 impl ResponseWriter {
-    /// Makes the side of a caller who waits for an answer.
+    /// Creates a writer that sends the response to `reply`.
     pub fn new(plan: &RequestPlan, reply: async_channel::Sender<Response>) -> Self {
         Self {
             reply,
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Tells whether the caller has part of the answer.
+    /// Tells whether the head of the response has been sent to the caller.
     pub fn has_started(&self) -> bool {
         self.pipe.is_some()
     }
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Ends a whole answer.
+    /// Completes the response.
     pub async fn finish(&mut self) {
         if self.pipe.is_none() && self.held.len() <= MAX_HELD_BYTES {
             let (status, fields) = self.head.clone().unwrap_or((200, Vec::new()));
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Forgets what a failed try brought, none of which the caller has.
+    /// Discards the response of a failed attempt, of which nothing has been sent to the caller.
     pub fn reset(&mut self) {
         self.head = None;
         self.held.clear();
@@ -97,7 +97,7 @@
     }
 }
 
-/// Puts the fields of an answer that ran on a response.
+/// Adds the header fields of a backend server's response, and those that mark it as run.
 pub fn set_fields(response: &mut Response, fields: &[HeaderField]) {
     for field in fields {
         response.insert_header(&*field.name, &*field.value);
@@ -133,7 +133,8 @@
     }
 
     async fn wait_caller_gone(&self) {
-        // What may not be repeated goes on to its end: a retry must get its answer.
+        // A non-repeatable request runs to its end even if the caller disconnects, as a retry has
+        // to get its response.
         if !self.repeatable {
             return std::future::pending().await;
         }
--- a/toucanrail-daemons/src/serving.rs
+++ b/toucanrail-daemons/src/serving.rs
@@ -1,4 +1,5 @@
-//! Serves one caller's request: admits it, runs it, streams its answer and bills it once.
+//! Serves one request of a caller: admits it, runs it at agents, streams the response and bills it
+//! once.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -27,14 +28,14 @@
 use crate::settlement;
 use crate::states::Entry;
 
-/// Tries of one request, the first included.
+/// Maximum number of attempts of one request, including the first.
 const MAX_ATTEMPTS: u32 = 4;
-/// When to come back after a refusal that nothing better is known for.
+/// `Retry-After` of a refusal for which no better estimate is available.
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
-/// Largest answer kept in the record of a request that may not be repeated.
+/// Maximum size of a response body that is stored in the record of a non-repeatable request.
 const MAX_RECORD_BYTES: usize = 512 * 1024;
 
-/// Serves one call.
+/// Serves one request; the response body may still be streaming when this returns.
 pub async fn serve(entry: Arc<Entry>, call: ReceivedRequest) -> Response {
     let plan = planning::parse_plan(&entry.mirrors.lock().catalogue, &call);
     let plan = match plan {
@@ -43,7 +44,7 @@
     };
     let (reply, replied) = async_channel::bounded(1);
     let request = Arc::clone(&plan.request);
-    // On its own: what was begun is settled even if the caller goes away.
+    // Runs as a task of its own, so that a request is settled even if the caller disconnects.
     let task = RequestTask::new(Arc::clone(&entry), plan, reply);
     smol::spawn(task.run()).detach();
     let mut response = match replied.recv().await {
@@ -54,7 +55,7 @@
     response
 }
 
-/// One request under way.
+/// One request in progress.
 #[derive(Debug)]
 struct RequestTask {
     entry: Arc<Entry>,
@@ -69,12 +70,13 @@
     tried: BTreeSet<AgentId>,
     attempt: u32,
     record: Option<(RunRecord, Version)>,
-    /// What earlier tries say about the run; none while all were provably not run.
+    /// What earlier attempts show about whether the request ran; `None` as long as all of them
+    /// provably did not run.
     run_state: Option<RunState>,
     _guard: Arc<()>,
 }
 
-/// How a request ends.
+/// How a request ended.
 #[derive(Debug)]
 enum RequestEnd {
     Complete,
@@ -139,7 +141,8 @@
         if retryable.contains(&code) { note.retry_after(DEFAULT_RETRY_AFTER) } else { note }
     }
 
-    /// A keyed request that may be repeated is remembered here; one that may not, in its record.
+    /// Registers a keyed repeatable request in the replay table, and returns the stored response if
+    /// it is a retry. The responses of non-repeatable requests are stored in their records instead.
     fn begin_keyed(&mut self) -> Result<Option<StoredResponse>, ResultCode> {
         if !self.plan.keyed || !self.plan.repeatable {
             return Ok(None);
@@ -242,10 +245,8 @@
                     last_code = code;
                     retry_delay = retry_after;
                 }
-                AttemptResult::Incomplete { response: Some(response), .. }
-                    if !self.plan.repeatable =>
-                {
-                    return RequestEnd::Replayed(response);
+                AttemptResult::Incomplete { answer: Some(answer), .. } if !self.plan.repeatable => {
+                    return RequestEnd::Replayed(answer);
                 }
                 AttemptResult::Incomplete { code, .. } | AttemptResult::Unresolved { code } => {
                     if code == codetable::CANCELLED {
@@ -255,8 +256,8 @@
                     if !self.prepare_retry().await {
                         break;
                     }
-                    // Where no other server is left, a lost connection does not speak against
-                    // the server behind it.
+                    // If no other server is left, the same ones may be tried again: a lost
+                    // connection does not imply that the server behind it failed.
                     if self.pick_server().is_none() {
                         self.tried.clear();
                     }
@@ -272,8 +273,12 @@
         self.plan.deadline.saturating_sub(self.arrived.elapsed())
     }
 
-    /// Tells whether a request whose try was lost may go again: it is repeatable, the caller has
-    /// nothing that could not be continued, and the retry budget and its own hold allow it.
+    /// Prepares another attempt after one without a complete response; `false` if there must be
+    /// none.
+    ///
+    /// The request has to be repeatable, any part of the response that the caller has received has
+    /// to be resumable, and the retry budget and the hold have to cover the attempt. Waits for the
+    /// backoff.
     async fn prepare_retry(&mut self) -> bool {
         let resumable = self.plan.service.resumes && self.plan.streamed;
         if !self.plan.repeatable || (self.writer.has_started() && !resumable) {
@@ -293,7 +298,8 @@
         self.extend_hold().await
     }
 
-    /// Brings the hold up to another try's worst case besides what earlier tries used.
+    /// Extends the hold so that it covers the maximum usage of another attempt in addition to what
+    /// earlier attempts used.
     async fn extend_hold(&mut self) -> bool {
         let Some(hold) = self.hold.clone() else {
             return false;
@@ -311,7 +317,8 @@
             self.hold = Some(GrantHold { amount, ..hold });
             return true;
         }
-        // The tenure was lost meanwhile: what was used belongs to it, the rest begins anew.
+        // The tenure was lost in the meantime. Earlier usage is written off and settled with its
+        // hold, and the next attempt needs a new hold.
         self.entry.lock().grants.end_hold(&extra, None);
         self.sum.write_off();
         self.settle();
@@ -336,16 +343,18 @@
         Some(AttemptTarget { agent: Arc::clone(&row.agent), address: row.address })
     }
 
-    /// Names the try: of a request that may not be repeated, as its record allows.
+    /// Returns the id of the next attempt. For a non-repeatable request this opens its record,
+    /// which decides whether there may be an attempt at all.
     async fn open_record(&mut self, target: &AttemptTarget) -> Result<RunId, RequestEnd> {
         if self.plan.repeatable {
-            // A keyed request may be under way at another entry too: the tries must differ.
+            // A keyed request may be running at another entry too, so the ids of attempts contain a
+            // nonce.
             let nonce = fastrand::u32(..);
             return Ok(Arc::from(format!("{}.{}-{nonce:08x}", self.plan.request, self.attempt)));
         }
         match recording::open_record(&self.entry, &self.plan, &target.agent).await {
             RecordOutcome::Run { record, version } => {
-                self.trace(format!("recorded as try {} at {}", record.attempt, record.agent));
+                self.trace(format!("recorded as attempt {} at {}", record.attempt, record.agent));
                 let run = record.run();
                 self.record = Some((record, version));
                 Ok(run)
@@ -376,7 +385,7 @@
 
     fn build_command(&self, target: &AttemptTarget, run: &RunId, hold: &GrantHold) -> RunCommand {
         let plan = &self.plan;
-        let resume_from = if self.writer.has_started() { self.writer.tokens } else { 0 };
+        let resumed_tokens = if self.writer.has_started() { self.writer.tokens } else { 0 };
         RunCommand {
             request: Arc::clone(&plan.request),
             run: Arc::clone(run),
@@ -391,17 +400,17 @@
             repeatable: plan.repeatable,
             priority: plan.customer.class.priority(),
             time_left: self.time_left().as_millis() as u64,
-            resume_from,
+            resume_from: resumed_tokens,
             usage: plan.usage,
             streamed: plan.streamed,
             method: Arc::clone(&plan.method),
             path: Arc::clone(&plan.path),
             fields: plan.fields.clone(),
-            body: plan.body.encode(resume_from),
+            body: plan.body.encode(resumed_tokens),
         }
     }
 
-    /// Books how a try ended: its usage, its server's standing and its record.
+    /// Records the result of an attempt: its usage, the health of its server, and its run record.
     async fn record_result(
         &mut self,
         target: &AttemptTarget,
@@ -437,12 +446,12 @@
             AttemptResult::NotRun { code, .. } => {
                 self.trace(format!("not run: {}", code.row().name));
             }
-            AttemptResult::Incomplete { code, used, unproved, response } => {
+            AttemptResult::Incomplete { code, used, unproved, answer } => {
                 self.trace(format!("lost: {}, used {used}, unproved {unproved}", code.row().name));
                 self.sum.add_run(target, run, *used);
                 self.record_run_state(*used);
                 self.sum.unproved += unproved;
-                let chargeable = delivered || response.is_some() || !self.plan.repeatable;
+                let chargeable = delivered || answer.is_some() || !self.plan.repeatable;
                 let gone = *code == codetable::CANCELLED;
                 if chargeable || gone {
                     self.sum.billed += used;
@@ -451,7 +460,7 @@
                 }
             }
             AttemptResult::Unresolved { code } => {
-                self.trace(format!("not known yet: {}", code.row().name));
+                self.trace(format!("result not known yet: {}", code.row().name));
                 self.record_run_state(0);
                 self.resolve_later(target, run);
             }
@@ -459,7 +468,8 @@
         self.close_record(result).await;
     }
 
-    /// Notes what a lost try says about the run: any use proves that it ran.
+    /// Updates the run state after an attempt without a complete response; any usage proves that it
+    /// ran.
     fn record_run_state(&mut self, used: Tokens) {
         if used > 0 {
             self.run_state = Some(RunState::Ran);
@@ -468,7 +478,8 @@
         }
     }
 
-    /// Follows a try whose agent does not answer: its part of the hold stays until its end is known.
+    /// Hands an attempt whose agent does not answer to a background task, which keeps the attempt's
+    /// part of the hold until the result is known.
     fn resolve_later(&mut self, target: &AttemptTarget, run: &RunId) {
         let Some(hold) = &mut self.hold else {
             return;
@@ -494,7 +505,8 @@
             return;
         };
         let state = match result {
-            // Too large to be kept: a retry is told that it ran, not what it answered.
+            // The body is too large to be stored. A retry is refused, as the outcome recorded for
+            // it is unknown.
             AttemptResult::Complete { .. } if self.writer.has_started() => RecordState::Unknown,
             AttemptResult::Complete { .. } if self.writer.held.len() > MAX_RECORD_BYTES => {
                 RecordState::Unknown
@@ -509,7 +521,8 @@
         if recording::close_record(&self.entry, &record, version, state.clone()).await {
             return;
         }
-        // The caller is answered now; until the record is written, the agent knows the end.
+        // The caller gets its response now. Until the record is written, the agent keeps the
+        // result.
         let entry = Arc::clone(&self.entry);
         let bill = self.hold.take().map(|hold| (self.take_bill(&hold), hold));
         let guard = entry.begin_request();
@@ -523,7 +536,7 @@
         .detach();
     }
 
-    /// Returns the bill of what was used since the last one.
+    /// Returns a bill for the usage since the last bill.
     fn take_bill(&mut self, hold: &GrantHold) -> Option<BillRow> {
         let sum = std::mem::take(&mut self.sum);
         if sum.total() > hold.amount {
@@ -552,7 +565,7 @@
             }
             RequestEnd::CallerGone => self.entry.board.count_result(codetable::CANCELLED),
             RequestEnd::Replayed(stored) => {
-                self.trace("answered as the first time".to_owned());
+                self.trace("replayed the stored response".to_owned());
                 self.entry.board.count_event("answers_replayed");
                 let mut response = responses::bytes(stored.status, stored.body);
                 responding::set_fields(&mut response, &stored.fields);
@@ -561,7 +574,8 @@
             RequestEnd::Refused(note) => {
                 self.trace(format!("refused: {} {}", note.code.number(), note.run.as_str()));
                 let response = self.entry.refuse(&note);
-                // With part of the answer out, dropping the writer cuts it visibly.
+                // If part of the response has been sent, dropping the writer truncates it, which
+                // the caller detects.
                 if !self.writer.has_started() {
                     self.writer.reply.send(response).await.ok();
                 }
--- a/toucanrail-daemons/src/settlement.rs
+++ b/toucanrail-daemons/src/settlement.rs
@@ -1,4 +1,4 @@
-//! The entry's side of the budgets: holds, syncs, acknowledgements and recalls.
+//! Budget grants of the entry: holds, syncs with the store, acknowledgements and recalls.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -20,27 +20,28 @@
 use crate::reclaiming;
 use crate::states::Entry;
 
-/// Time for which an account found exhausted is refused without asking again.
+/// Time for which requests of an exhausted account are refused without another sync.
 const EXHAUSTED_CACHE_TIME: Duration = Duration::from_millis(100);
-/// Rounds of recalls for one request.
+/// Maximum number of recall rounds for one request.
 const MAX_RECALLS: u32 = 4;
-/// Longest wait for a peer to give back unused grant.
+/// Timeout of a recall request to a peer.
 const RECALL_TIMEOUT: Duration = Duration::from_millis(400);
-/// Longest wait of a recall for its own sync.
+/// Longest wait of a recalled peer for the sync that returns its unused grant.
 const RELEASE_TIMEOUT: Duration = Duration::from_millis(300);
-/// Pause after a sync that brought nothing, however many requests wait for the next.
+/// Pause after a sync that had no effect, however many requests wait for the next one.
 const SYNC_PAUSE: Duration = Duration::from_millis(20);
 const ACK_TIMEOUT: Duration = Duration::from_millis(500);
-/// Longest wait of a stopping entry for its settlements.
+/// Timeout of the settlement of a stopping entry.
 const LEAVE_TIMEOUT: Duration = Duration::from_secs(10);
 const LEAVE_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Starts the loops that settle.
+/// Starts the task that syncs shards.
 pub fn start(entry: &Arc<Entry>) {
     smol::spawn(run_syncs(Arc::clone(entry))).detach();
 }
 
-/// Runs due syncs every flush, and at once while requests wait; one at a time a shard.
+/// Runs due syncs at every flush interval, and immediately if requests wait for one; at most one
+/// per shard at a time.
 async fn run_syncs(entry: Arc<Entry>) {
     let running: Arc<std::sync::Mutex<BTreeSet<ShardName>>> = Arc::default();
     loop {
@@ -58,8 +59,8 @@
                     if let Ok(mut running) = running.lock() {
                         running.remove(&shard);
                     }
-                    // A request that began to wait during this sync found it running, and
-                    // would otherwise wait for the next flush.
+                    // A request that began to wait during this sync could not start another one,
+                    // and would otherwise wait until the next flush.
                     if entry.lock().grants.has_unplanned_waits(&shard) {
                         entry.wanted.notify(usize::MAX);
                     }
@@ -74,7 +75,8 @@
     }
 }
 
-/// Runs one sync of a shard if one is due; true if it took effect.
+/// Runs one sync of a shard if one is due; `true` if the store answered it without
+/// revoking the tenure.
 pub async fn sync_shard(entry: &Arc<Entry>, shard: &ShardName, leave: bool) -> bool {
     let started = {
         let mut tables = entry.lock();
@@ -94,11 +96,11 @@
         SyncOutcome::Applied { .. } => entry.board.count_event("syncs"),
         SyncOutcome::Unchanged { .. } => entry.board.count_event("syncs_idle"),
         SyncOutcome::Unavailable => entry.board.count_event("syncs_unanswered"),
-        // The next sync meets the same until the reclaim is done.
+        // Further syncs of a revoked tenure have the same outcome until it is reclaimed.
         SyncOutcome::Revoked { .. } if !entry.lock().grants.has_tenure(shard) => {}
         SyncOutcome::Revoked { .. } => {
             entry.board.count_event("tenures_lost");
-            tracing::warn!(id = %entry.id, %shard, "tenure was revoked");
+            tracing::warn!(id = %entry.id, %shard, "tenure revoked");
             let finish = reclaiming::reclaim_own(Arc::clone(entry), Arc::clone(shard));
             smol::spawn(finish).detach();
         }
@@ -112,7 +114,7 @@
     applied
 }
 
-/// Moves old keyed requests of a shard to its archive.
+/// Moves old idempotency keys of a shard to its archive.
 async fn archive_keys(entry: &Arc<Entry>, shard: &ShardName) {
     let mut machine = ArchiveMachine::new(Arc::clone(shard), RECENT_KEY_LIMIT);
     while let Some(call) = machine.next_call() {
@@ -123,7 +125,7 @@
     }
 }
 
-/// Tells agents which runs are settled.
+/// Sends agents the runs that are settled, so that they drop their records.
 async fn send_acks(entry: &Arc<Entry>) {
     let pending = entry.lock().grants.pending_acks();
     for (agent, runs) in pending {
@@ -134,7 +136,7 @@
 async fn send_ack(entry: &Arc<Entry>, agent: &AgentId, runs: Vec<RunId>) {
     let target = entry.lock().servers.get(agent).map(|row| (row.address, Arc::clone(&row.vm)));
     let Some((address, vm)) = target else {
-        // Its registration has ended, so its process has.
+        // The registration of the agent has ended, so its process has ended too.
         entry.lock().grants.record_acked(agent, &BTreeSet::new(), true);
         return;
     };
@@ -152,7 +154,8 @@
     }
 }
 
-/// Takes a hold, waiting for a sync and recalling from peers if the grant is short.
+/// Acquires a hold; if the grant does not cover it, waits for a sync and recalls unused grant from
+/// peers.
 pub async fn acquire_hold(
     entry: &Arc<Entry>,
     customer: &CustomerId,
@@ -160,7 +163,7 @@
 ) -> Result<GrantHold, ResultCode> {
     {
         let mut tables = entry.lock();
-        // The catalogue may have brought the customer a moment ago.
+        // The customer may be new in the catalogue and have no account here yet.
         tables.grants.add_account(customer, &entry.shard_of(customer));
         if let Ok(hold) = tables.grants.hold(customer, amount) {
             return Ok(hold);
@@ -183,8 +186,10 @@
     waited
 }
 
-/// Only a shard read after the request came may refuse it, and only after peers gave back what
-/// they do not use.
+/// Waits until the grant covers a hold.
+///
+/// A request is refused only if the shard was read after the request arrived, and after peers have
+/// returned their unused grants.
 async fn wait_hold(
     entry: &Arc<Entry>,
     customer: &CustomerId,
@@ -202,7 +207,8 @@
                 if !may_recall || recall(entry, customer, missing).await == 0 {
                     return Err(codetable::BUDGET_EXHAUSTED);
                 }
-                // Another entry may be short too and take it first: then there is another round.
+                // Another entry that is short of budget may acquire the returned tokens first,
+                // which takes another round.
                 recalls += 1;
                 confirmed = false;
                 continue;
@@ -217,7 +223,7 @@
     }
 }
 
-/// Asks all peers at once for unused grant; returns how much they gave back.
+/// Recalls unused grant from all peers concurrently; returns the number of tokens they returned.
 async fn recall(entry: &Arc<Entry>, customer: &CustomerId, wanted: Tokens) -> Tokens {
     entry.board.count_event("recalls");
     let peers: Vec<_> = entry.lock().members.peers().map(|peer| peer.node.address).collect();
@@ -242,7 +248,8 @@
     returned
 }
 
-/// Gives unused grant back to the shard for a peer; returns how much was reserved for it.
+/// Returns unused grant to the shard for the peer that recalls it; returns the number of tokens
+/// reserved for the peer.
 pub async fn release_unused(entry: &Arc<Entry>, command: &RecallCommand) -> Tokens {
     let synced = entry.synced.listen();
     let released = entry.lock().grants.recall(&command.customer, command.wanted, &command.from);
@@ -253,9 +260,9 @@
     released
 }
 
-/// Settles everything, has agents drop it, and ends all tenures.
+/// Settles all bills, acknowledges the runs to agents, and ends all tenures.
 ///
-/// With `close` false, holds are still open and the tenures stay for peers to reclaim.
+/// With `close` false, some holds are still open, and the tenures remain for peers to reclaim.
 pub async fn settle_all(entry: &Arc<Entry>, close: bool) {
     let settling = async {
         while !entry.lock().grants.is_settled() {
@@ -265,7 +272,8 @@
         send_acks(entry).await;
         let shards = if close { entry.lock().grants.shards() } else { Vec::new() };
         for shard in shards {
-            // A sync that was under way may come first: only the leaving one ends the tenure.
+            // Another sync may be in progress, and only a sync with the `leave` flag ends the
+            // tenure.
             while entry.lock().grants.has_tenure(&shard) {
                 sync_shard(entry, &shard, true).await;
                 smol::Timer::after(LEAVE_CHECK_INTERVAL).await;
@@ -273,6 +281,6 @@
         }
     };
     if time_limits::timeout(LEAVE_TIMEOUT, settling).await.is_none() {
-        tracing::warn!(id = %entry.id, "stopped with bills that peers will settle");
+        tracing::warn!(id = %entry.id, "stopped with unsettled bills; peers will settle them");
     }
 }
--- a/toucanrail-daemons/tests/at_most_once.rs
+++ b/toucanrail-daemons/tests/at_most_once.rs
@@ -1,6 +1,6 @@
-//! Requests that may not be repeated, under retries, deaths and outages.
+//! Non-repeatable requests run at most once, under retries, process failures and store outages.
 
-// A test stops at the first thing that is not as it should be.
+// Tests fail at the first unexpected value.
 #![allow(clippy::unwrap_used)]
 
 mod fleet;
@@ -13,7 +13,7 @@
 use toucanrail_standins::plains::PlainStandin;
 use toucanrail_wire::clients::OutboundRequest;
 
-fn returns(key: &str) -> OutboundRequest {
+fn file_return(key: &str) -> OutboundRequest {
     authorized("/filing/returns", &json!({"month": "May"})).field("idempotency-key", key)
 }
 
@@ -27,18 +27,19 @@
     (plain, agent, first, second)
 }
 
-/// A client files a return, loses the answer and files again through another entry, twice. It
-/// must get the first answer each time, and the return must have been filed once.
+/// A client retries a tax return that was filed, through another entry and the first one. It must get
+/// the first response each time, and the return must have been filed once. The same key with another
+/// return is refused.
 #[test]
 fn late_retry() {
     smol::block_on(async {
         let fleet = Fleet::start(10_000).await;
         let (plain, _agent, first, second) = start(&fleet).await;
-        let answer = fleet.fetch(&first, returns("k1")).await.unwrap();
-        assert_eq!(answer.status, 200);
+        let response = fleet.fetch(&first, file_return("k1")).await.unwrap();
+        assert_eq!(response.status, 200);
         for entry in [&second, &first, &second] {
-            let again = fleet.fetch(entry, returns("k1")).await.unwrap();
-            assert_eq!((again.status, &again.body), (200, &answer.body));
+            let again = fleet.fetch(entry, file_return("k1")).await.unwrap();
+            assert_eq!((again.status, &again.body), (200, &response.body));
         }
         let other = authorized("/filing/returns", &json!({"month": "June"}));
         let other = fleet.fetch(&second, other.field("idempotency-key", "k1")).await.unwrap();
@@ -48,8 +49,8 @@
     });
 }
 
-/// Both entries get the same return at the same moment. One runs it; the other says that it is
-/// in flight or gives the same answer.
+/// Both entries receive the same return at the same time. One runs it; the other refuses it as in
+/// flight or gives the same response.
 #[test]
 fn two_entries() {
     smol::block_on(async {
@@ -57,99 +58,101 @@
         let (plain, _agent, first, second) = start(&fleet).await;
         for turn in 0..10 {
             let key = format!("k{turn}");
-            let slow = || returns(&key).field("plain-delay-ms", "30");
-            let (left, right) =
+            let slow = || file_return(&key).field("plain-delay-ms", "30");
+            let (first_result, second_result) =
                 smol::future::zip(fleet.fetch(&first, slow()), fleet.fetch(&second, slow())).await;
-            for answer in [left.unwrap(), right.unwrap()] {
-                // A try that was voided before it was sent did not run, and says so.
-                let fits = answer.status == 200 || [2203, 4204].contains(&result_of(&answer));
-                assert!(fits, "{} {}", answer.status, result_of(&answer));
+            for response in [first_result.unwrap(), second_result.unwrap()] {
+                // An attempt that was voided before it was sent did not run, and is refused as such.
+                let expected =
+                    response.status == 200 || [2203, 4204].contains(&result_of(&response));
+                assert!(expected, "{} {}", response.status, result_of(&response));
             }
             assert!(plain.runs().get(&key).is_none_or(|runs| *runs == 1), "{key}");
         }
     });
 }
 
-/// The object API is down when a return comes: it is refused as not run, with when to come back.
-/// The write of its record is then lost after its effect: the return must still run, once.
+/// The store is unavailable when a return arrives: it is refused as not run, with a `Retry-After`.
+/// Then the store applies the write of its record but the reply is lost: the return must still run,
+/// once.
 #[test]
 fn store_faults() {
     smol::block_on(async {
         let fleet = Fleet::start(10_000).await;
         let (plain, _agent, first, second) = start(&fleet).await;
-        // So that the budget is not what is missing.
-        fleet.fetch(&first, returns("k0")).await.unwrap();
+        // Obtains a grant, so that the return is not refused for lack of budget.
+        fleet.fetch(&first, file_return("k0")).await.unwrap();
         fleet.platform.faults.change(|plan| plan.down = true);
-        let refused = fleet.fetch(&first, returns("k1")).await.unwrap();
+        let refused = fleet.fetch(&first, file_return("k1")).await.unwrap();
         assert_eq!((refused.status, result_of(&refused)), (503, 4101));
         assert_eq!(refused.field("toucanrail-run"), Some("not-run"));
         assert!(refused.field("retry-after").is_some());
         fleet.platform.faults.change(|plan| plan.down = false);
-        assert!(!plain.runs().contains_key("k1"), "it said not run");
+        assert!(!plain.runs().contains_key("k1"), "a return refused as not run was filed");
         fleet.platform.faults.change(|plan| plan.lose_answers = 1);
         fleet
             .wait("a return filed after an outage", async || {
-                let answer = fleet.fetch(&second, returns("k1")).await.unwrap();
-                answer.status == 200
+                let response = fleet.fetch(&second, file_return("k1")).await.unwrap();
+                response.status == 200
             })
             .await;
         assert_eq!(plain.runs()["k1"], 1);
     });
 }
 
-/// The entry is killed while the return runs. The retry through the other entry must get the
-/// answer of that run, which the agent kept, and not file again.
+/// The entry is killed while the return runs. A retry through the other entry must get the response
+/// of that run, which the agent has stored, and must not file the return again.
 #[test]
 fn dead_writer() {
     smol::block_on(async {
         let fleet = Fleet::start(10_000).await;
         let (plain, _agent, mut first, second) = start(&fleet).await;
-        let call = returns("k1").field("plain-delay-ms", "300");
+        let call = file_return("k1").field("plain-delay-ms", "300");
         let sent = async {
             fleet.pool.fetch(first.address, call, BOUND).await.ok();
         };
-        let begun = fleet.wait("the run", async || plain.runs().contains_key("k1"));
-        sent.or(begun).await;
+        let started = fleet.wait("the run", async || plain.runs().contains_key("k1"));
+        sent.or(started).await;
         first.kill();
-        let mut answer = None;
+        let mut response = None;
         fleet
-            .wait("the answer of the first run", async || {
-                let again = fleet.fetch(&second, returns("k1")).await.unwrap();
+            .wait("the response of the first run", async || {
+                let again = fleet.fetch(&second, file_return("k1")).await.unwrap();
                 assert!(again.status == 200 || result_of(&again) == 2203, "{}", again.status);
                 let done = again.status == 200;
-                answer = done.then_some(again);
+                response = done.then_some(again);
                 done
             })
             .await;
-        assert!(String::from_utf8_lossy(&answer.unwrap().body).contains("\"run\":1"));
+        assert!(String::from_utf8_lossy(&response.unwrap().body).contains("\"run\":1"));
         assert_eq!(plain.runs()["k1"], 1);
         assert_eq!(fleet.wait_billed(|| 5).await.billed, 5);
     });
 }
 
-/// The agent is killed while the return runs: how it ended cannot be known. The caller is told
-/// so, each retry too, and the return is never filed again.
+/// The agent is killed while the return runs, so its outcome cannot be determined. The caller and
+/// each retry are told so, and the return is never filed again.
 #[test]
 fn dead_agent() {
     smol::block_on(async {
         let fleet = Fleet::start(10_000).await;
         let (plain, mut agent, first, second) = start(&fleet).await;
         let address = agent.address;
-        let call = returns("k1").field("plain-delay-ms", "2000");
-        let killing = async {
+        let call = file_return("k1").field("plain-delay-ms", "2000");
+        let kill_during_run = async {
             fleet.wait("the run", async || plain.runs().contains_key("k1")).await;
             agent.kill();
             std::future::pending().await
         };
-        let answer = fleet.fetch(&first, call).or(killing).await.unwrap();
-        assert_ne!(answer.status, 200);
-        assert_eq!(answer.field("toucanrail-run"), Some("unknown"));
+        let response = fleet.fetch(&first, call).or(kill_during_run).await.unwrap();
+        assert_ne!(response.status, 200);
+        assert_eq!(response.field("toucanrail-run"), Some("unknown"));
         drop(agent);
         let (_other, backend) = fleet.plain();
         let _agent = fleet.agent_at("agent-1", "filing-app", backend, address);
         fleet
-            .wait("the end to be known as unknown", async || {
-                let again = fleet.fetch(&second, returns("k1")).await.unwrap();
+            .wait("the outcome to be recorded as unknown", async || {
+                let again = fleet.fetch(&second, file_return("k1")).await.unwrap();
                 assert_ne!(again.status, 200);
                 result_of(&again) == 2204
             })
--- a/toucanrail-daemons/tests/whole_answers.rs
+++ b/toucanrail-daemons/tests/complete_responses.rs
@@ -1,6 +1,7 @@
-//! The whole answer, to its own caller only: cuts, deaths, silence, foreign answers.
+//! Callers get the complete response to their own request only, whatever connections, engines and
+//! agents do: truncated, silent and foreign responses, killed and frozen agents.
 
-// A test stops at the first thing that is not as it should be.
+// Tests fail at the first unexpected value.
 #![allow(clippy::unwrap_used)]
 
 mod fleet;
@@ -30,15 +31,15 @@
     spent.sum()
 }
 
-/// Tells whether an agent has a run that was not settled, by the dump of its state.
+/// Tells whether an agent has an unsettled run, according to its state dump.
 fn has_run(state: &Value) -> bool {
     state["ledger"]["runs"].as_object().is_some_and(|runs| !runs.is_empty())
 }
 
-/// The engine's answer is cut behind each of its first tokens in turn. The stream must go on
-/// behind the last whole event at another engine, and what both used must be settled.
+/// The engine's response is truncated after each of its first tokens in turn. The stream must resume
+/// after the last complete event at another engine, and the usage of both must be settled.
 #[test]
-fn cut_streams() {
+fn truncated_streams() {
     smol::block_on(async {
         let mut fleet = Fleet::start(50_000).await;
         let (engines, _agents, entry) = start(&fleet, 2).await;
@@ -51,8 +52,8 @@
             }
             engines[cut as usize % 2].faults.change(|plan| plan.cut_answers = 1);
             let prompt = format!("cut {cut}");
-            let answer = fleet.fetch(&entry, fleet.chat(&prompt, 12)).await.unwrap();
-            assert_eq!(stream_text(&answer.body), (right_text(&prompt, 12), true), "cut {cut}");
+            let response = fleet.fetch(&entry, fleet.chat(&prompt, 12)).await.unwrap();
+            assert_eq!(stream_text(&response.body), (right_text(&prompt, 12), true), "cut {cut}");
         }
         let account = fleet.wait_billed(|| spent(&engines)).await;
         assert_eq!(account.billed + account.written_off, spent(&engines));
@@ -60,10 +61,10 @@
     });
 }
 
-/// There is only one engine and it cuts every try after two tokens: the caller must see that its answer is not whole, and
-/// pays for what it got.
+/// The only engine truncates every attempt after two tokens. The caller must be able to detect that
+/// the response is incomplete, and pays for what was generated.
 #[test]
-fn visible_cut() {
+fn visible_truncation() {
     smol::block_on(async {
         let fleet = Fleet::start(50_000).await;
         let (engines, _agents, entry) = start(&fleet, 1).await;
@@ -71,15 +72,15 @@
             plan.cut_after = 2;
             plan.cut_answers = 100;
         });
-        let answer = fleet.fetch(&entry, fleet.chat("cut", 12)).await;
-        assert!(answer.is_err(), "a cut answer looked whole");
+        let response = fleet.fetch(&entry, fleet.chat("cut", 12)).await;
+        assert!(response.is_err(), "a truncated response looked complete");
         let account = fleet.wait_billed(|| spent(&engines)).await;
         assert_eq!(account.billed, spent(&engines));
     });
 }
 
-/// The engine's stream stays open and falls silent, as when something in between has lost the
-/// connection. The stream must go on elsewhere within seconds.
+/// The engine's stream stays open but sends no more data, as if the network had lost the connection.
+/// The stream must resume at another engine within seconds.
 #[test]
 fn silent_stream() {
     smol::block_on(async {
@@ -91,18 +92,18 @@
                 plan.silent_answers = 1;
             });
         }
-        let begun = Instant::now();
-        let answer = fleet.fetch(&entry, fleet.chat("silent", 30)).await.unwrap();
-        assert_eq!(stream_text(&answer.body), (right_text("silent", 30), true));
-        assert!(begun.elapsed() < BOUND / 2, "it waited {:?}", begun.elapsed());
+        let started = Instant::now();
+        let response = fleet.fetch(&entry, fleet.chat("silent", 30)).await.unwrap();
+        assert_eq!(stream_text(&response.body), (right_text("silent", 30), true));
+        assert!(started.elapsed() < BOUND / 2, "the stream took {:?}", started.elapsed());
         let account = fleet.wait_billed(|| spent(&engines)).await;
         assert_eq!(account.billed + account.written_off, spent(&engines));
     });
 }
 
-/// An engine answers with another request's answer: nobody may get it.
+/// An engine responds with the response to another request, which no caller may get.
 #[test]
-fn foreign_answer() {
+fn foreign_response() {
     smol::block_on(async {
         let fleet = Fleet::start(50_000).await;
         let (engines, _agents, entry) = start(&fleet, 2).await;
@@ -110,26 +111,27 @@
         engines[1].faults.change(|plan| plan.foreign_answers = 1);
         for turn in 0..4 {
             let prompt = format!("mine {turn}");
-            let answer = fleet.fetch(&entry, fleet.chat(&prompt, 8)).await.unwrap();
-            if answer.status == 200 {
-                assert_eq!(stream_text(&answer.body), (right_text(&prompt, 8), true));
+            let response = fleet.fetch(&entry, fleet.chat(&prompt, 8)).await.unwrap();
+            if response.status == 200 {
+                assert_eq!(stream_text(&response.body), (right_text(&prompt, 8), true));
             }
         }
     });
 }
 
-/// The agent is killed in the middle of a stream that the caller is reading.
+/// The agent is killed in the middle of a stream that the caller is reading. The stream must resume
+/// through the other agent.
 #[test]
 fn killed_agent() {
     smol::block_on(async {
         let fleet = Fleet::start(50_000).await;
         let (engines, mut agents, entry) = start(&fleet, 2).await;
         let call = fleet.chat("killed", 120);
-        let mut answer = fleet.pool.open(entry.address, call, BOUND).await.unwrap();
-        let mut body = answer.read_chunk(BOUND).await.unwrap();
+        let mut response = fleet.pool.open(entry.address, call, BOUND).await.unwrap();
+        let mut body = response.read_chunk(BOUND).await.unwrap();
         let at = engines.iter().position(|engine| engine.spent().contains_key("acme")).unwrap();
         agents[at].kill();
-        while let Ok(chunk) = answer.read_chunk(BOUND).await {
+        while let Ok(chunk) = response.read_chunk(BOUND).await {
             if chunk.is_empty() {
                 break;
             }
@@ -139,31 +141,31 @@
     });
 }
 
-/// The caller goes away: the engine must be told to stop at once, the rest of the hold comes back
-/// and what ran is billed.
+/// The caller disconnects: the engine must be told to stop immediately, the unused part of the hold is
+/// returned, and what was generated is billed.
 #[test]
 fn caller_gone() {
     smol::block_on(async {
         let fleet = Fleet::start(50_000).await;
         let (engines, _agents, entry) = start(&fleet, 1).await;
         let call = fleet.chat("gone", 200);
-        let mut answer = fleet.pool.open(entry.address, call, BOUND).await.unwrap();
-        answer.read_chunk(BOUND).await.unwrap();
-        drop(answer);
+        let mut response = fleet.pool.open(entry.address, call, BOUND).await.unwrap();
+        response.read_chunk(BOUND).await.unwrap();
+        drop(response);
         fleet.wait("the engine to stop", async || engines[0].running() == 0).await;
-        assert!(spent(&engines) < 150, "it ran on to {}", spent(&engines));
+        assert!(spent(&engines) < 150, "the engine continued to {} tokens", spent(&engines));
         let account = fleet.wait_billed(|| spent(&engines)).await;
         assert_eq!(account.billed, spent(&engines));
         fleet
-            .wait("the hold to come back", async || {
+            .wait("the hold to be returned", async || {
                 fleet.state(&entry).await["grants"]["accounts"]["acme"]["held"] == json!(0)
             })
             .await;
     });
 }
 
-/// A keyed completion is retried while the first try runs, then late, on both entries. It is
-/// billed once, and each answer is the right one.
+/// A keyed completion is retried while the first request is running, then after it, at both entries.
+/// It is billed once, and each complete response is the right one.
 #[test]
 fn keyed_retries() {
     smol::block_on(async {
@@ -190,20 +192,21 @@
     });
 }
 
-/// An agent is frozen in the middle of a stream, which goes on elsewhere; then the agent wakes up
-/// and tells what the first try used. The request must have one bill, and nothing be lost.
+/// An agent is suspended in the middle of a stream, which resumes at the other one; then the agent
+/// continues and reports what the first attempt used. The request must be billed once, and all usage
+/// must be settled.
 #[test]
 fn frozen_agent() {
     smol::block_on(async {
         let mut fleet = Fleet::start(50_000).await;
         let (engines, agents, entry) = start(&fleet, 2).await;
         let call = fleet.chat("frozen", 150);
-        let mut answer = fleet.pool.open(entry.address, call, BOUND).await.unwrap();
-        let mut body = answer.read_chunk(BOUND).await.unwrap();
+        let mut response = fleet.pool.open(entry.address, call, BOUND).await.unwrap();
+        let mut body = response.read_chunk(BOUND).await.unwrap();
         let at = engines.iter().position(|engine| engine.spent().contains_key("acme")).unwrap();
         agents[at].signal("STOP");
         loop {
-            let chunk = answer.read_chunk(BOUND).await.unwrap();
+            let chunk = response.read_chunk(BOUND).await.unwrap();
             if chunk.is_empty() {
                 break;
             }
@@ -217,25 +220,29 @@
     });
 }
 
-/// The caller goes away while its request is still on its way to the engine, and the cancel gets
-/// there first, on another connection. What the engine then runs must not be spent unnoticed.
+/// The caller disconnects while its request is in transit to the engine, and the cancel call, on
+/// another connection, arrives first. What the engine generates after that must still be settled.
 #[test]
 fn overtaking_cancel() {
     smol::block_on(async {
         let fleet = Fleet::start(50_000).await;
         let (engines, agents, entry) = start(&fleet, 1).await;
         fleet.fetch(&entry, fleet.chat("warm", 2)).await.unwrap();
-        fleet.wait("the end", async || !has_run(&fleet.state(&agents[0]).await)).await;
+        fleet
+            .wait("the run to be settled", async || !has_run(&fleet.state(&agents[0]).await))
+            .await;
         let before = spent(&engines);
         engines[0].faults.change(|plan| plan.late_ms = 300);
         let call = fleet.pool.open(entry.address, fleet.chat("late", 100), BOUND);
         let leaving = async {
-            fleet.wait("the order", async || has_run(&fleet.state(&agents[0]).await)).await;
+            fleet
+                .wait("the command to arrive", async || has_run(&fleet.state(&agents[0]).await))
+                .await;
             None
         };
-        let answer = async { Some(call.await) }.or(leaving).await;
-        assert!(answer.is_none(), "it was to be late");
-        fleet.wait("the engine to get it", async || spent(&engines) > before).await;
+        let response = async { Some(call.await) }.or(leaving).await;
+        assert!(response.is_none(), "the response arrived despite the delay");
+        fleet.wait("the engine to receive the request", async || spent(&engines) > before).await;
         fleet.wait("the engine to stop", async || engines[0].running() == 0).await;
         let account = fleet.wait_billed(|| spent(&engines)).await;
         assert_eq!(account.billed + account.written_off, spent(&engines));
--- a/toucanrail-daemons/tests/dead_holders.rs
+++ b/toucanrail-daemons/tests/holder_failures.rs
@@ -1,6 +1,6 @@
-//! Holders of grants that die, are paused or are cut off, with real processes.
+//! Holders of grants that are killed, paused or cut off from the store, as real processes.
 
-// A test stops at the first thing that is not as it should be.
+// Tests fail at the first unexpected value.
 #![allow(clippy::unwrap_used)]
 
 mod fleet;
@@ -23,8 +23,8 @@
     grants.filter(|(entry, _)| entry.starts_with(name)).map(|(_, tokens)| tokens).sum()
 }
 
-/// An entry is killed with streams open. What the engine spent for them is billed once by the
-/// other entry, the rest of the dead one's grant comes back, and nothing stays frozen.
+/// An entry is killed with open streams. The other entry bills once what the engine spent for them,
+/// the rest of the killed entry's grant is returned, and nothing stays frozen.
 #[test]
 fn killed_entry() {
     smol::block_on(async {
@@ -33,13 +33,13 @@
         let mut open = Vec::new();
         for turn in 0..4 {
             let call = fleet.chat(&format!("draft {turn}"), 150);
-            let mut answer = fleet.pool.open(first.address, call, BOUND).await.unwrap();
-            answer.read_chunk(BOUND).await.unwrap();
-            open.push(answer);
+            let mut response = fleet.pool.open(first.address, call, BOUND).await.unwrap();
+            response.read_chunk(BOUND).await.unwrap();
+            open.push(response);
         }
         first.kill();
         fleet
-            .wait("the dead entry's grant to come back", async || {
+            .wait("the killed entry's grant to be returned", async || {
                 let account = fleet.account().await;
                 granted(&account, "entry-1") == 0 && account.billed >= engine.spent()["acme"]
             })
@@ -47,13 +47,13 @@
         let account = fleet.account().await;
         assert_eq!(account.billed + account.written_off, engine.spent()["acme"]);
         assert_eq!(account.frozen.len(), 0);
-        let answer = fleet.fetch(&second, fleet.chat("next", 5)).await.unwrap();
-        assert_eq!(answer.status, 200);
+        let response = fleet.fetch(&second, fleet.chat("next", 5)).await.unwrap();
+        assert_eq!(response.status, 200);
     });
 }
 
-/// An entry is paused so long that its tenure is reclaimed, then wakes up, unaware, with
-/// requests coming. It must not spend money that is no longer its own, and serve again soon.
+/// An entry is paused until its tenure is reclaimed, then continues without knowing and receives
+/// requests. It must not spend budget that it no longer holds.
 #[test]
 fn paused_entry() {
     smol::block_on(async {
@@ -62,35 +62,35 @@
         fleet.fetch(&first, fleet.chat("before", 5)).await.unwrap();
         first.signal("STOP");
         fleet
-            .wait("the paused entry's grant to come back", async || {
+            .wait("the paused entry's grant to be returned", async || {
                 granted(&fleet.account().await, "entry-1") == 0
             })
             .await;
-        // The other spends until too little is left for one more request.
+        // The other entry spends until the rest does not cover another request.
         for turn in 0.. {
             let call = fleet.chat(&format!("spend {turn}"), 190);
-            let answer = fleet.fetch(&second, call).await.unwrap();
-            if result_of(&answer) == 3001 {
+            let response = fleet.fetch(&second, call).await.unwrap();
+            if result_of(&response) == 3001 {
                 break;
             }
-            assert_eq!(answer.status, 200);
+            assert_eq!(response.status, 200);
         }
         first.signal("CONT");
         let mut refused = 0;
         for turn in 0..10 {
             let call = fleet.chat(&format!("awake {turn}"), 190);
-            let answer = fleet.fetch(&first, call).await.unwrap();
-            refused += u64::from(answer.status != 200);
+            let response = fleet.fetch(&first, call).await.unwrap();
+            refused += u64::from(response.status != 200);
         }
         assert!(engine.spent()["acme"] <= 3_000, "spent {}", engine.spent()["acme"]);
-        assert_eq!(refused, 10, "nothing was left for it");
+        assert_eq!(refused, 10, "a request was served without budget");
         let account = fleet.wait_billed(|| engine.spent()["acme"]).await;
         assert_eq!(account.billed, engine.spent()["acme"]);
     });
 }
 
-/// Entry and agent die together: what the engine spent is known to nobody. That money must stay
-/// frozen and shown until an operator frees it.
+/// Entry and agent are killed together, so nobody knows what the engine spent. The budget that was
+/// held must be frozen and shown to the operator, who can release it.
 #[test]
 fn killed_both() {
     smol::block_on(async {
@@ -99,15 +99,15 @@
         fleet.platform.set_vm("agent-1", false);
         let (engine, mut agent, mut first, _second) = start(&fleet).await;
         let call = fleet.chat("draft", 150);
-        let mut answer = fleet.pool.open(first.address, call, BOUND).await.unwrap();
-        answer.read_chunk(BOUND).await.unwrap();
+        let mut response = fleet.pool.open(first.address, call, BOUND).await.unwrap();
+        response.read_chunk(BOUND).await.unwrap();
         first.kill();
         agent.kill();
-        // The VM list says so later.
+        // The VM list reports it later.
         fleet.platform.remove_vm("entry-1");
         fleet.platform.remove_vm("agent-1");
         fleet
-            .wait("the money to be frozen", async || {
+            .wait("the budget to be frozen", async || {
                 let account = fleet.account().await;
                 !account.frozen.is_empty() && granted(&account, "entry-1") == 0
             })
@@ -120,8 +120,8 @@
     });
 }
 
-/// The object API is down for a while. Requests go on within the grant, then are refused as not
-/// run with when to come back; afterwards everything is billed once.
+/// The store is unavailable for a while. Requests are served within the grant, then refused as not run
+/// with a `Retry-After`; afterwards everything is billed once.
 #[test]
 fn store_outage() {
     smol::block_on(async {
@@ -133,11 +133,11 @@
         let mut refused = 0;
         for turn in 0..30 {
             let call = fleet.chat(&format!("during {turn}"), 150);
-            let answer = fleet.fetch(&first, call).await.unwrap();
-            match result_of(&answer) {
+            let response = fleet.fetch(&first, call).await.unwrap();
+            match result_of(&response) {
                 1000 => served += 1,
                 3002 => {
-                    assert!(answer.field("retry-after").is_some());
+                    assert!(response.field("retry-after").is_some());
                     refused += 1;
                     break;
                 }
@@ -152,21 +152,21 @@
     });
 }
 
-/// The budget is nearly spent and what is left lies unused at another entry. A request that the
-/// whole would cover must be served: the grant is recalled before a refusal.
+/// The budget is nearly spent, and part of the rest is granted to another entry that does not use it. A
+/// request that the whole rest covers must be served: unused grant is recalled before a refusal.
 #[test]
 fn unused_grant() {
     smol::block_on(async {
         let fleet = Fleet::start(1_600).await;
         let (engine, _agent, first, second) = start(&fleet).await;
         fleet.fetch(&second, fleet.chat("first", 5)).await.unwrap();
-        let mut right = 0;
+        let mut served = 0;
         for turn in 0..20 {
             let call = fleet.chat(&format!("turn {turn}"), 100);
-            right += u64::from(fleet.fetch(&first, call).await.unwrap().status == 200);
+            served += u64::from(fleet.fetch(&first, call).await.unwrap().status == 200);
         }
         let spent = engine.spent()["acme"];
-        // The worst case of one request is about 260.
-        assert!(spent <= 1_600 && spent > 1_600 - 270, "{spent} spent in {right} requests");
+        // The maximum usage of one request is about 260 tokens.
+        assert!(spent <= 1_600 && spent > 1_600 - 270, "{spent} spent in {served} requests");
     });
 }
--- a/toucanrail-daemons/tests/leaving_servers.rs
+++ b/toucanrail-daemons/tests/server_departures.rs
@@ -1,6 +1,6 @@
-//! Backend servers that leave, hang or fall silent, and processes that stop.
+//! Backend servers that are shut down, hang or stop responding, and processes that are stopped.
 
-// A test stops at the first thing that is not as it should be.
+// Tests fail at the first unexpected value.
 #![allow(clippy::unwrap_used)]
 
 mod fleet;
@@ -11,8 +11,8 @@
 use toucanrail_standins::engines::EngineStandin;
 use toucanrail_standins::platforms::PlatformStandin;
 
-/// The time after which a leaving backend server gets no new work.
-const LEAVE_BOUND: Duration = Duration::from_secs(3);
+/// Time after which a departing backend server must get no new work.
+const DEPARTURE_TIMEOUT: Duration = Duration::from_secs(3);
 
 async fn start(fleet: &Fleet) -> (Vec<EngineStandin>, Vec<Process>, Process) {
     let mut engines = Vec::new();
@@ -27,38 +27,42 @@
     (engines, agents, entry)
 }
 
-/// Sends requests for longer than the bound and checks that the server gets none after it.
-async fn check_left(fleet: &Fleet, entry: &Process, engine: &EngineStandin) {
-    let begun = Instant::now();
-    let mut at_bound = None;
+/// Sends requests beyond [`DEPARTURE_TIMEOUT`] and checks that the server gets none after it.
+async fn check_no_new_work(fleet: &Fleet, entry: &Process, engine: &EngineStandin) {
+    let started = Instant::now();
+    let mut starts_at_timeout = None;
     let mut turn = 0;
-    while begun.elapsed() < LEAVE_BOUND + Duration::from_secs(1) {
+    while started.elapsed() < DEPARTURE_TIMEOUT + Duration::from_secs(1) {
         turn += 1;
         let prompt = format!("turn {turn}");
-        let answer = fleet.fetch(entry, fleet.chat(&prompt, 4)).await.unwrap();
-        assert_eq!(stream_text(&answer.body), (right_text(&prompt, 4), true));
-        if begun.elapsed() >= LEAVE_BOUND && at_bound.is_none() {
-            at_bound = Some(engine.starts());
+        let response = fleet.fetch(entry, fleet.chat(&prompt, 4)).await.unwrap();
+        assert_eq!(stream_text(&response.body), (right_text(&prompt, 4), true));
+        if started.elapsed() >= DEPARTURE_TIMEOUT && starts_at_timeout.is_none() {
+            starts_at_timeout = Some(engine.starts());
         }
     }
-    assert_eq!(at_bound, Some(engine.starts()), "it got new work after the bound");
+    assert_eq!(
+        starts_at_timeout,
+        Some(engine.starts()),
+        "the server got new work after the departure timeout"
+    );
 }
 
-/// An agent is told to stop with a stream running: the stream ends whole, nothing new comes, and
-/// the process ends by itself.
+/// An agent is told to stop while a stream is running: the stream is completed, no new work arrives,
+/// and the process exits by itself.
 #[test]
 fn stopped_agent() {
     smol::block_on(async {
         let fleet = Fleet::start(100_000).await;
         let (engines, mut agents, entry) = start(&fleet).await;
         let call = fleet.chat("running", 150);
-        let mut answer = fleet.pool.open(entry.address, call, BOUND).await.unwrap();
-        let mut body = answer.read_chunk(BOUND).await.unwrap();
+        let mut response = fleet.pool.open(entry.address, call, BOUND).await.unwrap();
+        let mut body = response.read_chunk(BOUND).await.unwrap();
         let at = engines.iter().position(|engine| engine.running() > 0).unwrap();
         agents[at].signal("TERM");
-        check_left(&fleet, &entry, &engines[at]).await;
+        check_no_new_work(&fleet, &entry, &engines[at]).await;
         loop {
-            let chunk = answer.read_chunk(BOUND).await.unwrap();
+            let chunk = response.read_chunk(BOUND).await.unwrap();
             if chunk.is_empty() {
                 break;
             }
@@ -69,43 +73,44 @@
     });
 }
 
-/// The VM list says that a VM is leaving; its agent knows nothing of it.
+/// The VM list marks a VM as leaving, which its agent does not know.
 #[test]
 fn leaving_vm() {
     smol::block_on(async {
         let fleet = Fleet::start(100_000).await;
         let (engines, _agents, entry) = start(&fleet).await;
         fleet.platform.set_vm("agent-0", true);
-        check_left(&fleet, &entry, &engines[0]).await;
+        check_no_new_work(&fleet, &entry, &engines[0]).await;
     });
 }
 
-/// An agent is frozen: its connections stay open and nothing comes. Requests sent to it before
-/// that shows must be answered all the same, by the other.
+/// An agent is suspended: its connections stay open but carry no data. Requests sent to it before this
+/// is detected must be served by the other agent.
 #[test]
 fn frozen_agent() {
     smol::block_on(async {
         let fleet = Fleet::start(100_000).await;
         let (engines, agents, entry) = start(&fleet).await;
         agents[1].signal("STOP");
-        check_left(&fleet, &entry, &engines[1]).await;
+        check_no_new_work(&fleet, &entry, &engines[1]).await;
         agents[1].signal("CONT");
     });
 }
 
-/// The engine hangs while its agent lives.
+/// The engine hangs while its agent keeps running.
 #[test]
 fn hung_engine() {
     smol::block_on(async {
         let fleet = Fleet::start(100_000).await;
         let (engines, _agents, entry) = start(&fleet).await;
         engines[0].faults.change(|plan| plan.frozen = true);
-        check_left(&fleet, &entry, &engines[0]).await;
+        check_no_new_work(&fleet, &entry, &engines[0]).await;
         engines[0].faults.change(|plan| plan.frozen = false);
     });
 }
 
-/// The platform goes down, then an agent is stopped: entries must learn it from the agent itself.
+/// The platform becomes unavailable, then an agent is stopped: entries must learn this from the agent
+/// itself.
 #[test]
 fn stop_in_outage() {
     smol::block_on(async {
@@ -115,12 +120,12 @@
         let platform: &PlatformStandin = &fleet.platform;
         platform.faults.change(|plan| plan.down = true);
         agents[0].signal("TERM");
-        check_left(&fleet, &entry, &engines[0]).await;
+        check_no_new_work(&fleet, &entry, &engines[0]).await;
         platform.faults.change(|plan| plan.down = false);
     });
 }
 
-/// All servers are gone: a request is refused at once as not run, with when to come back.
+/// All servers are gone: a request is refused immediately as not run, with a `Retry-After`.
 #[test]
 fn no_servers() {
     smol::block_on(async {
@@ -131,10 +136,10 @@
         }
         fleet
             .wait("the refusal", async || {
-                let answer = fleet.fetch(&entry, fleet.chat("none", 4)).await.unwrap();
-                let refused = result_of(&answer) == 3201;
-                assert!(!refused || answer.field("toucanrail-run") == Some("not-run"));
-                assert!(!refused || answer.field("retry-after").is_some());
+                let response = fleet.fetch(&entry, fleet.chat("none", 4)).await.unwrap();
+                let refused = result_of(&response) == 3201;
+                assert!(!refused || response.field("toucanrail-run") == Some("not-run"));
+                assert!(!refused || response.field("retry-after").is_some());
                 refused
             })
             .await;
