--- a/toucanrail-daemons/tests/at_most_once.rs
+++ b/toucanrail-daemons/tests/at_most_once.rs
@@ -27,9 +27,9 @@
     (plain, agent, first, second)
 }
 
-/// A client retries a tax return that was filed, through another entry and the first one. It must get
-/// the first response each time, and the return must have been filed once. The same key with another
-/// return is refused.
+/// A client retries a tax return that was filed, through another entry and the first one. It must
+/// get the first response each time, and the return must have been filed once. The same key with
+/// another return is refused.
 #[test]
 fn late_retry() {
     smol::block_on(async {
@@ -62,7 +62,8 @@
             let (first_result, second_result) =
                 smol::future::zip(fleet.fetch(&first, slow()), fleet.fetch(&second, slow())).await;
             for response in [first_result.unwrap(), second_result.unwrap()] {
-                // An attempt that was voided before it was sent did not run, and is refused as such.
+                // An attempt that was voided before it was sent did not run, and is refused as
+                // such.
                 let expected =
                     response.status == 200 || [2203, 4204].contains(&result_of(&response));
                 assert!(expected, "{} {}", response.status, result_of(&response));
--- a/toucanrail-daemons/tests/complete_responses.rs
+++ b/toucanrail-daemons/tests/complete_responses.rs
@@ -36,8 +36,8 @@
     state["ledger"]["runs"].as_object().is_some_and(|runs| !runs.is_empty())
 }
 
-/// The engine's response is truncated after each of its first tokens in turn. The stream must resume
-/// after the last complete event at another engine, and the usage of both must be settled.
+/// The engine's response is truncated after each of its first tokens in turn. The stream must
+/// resume after the last complete event at another engine, and the usage of both must be settled.
 #[test]
 fn truncated_streams() {
     smol::block_on(async {
@@ -79,8 +79,8 @@
     });
 }
 
-/// The engine's stream stays open but sends no more data, as if the network had lost the connection.
-/// The stream must resume at another engine within seconds.
+/// The engine's stream stays open but sends no more data, as if the network had lost the
+/// connection. The stream must resume at another engine within seconds.
 #[test]
 fn silent_stream() {
     smol::block_on(async {
@@ -141,8 +141,8 @@
     });
 }
 
-/// The caller disconnects: the engine must be told to stop immediately, the unused part of the hold is
-/// returned, and what was generated is billed.
+/// The caller disconnects: the engine must be told to stop immediately, the unused part of the hold
+/// is returned, and what was generated is billed.
 #[test]
 fn caller_gone() {
     smol::block_on(async {
@@ -164,8 +164,8 @@
     });
 }
 
-/// A keyed completion is retried while the first request is running, then after it, at both entries.
-/// It is billed once, and each complete response is the right one.
+/// A keyed completion is retried while the first request is running, then after it, at both
+/// entries. It is billed once, and each complete response is the right one.
 #[test]
 fn keyed_retries() {
     smol::block_on(async {
@@ -193,8 +193,8 @@
 }
 
 /// An agent is suspended in the middle of a stream, which resumes at the other one; then the agent
-/// continues and reports what the first attempt used. The request must be billed once, and all usage
-/// must be settled.
+/// continues and reports what the first attempt used. The request must be billed once, and all
+/// usage must be settled.
 #[test]
 fn frozen_agent() {
     smol::block_on(async {
--- a/toucanrail-daemons/tests/holder_failures.rs
+++ b/toucanrail-daemons/tests/holder_failures.rs
@@ -120,8 +120,8 @@
     });
 }
 
-/// The store is unavailable for a while. Requests are served within the grant, then refused as not run
-/// with a `Retry-After`; afterwards everything is billed once.
+/// The store is unavailable for a while. Requests are served within the grant, then refused as not
+/// run with a `Retry-After`; afterwards everything is billed once.
 #[test]
 fn store_outage() {
     smol::block_on(async {
@@ -152,8 +152,9 @@
     });
 }
 
-/// The budget is nearly spent, and part of the rest is granted to another entry that does not use it. A
-/// request that the whole rest covers must be served: unused grant is recalled before a refusal.
+/// The budget is nearly spent, and part of the rest is granted to another entry that does not use
+/// it. A request that the whole rest covers must be served: unused grant is recalled before a
+/// refusal.
 #[test]
 fn unused_grant() {
     smol::block_on(async {
--- a/toucanrail-daemons/tests/server_departures.rs
+++ b/toucanrail-daemons/tests/server_departures.rs
@@ -48,8 +48,8 @@
     );
 }
 
-/// An agent is told to stop while a stream is running: the stream is completed, no new work arrives,
-/// and the process exits by itself.
+/// An agent is told to stop while a stream is running: the stream is completed, no new work
+/// arrives, and the process exits by itself.
 #[test]
 fn stopped_agent() {
     smol::block_on(async {
@@ -84,8 +84,8 @@
     });
 }
 
-/// An agent is suspended: its connections stay open but carry no data. Requests sent to it before this
-/// is detected must be served by the other agent.
+/// An agent is suspended: its connections stay open but carry no data. Requests sent to it before
+/// this is detected must be served by the other agent.
 #[test]
 fn frozen_agent() {
     smol::block_on(async {
@@ -109,8 +109,8 @@
     });
 }
 
-/// The platform becomes unavailable, then an agent is stopped: entries must learn this from the agent
-/// itself.
+/// The platform becomes unavailable, then an agent is stopped: entries must learn this from the
+/// agent itself.
 #[test]
 fn stop_in_outage() {
     smol::block_on(async {
