--- a/toucanrail-gateway/src/change_feed.rs
+++ b/toucanrail-gateway/src/change_feed.rs
@@ -122,7 +122,7 @@
     tracing::info!(event = "board_opened", kind);
     while store.now().saturating_sub(board.queried_at.get()) < IDLE_TIMEOUT {
         let result = step(&store, kind, &board).await;
-        store.note_call(kind, result.is_ok());
+        store.record_call(kind, result.is_ok());
         match result {
             Ok(false) => {}
             Ok(true) => {
--- a/toucanrail-gateway/src/loan_client.rs
+++ b/toucanrail-gateway/src/loan_client.rs
@@ -165,13 +165,13 @@
                     return Some(source);
                 }
                 tracing::info!(event = "lender_leaving", %lender);
-                gateway.loan_client.backoff.note_failure(&lender, gateway.now());
+                gateway.loan_client.backoff.record_failure(&lender, gateway.now());
             }
             Err(error) => {
                 tracing::info!(event = "lender_failed", %lender, %error, customer = %need.customer);
                 gateway.metrics.count_event("lenders_failed");
                 gateway.loan_client.lenders_unreachable.set(true);
-                gateway.loan_client.backoff.note_failure(&lender, gateway.now());
+                gateway.loan_client.backoff.record_failure(&lender, gateway.now());
             }
         }
     }
--- a/toucanrail-gateway/src/relay_client.rs
+++ b/toucanrail-gateway/src/relay_client.rs
@@ -43,8 +43,8 @@
         self.rows.borrow().get(relay).is_some_and(|row| now < row.until)
     }
 
-    /// Notes a failure of a relay: starts its backoff, twice as long as after the failure before.
-    pub fn note_failure(&self, relay: &Arc<str>, now: Duration) {
+    /// Records a failure of a relay: starts its backoff, twice as long as after the failure before.
+    pub fn record_failure(&self, relay: &Arc<str>, now: Duration) {
         let mut rows = self.rows.borrow_mut();
         let length = rows.get(relay).map_or(INITIAL_BACKOFF, |row| row.length * 2).min(MAX_BACKOFF);
         rows.insert(Arc::clone(relay), BackoffRow { until: now + length, length });
--- a/toucanrail-gateway/src/store_access.rs
+++ b/toucanrail-gateway/src/store_access.rs
@@ -48,7 +48,7 @@
     /// Notified when another endpoint is used from now on.
     endpoint_changed: Event,
     clock: ProcessClock,
-    /// Time of the store's last answer to any call.
+    /// Time of the last answer to any use of the store.
     answered_at: Cell<Option<Duration>>,
     /// Uses of the store whose last call was not answered, and since when.
     unanswered: RefCell<BTreeMap<&'static str, Duration>>,
@@ -85,8 +85,8 @@
         self.now().saturating_sub(self.answered_at.get().unwrap_or_default())
     }
 
-    /// Notes whether a call was answered. Logs when a use of the store begins or ceases to be unanswered.
-    pub fn note_call(&self, usage: &'static str, answered: bool) {
+    /// Records whether a call was answered. Logs when a use of the store begins or ceases to be unanswered.
+    pub fn record_call(&self, usage: &'static str, answered: bool) {
         let mut unanswered = self.unanswered.borrow_mut();
         if answered {
             let age = self.time_since_answer().as_millis() as u64;
@@ -156,7 +156,7 @@
         let mut timeout = self.timeout.get();
         if reply == StoreReply::Unavailable {
             timeout.record_timeout(wait);
-            self.note_failure(&endpoint);
+            self.record_failure(&endpoint);
         } else {
             timeout.record_response(self.now().saturating_sub(started));
         }
@@ -173,7 +173,7 @@
     ) -> Result<KindListing, StoreError> {
         let (endpoint, address) = self.endpoints.borrow().current();
         let listing = self.client.list_kind(address, kind, freshness, timeout).await;
-        self.note_endpoint_result(&endpoint, &listing);
+        self.record_endpoint_result(&endpoint, &listing);
         listing
     }
 
@@ -194,29 +194,29 @@
             Err(StoreError::NoResponse(io::ErrorKind::ConnectionAborted.into()))
         };
         let watched = watching.or(changing).await;
-        self.note_endpoint_result(&endpoint, &watched);
+        self.record_endpoint_result(&endpoint, &watched);
         watched
     }
 
-    fn note_endpoint_result<Value>(
+    fn record_endpoint_result<Value>(
         &self,
         endpoint: &StoreEndpoint,
         result: &Result<Value, StoreError>,
     ) {
         if matches!(result, Err(StoreError::NoResponse(_) | StoreError::UnexpectedStatus(_))) {
-            self.note_failure(endpoint);
+            self.record_failure(endpoint);
         }
     }
 
-    fn note_failure(&self, endpoint: &StoreEndpoint) {
+    fn record_failure(&self, endpoint: &StoreEndpoint) {
         let now = self.now();
         let changed = self.endpoints.borrow_mut().record_failure(endpoint, fastrand::f64(), now);
         if changed {
-            self.note_endpoint_change("failure");
+            self.announce_endpoint_change("failure");
         }
     }
 
-    fn note_endpoint_change(&self, reason: &str) {
+    fn announce_endpoint_change(&self, reason: &str) {
         let (way, address) = self.endpoints.borrow().current();
         tracing::info!(event = "store_way", ?way, %address, reason);
         self.endpoint_changed.notify(usize::MAX);
@@ -229,7 +229,7 @@
         let reply = self.client.call(store, &call, PROBE_TIMEOUT).await;
         if matches!(reply, StoreReply::Found { .. } | StoreReply::Missing) {
             self.endpoints.borrow_mut().restore_direct();
-            self.note_endpoint_change("direct endpoint works again");
+            self.announce_endpoint_change("direct endpoint works again");
         }
     }
 }
