--- a/toucanrail-gateway/src/store_access.rs
+++ b/toucanrail-gateway/src/store_access.rs
@@ -158,7 +158,7 @@
             timeout.record_timeout(wait);
             self.note_failure(&endpoint);
         } else {
-            timeout.record_answer(self.now().saturating_sub(started));
+            timeout.record_response(self.now().saturating_sub(started));
         }
         self.timeout.set(timeout);
         reply
