--- a/toucanrail/src/codetable.rs
+++ b/toucanrail/src/codetable.rs
@@ -60,7 +60,7 @@
 pub const CANCELLED: ResultCode = ResultCode::new(4004);
 /// A response to a different request was received and discarded.
 pub const FOREIGN_ANSWER: ResultCode = ResultCode::new(4005);
-/// The platform's object API does not answer.
+/// The platform's object API does not respond.
 pub const STORE_UNAVAILABLE: ResultCode = ResultCode::new(4101);
 /// The holder's epoch has been fenced.
 pub const FENCED: ResultCode = ResultCode::new(4201);
--- a/toucanrail/tests/store_endpoints.rs
+++ b/toucanrail/tests/store_endpoints.rs
@@ -102,22 +102,22 @@
 /// timed-out call led to refusals for lack of a grant. Only the first call may time out.
 #[test]
 fn slow_store() {
-    let mut patience = AdaptiveTimeout::new();
+    let mut timeout = AdaptiveTimeout::new();
     let response_time = Duration::from_millis(356);
     let timeouts = (0..40).filter(|_| {
-        let timed_out = patience.wait() < response_time;
+        let timed_out = timeout.wait() < response_time;
         if timed_out {
-            patience.record_timeout(patience.wait());
+            timeout.record_timeout(timeout.wait());
         } else {
-            patience.record_response(response_time);
+            timeout.record_response(response_time);
         }
         timed_out
     });
     assert_eq!(timeouts.count(), 1);
     for _ in 0..12 {
-        patience.record_response(Duration::from_millis(4));
+        timeout.record_response(Duration::from_millis(4));
     }
-    assert_eq!(patience.wait(), Duration::from_millis(300));
+    assert_eq!(timeout.wait(), Duration::from_millis(300));
 }
 
 /// In a fleet without relays on VMs of their own, entries host relays. As soon as there are relays
