--- a/toucanrail-standins/src/engines.rs
+++ b/toucanrail-standins/src/engines.rs
@@ -1,5 +1,5 @@
-//! A model engine's stand-in: continuous batching, a prefix cache of limited size, priorities,
-//! resuming, cancelling, lagging load and late cache events.
+//! Simulated model engine: continuous batching, a prefix cache of limited size, priorities,
+//! resumption, cancellation, delayed load reports and delayed cache events.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::io;
@@ -17,27 +17,27 @@
 use toucanrail_wire::pipes::{self, PipeWriter};
 use toucanrail_wire::responses;
 
-use crate::faults::FaultDesk;
+use crate::faults::FaultInjector;
 use crate::texts;
 
-const IDLE_STEP: Duration = Duration::from_millis(1);
-const CACHE_BLOCK: usize = 64;
-const DEFAULT_TOKENS: Tokens = 32;
+const IDLE_POLL_INTERVAL: Duration = Duration::from_millis(1);
+const CACHE_BLOCK_BYTES: usize = 64;
+const DEFAULT_OUTPUT_TOKENS: Tokens = 32;
 
-/// The engine's speed and sizes.
+/// Speed and capacity of an engine.
 #[derive(Debug, Clone)]
 pub struct EngineSpeed {
-    /// Sequences that run at once.
+    /// Maximum number of sequences in the batch.
     pub slots: usize,
-    /// Time of a step.
+    /// Base duration of a step.
     pub step: Duration,
-    /// Time that each running sequence adds to a step.
+    /// Time added to a step by each running sequence.
     pub per_sequence: Duration,
-    /// Time that each uncached prompt token adds to the step that takes it in.
+    /// Time added by each uncached prompt token to the step that prefills it.
     pub per_prompt_token: Duration,
-    /// Prompt tokens that the prefix cache holds.
+    /// Capacity of the prefix cache, in prompt tokens.
     pub cache_tokens: usize,
-    /// Age of the load that it reports.
+    /// Age of the reported load.
     pub load_lag: Duration,
 }
 
@@ -54,27 +54,27 @@
     }
 }
 
-/// Load as the engine reports it.
+/// Load reported by the engine.
 #[derive(Debug, Clone, Copy, Default, Serialize, Deserialize)]
 pub struct EngineLoad {
-    /// Sequences that it can run at once.
+    /// Maximum number of sequences in the batch.
     pub slots: u64,
-    /// Sequences that run.
+    /// Sequences in the batch.
     pub running: u64,
-    /// Sequences that wait.
+    /// Queued sequences.
     pub waiting: u64,
 }
 
-/// What the engine knows of one request.
+/// State and usage of one request.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct EngineUsage {
-    /// Whether it still runs or waits.
+    /// Whether the request is running or queued.
     pub active: bool,
-    /// Whether it was cancelled.
+    /// Whether the request was cancelled while active.
     pub cancelled: bool,
-    /// Prompt and generated tokens so far.
+    /// Prompt and generated tokens used so far.
     pub used: Tokens,
-    /// Tokens generated so far, resumed ones not counted.
+    /// Tokens generated so far, excluding those before the resume position.
     pub generated: Tokens,
 }
 
@@ -94,7 +94,7 @@
     waiting: Vec<Sequence>,
     running: Vec<Sequence>,
     usage: BTreeMap<String, EngineUsage>,
-    /// Tokens used by account: the ground truth of what was spent.
+    /// Tokens used by account; the ground truth for budget checks.
     spent: BTreeMap<String, Tokens>,
     starts: BTreeMap<String, u64>,
     cache: BTreeMap<u64, u64>,
@@ -107,19 +107,19 @@
     orders: Vec<String>,
 }
 
-/// A model engine; clones share its state.
+/// A simulated model engine; clones share its state.
 #[derive(Debug, Clone)]
 pub struct EngineStandin {
     state: Arc<Mutex<EngineState>>,
     speed: Arc<EngineSpeed>,
-    /// Its faults.
-    pub faults: FaultDesk,
-    /// Whether it refuses orders with an old fencing number.
+    /// Faults injected into this engine.
+    pub faults: FaultInjector,
+    /// Whether orders with a lower fencing number than the last accepted one are rejected.
     honours_fencing: bool,
 }
 
 #[derive(Debug, Deserialize)]
-struct EngineCall {
+struct CompletionBody {
     #[serde(default)]
     model: String,
     #[serde(default)]
@@ -130,7 +130,7 @@
     stream: bool,
     #[serde(default)]
     max_tokens: Option<Tokens>,
-    /// How many tokens this stand-in generates before it stops by itself.
+    /// Output length at which the simulated engine ends the completion by itself.
     #[serde(default)]
     standin_tokens: Option<Tokens>,
     #[serde(default)]
@@ -138,18 +138,18 @@
 }
 
 impl EngineStandin {
-    /// Makes an idle engine.
+    /// Creates an idle engine.
     pub fn new(speed: EngineSpeed, honours_fencing: bool) -> Self {
         let speed = Arc::new(speed);
-        Self { state: Arc::default(), speed, faults: FaultDesk::new(), honours_fencing }
+        Self { state: Arc::default(), speed, faults: FaultInjector::new(), honours_fencing }
     }
 
-    /// Serves the engine's interface and its control port, and steps its batch.
+    /// Serves the engine's interface and its control port, and runs its batches.
     pub async fn serve(self, listener: TcpListener) {
-        smol::spawn(self.clone().run_steps()).detach();
-        let handler = move |call| {
+        smol::spawn(self.clone().run_batches()).detach();
+        let handler = move |request| {
             let this = self.clone();
-            async move { this.answer(call).await }
+            async move { this.handle(request).await }
         };
         listeners::serve(listener, ServerLimits::default(), handler).await;
     }
@@ -158,55 +158,55 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Returns what each account has truly spent here.
+    /// Returns the tokens spent on this engine by account.
     pub fn spent(&self) -> BTreeMap<String, Tokens> {
         self.lock().spent.clone()
     }
 
-    /// Returns the orders carried out.
+    /// Returns the orders carried out, in order of arrival.
     pub fn orders(&self) -> Vec<String> {
         self.lock().orders.clone()
     }
 
-    /// Returns how many sequences run or wait.
+    /// Returns the number of running and queued sequences.
     pub fn running(&self) -> usize {
         let state = self.lock();
         state.running.len() + state.waiting.len()
     }
 
-    /// Returns how many sequences were ever begun.
+    /// Returns the number of sequences started since the engine was created.
     pub fn starts(&self) -> u64 {
         self.lock().starts.values().sum()
     }
 
-    async fn answer(&self, call: ReceivedRequest) -> Response {
-        match call.path() {
-            "/control/faults" => return self.faults.answer_control(&call),
-            "/control/truth" => return self.show_truth(),
+    async fn handle(&self, request: ReceivedRequest) -> Response {
+        match request.path() {
+            "/control/faults" => return self.faults.handle_control(&request),
+            "/control/truth" => return self.truth_response(),
             _ => {}
         }
-        if !self.faults.pass().await {
+        if !self.faults.apply_delays().await {
             return responses::text(503, "down");
         }
-        let path = call.path().to_owned();
+        let path = request.path().to_owned();
         if let Some(id) = path.strip_prefix("/engine/usage/") {
-            return self.answer_usage(id);
+            return self.usage_response(id);
         }
         if let Some(id) = path.strip_prefix("/engine/cancel/") {
             self.cancel(id);
-            return self.answer_usage(id);
+            return self.usage_response(id);
         }
         match path.as_str() {
-            "/v1/chat/completions" | "/v1/completions" => self.complete(&call).await,
+            "/v1/chat/completions" | "/v1/completions" => self.complete(&request).await,
             "/v1/models" => responses::json(200, &json!({"object": "list", "data": []})),
-            "/engine/load" => responses::json(200, &self.lagging_load()),
-            "/engine/cache-events" => self.show_cache_events(),
-            "/engine/order" => self.take_order(&call),
+            "/engine/load" => responses::json(200, &self.delayed_load()),
+            "/engine/cache-events" => self.cache_events_response(),
+            "/engine/order" => self.handle_order(&request),
             _ => responses::text(404, "no such path"),
         }
     }
 
-    fn show_truth(&self) -> Response {
+    fn truth_response(&self) -> Response {
         let state = self.lock();
         let truth = json!({
             "spent": state.spent,
@@ -218,14 +218,14 @@
         responses::json(200, &truth)
     }
 
-    fn answer_usage(&self, id: &str) -> Response {
+    fn usage_response(&self, id: &str) -> Response {
         match self.lock().usage.get(id) {
             Some(usage) => responses::json(200, usage),
             None => responses::text(404, "not known"),
         }
     }
 
-    fn usage_of(&self, id: &str) -> EngineUsage {
+    fn request_usage(&self, id: &str) -> EngineUsage {
         self.lock().usage.get(id).cloned().unwrap_or_default()
     }
 
@@ -239,8 +239,8 @@
         }
     }
 
-    /// Returns the load as it was a while ago.
-    fn lagging_load(&self) -> EngineLoad {
+    /// Returns the load as it was `load_lag` ago, among the loads sampled at earlier calls.
+    fn delayed_load(&self) -> EngineLoad {
         let mut state = self.lock();
         let slots = self.speed.slots as u64;
         let now = Instant::now();
@@ -256,49 +256,51 @@
         state.loads.front().map_or(load, |(_, load)| *load)
     }
 
-    /// Cache events come late, and every seventh is left out.
-    fn show_cache_events(&self) -> Response {
+    /// Returns new cache blocks with a delay of 500 ms. Drops about one event in seven, to
+    /// simulate lost cache events.
+    fn cache_events_response(&self) -> Response {
         let mut state = self.lock();
-        let due = |at: &Instant| at.elapsed() >= Duration::from_millis(500);
-        let mut shown = Vec::new();
+        let is_due = |at: &Instant| at.elapsed() >= Duration::from_millis(500);
+        let mut visible = Vec::new();
         while let Some((at, block)) = state.cache_events.front().copied() {
-            if !due(&at) {
+            if !is_due(&at) {
                 break;
             }
             state.cache_events.pop_front();
             if block % 7 != 0 {
-                shown.push(block);
+                visible.push(block);
             }
         }
-        responses::json(200, &shown)
+        responses::json(200, &visible)
     }
 
-    fn take_order(&self, call: &ReceivedRequest) -> Response {
-        let fence = call.field("engine-fence").and_then(|text| text.parse().ok()).unwrap_or(0);
+    fn handle_order(&self, request: &ReceivedRequest) -> Response {
+        let fence = request.field("engine-fence").and_then(|text| text.parse().ok()).unwrap_or(0);
         let mut state = self.lock();
         if self.honours_fencing && fence < state.fence {
             return responses::text(409, "old fencing number");
         }
         state.fence = fence;
-        let order = String::from_utf8_lossy(&call.body).into_owned();
+        let order = String::from_utf8_lossy(&request.body).into_owned();
         state.orders.push(order);
         responses::text(200, "done")
     }
 
-    async fn complete(&self, call: &ReceivedRequest) -> Response {
+    async fn complete(&self, request: &ReceivedRequest) -> Response {
         smol::Timer::after(Duration::from_millis(self.faults.plan().late_ms)).await;
-        let Ok(body) = serde_json::from_slice::<EngineCall>(&call.body) else {
+        let Ok(body) = serde_json::from_slice::<CompletionBody>(&request.body) else {
             return responses::text(400, "not a completion request");
         };
-        let chat = call.path() == "/v1/chat/completions";
+        let chat = request.path() == "/v1/chat/completions";
         let prompt = if chat { chat_prompt(&body.messages) } else { body.prompt.clone() };
-        let id = call.field("engine-request-id").unwrap_or("none").to_owned();
-        let resumed = number(call, "engine-resume-from");
-        let wanted = body.standin_tokens.unwrap_or(DEFAULT_TOKENS);
-        let end = body.max_tokens.map_or(wanted, |most| wanted.min(most + resumed));
-        let tokens = self.start(call, &id, &prompt, resumed, end);
-        let mut answer = AnswerText {
-            id: if self.faults.take(|plan| &mut plan.foreign_answers) {
+        let id = request.field("engine-request-id").unwrap_or("none").to_owned();
+        let resume_from = header_number(request, "engine-resume-from");
+        let requested = body.standin_tokens.unwrap_or(DEFAULT_OUTPUT_TOKENS);
+        let end =
+            body.max_tokens.map_or(requested, |max_tokens| requested.min(max_tokens + resume_from));
+        let tokens = self.start(request, &id, &prompt, resume_from, end);
+        let mut completion = CompletionFormatter {
+            id: if self.faults.consume(|plan| &mut plan.foreign_answers) {
                 "another".to_owned()
             } else {
                 id
@@ -306,15 +308,16 @@
             model: body.model,
             chat,
             seed: texts::prompt_seed(&prompt),
-            prompt_tokens: if resumed > 0 { 0 } else { texts::prompt_tokens(prompt.len()) },
+            prompt_tokens: if resume_from > 0 { 0 } else { texts::prompt_tokens(prompt.len()) },
             completion_tokens: 0,
         };
         let mut response = if body.stream {
             let usage = body.stream_options.is_some();
             let (writer, pipe) = pipes::make_pipe();
             let engine = self.clone();
-            let id = answer.id.clone();
-            smol::spawn(async move { engine.stream(answer, tokens, writer, usage).await }).detach();
+            let id = completion.id.clone();
+            smol::spawn(async move { engine.stream(completion, tokens, writer, usage).await })
+                .detach();
             let mut response = responses::stream(200, pipe);
             response.insert_header("content-type", "text/event-stream");
             response.insert_header("engine-request-id", id);
@@ -322,33 +325,33 @@
         } else {
             let mut text = String::new();
             while let Ok(position) = tokens.recv().await {
-                text += &texts::token_text(answer.seed, position);
-                answer.completion_tokens += 1;
+                text += &texts::token_text(completion.seed, position);
+                completion.completion_tokens += 1;
             }
-            if self.usage_of(&answer.id).cancelled {
+            if self.request_usage(&completion.id).cancelled {
                 return responses::text(503, "cancelled");
             }
-            responses::json(200, &answer.whole(&text))
+            responses::json(200, &completion.complete_body(&text))
         };
-        response.insert_header("engine-request-id", answer.id);
+        response.insert_header("engine-request-id", completion.id);
         response
     }
 
     fn start(
         &self,
-        call: &ReceivedRequest,
+        request: &ReceivedRequest,
         id: &str,
         prompt: &str,
-        resumed: Tokens,
+        resume_from: Tokens,
         end: Tokens,
     ) -> async_channel::Receiver<Tokens> {
         let (sender, receiver) = async_channel::unbounded();
         let sequence = Sequence {
             id: id.to_owned(),
-            account: call.field("engine-account").unwrap_or("none").to_owned(),
-            priority: number(call, "engine-priority") as u8,
+            account: request.field("engine-account").unwrap_or("none").to_owned(),
+            priority: header_number(request, "engine-priority") as u8,
             prompt: prompt.to_owned(),
-            position: resumed,
+            position: resume_from,
             end,
             tokens: sender,
         };
@@ -362,53 +365,53 @@
 
     async fn stream(
         &self,
-        mut answer: AnswerText,
+        mut completion: CompletionFormatter,
         tokens: async_channel::Receiver<Tokens>,
         writer: PipeWriter,
         usage: bool,
     ) {
-        let cut = self.faults.take(|plan| &mut plan.cut_answers);
-        let silent = !cut && self.faults.take(|plan| &mut plan.silent_answers);
+        let truncate = self.faults.consume(|plan| &mut plan.cut_answers);
+        let stall = !truncate && self.faults.consume(|plan| &mut plan.silent_answers);
         let limit = self.faults.plan().cut_after;
         loop {
-            if (cut || silent) && answer.completion_tokens >= limit {
-                if silent {
+            if (truncate || stall) && completion.completion_tokens >= limit {
+                if stall {
                     std::future::pending::<()>().await;
                 }
-                return self.cancel(&answer.id);
+                return self.cancel(&completion.id);
             }
             let Ok(position) = tokens.recv().await else {
                 break;
             };
-            answer.completion_tokens += 1;
-            let event = answer.event(&texts::token_text(answer.seed, position));
+            completion.completion_tokens += 1;
+            let event = completion.event(&texts::token_text(completion.seed, position));
             if !writer.send(event).await {
                 return;
             }
         }
-        if self.usage_of(&answer.id).cancelled {
+        if self.request_usage(&completion.id).cancelled {
             return;
         }
         if usage {
-            writer.send(answer.usage_event()).await;
+            writer.send(completion.usage_event()).await;
         }
         writer.send(b"data: [DONE]\n\n".to_vec()).await;
         writer.finish().await;
     }
 
-    /// Steps the batch: takes waiting sequences in by priority and generates one token each.
-    async fn run_steps(self) {
+    /// Runs the batch: admits queued sequences by priority and generates one token each per step.
+    async fn run_batches(self) {
         loop {
-            let time = self.fill_batch();
-            let Some(time) = time else {
-                smol::Timer::after(IDLE_STEP).await;
+            let step_time = self.fill_batch();
+            let Some(step_time) = step_time else {
+                smol::Timer::after(IDLE_POLL_INTERVAL).await;
                 continue;
             };
-            let pace = self.faults.plan().pace_percent;
-            let pace = if pace == 0 { 100 } else { pace };
-            smol::Timer::after(time * pace as u32 / 100).await;
+            let percent = self.faults.plan().pace_percent;
+            let pace_percent = if percent == 0 { 100 } else { percent };
+            smol::Timer::after(step_time * pace_percent as u32 / 100).await;
             while self.faults.plan().frozen {
-                smol::Timer::after(IDLE_STEP).await;
+                smol::Timer::after(IDLE_POLL_INTERVAL).await;
             }
             self.step();
         }
@@ -418,10 +421,10 @@
         let mut state = self.lock();
         let mut uncached = 0;
         while state.running.len() < self.speed.slots && !state.waiting.is_empty() {
-            let best = (0..state.waiting.len())
+            let next = (0..state.waiting.len())
                 .max_by_key(|at| (state.waiting[*at].priority, std::cmp::Reverse(*at)))?;
-            let sequence = state.waiting.remove(best);
-            uncached += state.take_prompt(&sequence, self.speed.cache_tokens);
+            let sequence = state.waiting.remove(next);
+            uncached += state.charge_prompt(&sequence, self.speed.cache_tokens);
             state.running.push(sequence);
         }
         if state.running.is_empty() {
@@ -440,7 +443,7 @@
         let mut running = std::mem::take(&mut state.running);
         running.retain_mut(|sequence| {
             if sequence.position >= sequence.end {
-                return state.end_sequence(&sequence.id);
+                return state.finish_sequence(&sequence.id);
             }
             let position = sequence.position;
             sequence.position += 1;
@@ -450,9 +453,9 @@
                 usage.generated += 1;
             }
             if sequence.position >= sequence.end {
-                state.end_sequence(&sequence.id);
+                state.finish_sequence(&sequence.id);
             }
-            // A receiver that went away without a cancel does not stop the engine.
+            // A client that disconnects without a cancellation does not stop the generation.
             sequence.tokens.try_send(position).ok();
             sequence.position < sequence.end
         });
@@ -461,8 +464,9 @@
 }
 
 impl EngineState {
-    /// Charges a prompt and returns how many of its tokens were not cached.
-    fn take_prompt(&mut self, sequence: &Sequence, cache_tokens: usize) -> usize {
+    /// Charges the prompt to the account, unless the sequence is resumed, and caches its blocks.
+    /// Returns the number of prompt tokens that were not cached.
+    fn charge_prompt(&mut self, sequence: &Sequence, cache_tokens: usize) -> usize {
         let prompt = sequence.prompt.as_bytes();
         let tokens = texts::prompt_tokens(prompt.len());
         if sequence.position == 0 {
@@ -472,13 +476,13 @@
             }
         }
         let mut cached = 0;
-        for end in (CACHE_BLOCK..=prompt.len()).step_by(CACHE_BLOCK) {
+        for end in (CACHE_BLOCK_BYTES..=prompt.len()).step_by(CACHE_BLOCK_BYTES) {
             let block = routing::hash_prefix(prompt, end);
             self.cache_clock += 1;
-            let known = self.cache.insert(block, self.cache_clock).is_some();
-            if known && cached + CACHE_BLOCK == end {
+            let was_cached = self.cache.insert(block, self.cache_clock).is_some();
+            if was_cached && cached + CACHE_BLOCK_BYTES == end {
                 cached = end;
-            } else if !known {
+            } else if !was_cached {
                 self.cache_events.push_back((Instant::now(), block));
             }
         }
@@ -489,7 +493,7 @@
     }
 
     fn evict(&mut self, cache_tokens: usize) {
-        let limit = cache_tokens * 4 / CACHE_BLOCK;
+        let limit = cache_tokens * 4 / CACHE_BLOCK_BYTES;
         while self.cache.len() > limit {
             let oldest = self.cache.iter().min_by_key(|(_, used)| **used).map(|(block, _)| *block);
             if let Some(block) = oldest {
@@ -498,8 +502,8 @@
         }
     }
 
-    /// Marks a sequence as ended; always false, for `retain`.
-    fn end_sequence(&mut self, id: &str) -> bool {
+    /// Marks a request as inactive. Always returns false, for use in `retain_mut`.
+    fn finish_sequence(&mut self, id: &str) -> bool {
         if let Some(usage) = self.usage.get_mut(id) {
             usage.active = false;
         }
@@ -507,8 +511,9 @@
     }
 }
 
+/// Formats the generated tokens of one request as an OpenAI-style response.
 #[derive(Debug)]
-struct AnswerText {
+struct CompletionFormatter {
     id: String,
     model: String,
     chat: bool,
@@ -517,7 +522,7 @@
     completion_tokens: Tokens,
 }
 
-impl AnswerText {
+impl CompletionFormatter {
     fn usage(&self) -> Value {
         json!({
             "prompt_tokens": self.prompt_tokens,
@@ -547,7 +552,7 @@
         format!("data: {body}\n\n").into_bytes()
     }
 
-    fn whole(&self, text: &str) -> Value {
+    fn complete_body(&self, text: &str) -> Value {
         let choice = if self.chat {
             json!({
                 "index": 0, "finish_reason": "stop",
@@ -564,17 +569,20 @@
     }
 }
 
-/// Returns the prompt of chat messages: their contents, a line each.
+/// Returns the prompt of chat messages: their contents joined by newlines.
 pub fn chat_prompt(messages: &[Value]) -> String {
     let contents = messages.iter().filter_map(|message| message.get("content")?.as_str());
     contents.collect::<Vec<_>>().join("\n")
 }
 
-fn number(call: &ReceivedRequest, name: &str) -> u64 {
-    call.field(name).and_then(|text| text.parse().ok()).unwrap_or_default()
+fn header_number(request: &ReceivedRequest, name: &str) -> u64 {
+    request.field(name).and_then(|text| text.parse().ok()).unwrap_or_default()
 }
 
-/// Starts an engine on a port of its own.
+/// Starts an engine on the given address and returns the address it listens on.
+///
+/// # Errors
+/// Returns an error if the address cannot be bound.
 pub fn start(
     address: &str,
     speed: EngineSpeed,
--- a/toucanrail-standins/src/faults.rs
+++ b/toucanrail-standins/src/faults.rs
@@ -1,4 +1,4 @@
-//! Faults that a stand-in's control port injects.
+//! Faults injected into a simulated system through its control port.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -8,50 +8,51 @@
 use toucanrail_wire::listeners::ReceivedRequest;
 use toucanrail_wire::responses;
 
-/// How often a held-back answer looks whether its fault is over.
-const HOLD_STEP: Duration = Duration::from_millis(20);
+/// How often a blocked response checks whether the freeze is over.
+const FREEZE_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The faults in force; the control port's `POST /faults` replaces those it names.
+/// The active faults; a `POST` to the control port replaces only the fields present in its body.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct FaultPlan {
-    /// Answers every call with 503, at once.
+    /// Responds to every request with 503 immediately.
     pub down: bool,
-    /// Holds every answer back.
+    /// Blocks every response.
     pub frozen: bool,
-    /// Delays every answer, in milliseconds.
+    /// Delay of every response, in milliseconds.
     pub slow_ms: u64,
-    /// Delays completions alone, in milliseconds: a cancel on another connection overtakes them.
+    /// Delay of completion requests only, in milliseconds, so that a cancellation on another
+    /// connection overtakes them.
     pub late_ms: u64,
-    /// Writes that take effect and are then answered by nothing.
+    /// Number of writes that take effect but never get a response.
     pub lose_answers: u64,
-    /// Keeps watches from waking.
+    /// Keeps watches from reporting changes before they time out.
     pub watch_gap: bool,
-    /// Answers that are cut after some tokens.
+    /// Number of responses that are truncated after `cut_after` tokens.
     pub cut_answers: u64,
-    /// Tokens before a cut.
+    /// Tokens sent before a response is truncated or stalls.
     pub cut_after: u64,
-    /// Answers whose stream stays open and falls silent after some tokens.
+    /// Number of streamed responses that stall after `cut_after` tokens with the connection open.
     pub silent_answers: u64,
-    /// Answers that carry another request's id.
+    /// Number of responses that carry the id of another request.
     pub foreign_answers: u64,
-    /// Multiplies the time of an engine's step, in percent; 0 means 100.
+    /// Duration of an engine step as a percentage of the configured one; 0 means 100.
     pub pace_percent: u64,
 }
 
-/// The faults of one stand-in, shared by its handlers.
+/// The active faults of one simulated system, shared by its request handlers.
 #[derive(Debug, Clone, Default)]
-pub struct FaultDesk {
+pub struct FaultInjector {
     plan: Arc<Mutex<FaultPlan>>,
 }
 
-impl FaultDesk {
-    /// Makes a desk without faults.
+impl FaultInjector {
+    /// Creates an injector without active faults.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Changes the faults.
+    /// Modifies the active faults.
     pub fn change<Change>(&self, change: Change)
     where
         Change: FnOnce(&mut FaultPlan),
@@ -59,7 +60,7 @@
         change(&mut self.lock());
     }
 
-    /// Returns the faults in force.
+    /// Returns the active faults.
     pub fn plan(&self) -> FaultPlan {
         self.lock().clone()
     }
@@ -68,22 +69,23 @@
         self.plan.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes one of the faults that are counted.
-    pub fn take<Pick>(&self, pick: Pick) -> bool
+    /// Decrements a counted fault; returns whether one was left to inject.
+    pub fn consume<Select>(&self, select: Select) -> bool
     where
-        Pick: FnOnce(&mut FaultPlan) -> &mut u64,
+        Select: FnOnce(&mut FaultPlan) -> &mut u64,
     {
         let mut plan = self.lock();
-        let count = pick(&mut plan);
-        let due = *count > 0;
+        let count = select(&mut plan);
+        let is_due = *count > 0;
         *count = count.saturating_sub(1);
-        due
+        is_due
     }
 
-    /// Waits out a freeze and a delay; false if the stand-in is down.
-    pub async fn pass(&self) -> bool {
+    /// Waits while the system is frozen, then for the configured delay; returns false if the system
+    /// is down.
+    pub async fn apply_delays(&self) -> bool {
         while self.plan().frozen {
-            smol::Timer::after(HOLD_STEP).await;
+            smol::Timer::after(FREEZE_POLL_INTERVAL).await;
         }
         let plan = self.plan();
         if plan.slow_ms > 0 {
@@ -92,14 +94,15 @@
         !plan.down
     }
 
-    /// Answers a call of the control port: `GET` shows the faults, `POST` changes those named.
-    pub fn answer_control(&self, call: &ReceivedRequest) -> Response {
-        if call.body.is_empty() {
+    /// Handles a control request: an empty body returns the active faults, a JSON object replaces
+    /// the fields it contains. Responds with 400 if the body is not a valid fault plan.
+    pub fn handle_control(&self, request: &ReceivedRequest) -> Response {
+        if request.body.is_empty() {
             return responses::json(200, &self.plan());
         }
         let merged = serde_json::to_value(self.plan()).ok().and_then(|mut plan| {
-            let named: serde_json::Value = serde_json::from_slice(&call.body).ok()?;
-            for (name, value) in named.as_object()? {
+            let overrides: serde_json::Value = serde_json::from_slice(&request.body).ok()?;
+            for (name, value) in overrides.as_object()? {
                 plan[name] = value.clone();
             }
             serde_json::from_value(plan).ok()
--- a/toucanrail-standins/src/lib.rs
+++ b/toucanrail-standins/src/lib.rs
@@ -1,4 +1,5 @@
-//! Stand-ins for the outside systems, and the load tool: fakes for tests and demos only.
+//! Simulated external systems (platform, model engine, plain service) and the load generator.
+//! Used by tests and demos only.
 //!
 //! # Examples
 //! ```
--- a/toucanrail-standins/src/plains.rs
+++ b/toucanrail-standins/src/plains.rs
@@ -1,4 +1,4 @@
-//! A plain service's stand-in: it counts each run by key.
+//! Simulated plain service: an HTTP backend server that counts executions by idempotency key.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -12,27 +12,27 @@
 use toucanrail_wire::listeners::{self, ReceivedRequest, ServerLimits};
 use toucanrail_wire::responses;
 
-use crate::faults::FaultDesk;
+use crate::faults::FaultInjector;
 
-/// A plain service; clones share its counts.
+/// A simulated plain service; clones share its counts.
 #[derive(Debug, Clone, Default)]
 pub struct PlainStandin {
     runs: Arc<Mutex<BTreeMap<String, u64>>>,
-    /// Its faults.
-    pub faults: FaultDesk,
+    /// Faults injected into this service.
+    pub faults: FaultInjector,
 }
 
 impl PlainStandin {
-    /// Makes a service that has run nothing.
+    /// Creates a service with empty counts.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Serves the service and its control port.
+    /// Serves the service's interface and its control port.
     pub async fn serve(self, listener: TcpListener) {
-        let handler = move |call| {
+        let handler = move |request| {
             let this = self.clone();
-            async move { this.answer(call).await }
+            async move { this.handle(request).await }
         };
         listeners::serve(listener, ServerLimits::default(), handler).await;
     }
@@ -41,51 +41,53 @@
         self.runs.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Returns how often each key ran.
+    /// Returns the number of executions by idempotency key.
     pub fn runs(&self) -> BTreeMap<String, u64> {
         self.lock().clone()
     }
 
-    async fn answer(&self, call: ReceivedRequest) -> Response {
-        match call.path() {
-            "/control/faults" => return self.faults.answer_control(&call),
+    async fn handle(&self, request: ReceivedRequest) -> Response {
+        match request.path() {
+            "/control/faults" => return self.faults.handle_control(&request),
             "/control/runs" => return responses::json(200, &self.runs()),
             "/health" => return responses::text(200, "ok"),
             _ => {}
         }
-        let key = call.field("idempotency-key").unwrap_or("none").to_owned();
+        let key = request.field("idempotency-key").unwrap_or("none").to_owned();
         let count = {
             let mut runs = self.lock();
             let count = runs.entry(key.clone()).or_default();
             *count += 1;
             *count
         };
-        if let Some(wait) = call.field("plain-delay-ms").and_then(|text| text.parse().ok()) {
-            smol::Timer::after(Duration::from_millis(wait)).await;
+        if let Some(delay_ms) = request.field("plain-delay-ms").and_then(|text| text.parse().ok()) {
+            smol::Timer::after(Duration::from_millis(delay_ms)).await;
         }
-        if !self.faults.pass().await {
+        if !self.faults.apply_delays().await {
             return responses::text(503, "down");
         }
         let body = json!({
-            "path": call.path(),
-            "method": call.request.method().to_string(),
+            "path": request.path(),
+            "method": request.request.method().to_string(),
             "key": key,
             "run": count,
-            "received": call.body.len(),
+            "received": request.body.len(),
         });
         let mut response = responses::json(200, &body);
-        if let Some(asked) = call.field("plain-status").and_then(|text| text.parse::<u16>().ok()) {
-            response.set_status(asked.try_into().unwrap_or(http_types::StatusCode::Ok));
+        if let Some(status) =
+            request.field("plain-status").and_then(|text| text.parse::<u16>().ok())
+        {
+            response.set_status(status.try_into().unwrap_or(http_types::StatusCode::Ok));
         }
-        if self.faults.take(|plan| &mut plan.cut_answers) {
-            return cut_answer();
+        if self.faults.consume(|plan| &mut plan.cut_answers) {
+            return truncated_response();
         }
         response
     }
 }
 
-/// Returns an answer that ends before it is whole.
-fn cut_answer() -> Response {
+/// Returns a response whose body ends before it is complete.
+fn truncated_response() -> Response {
     let (writer, body) = toucanrail_wire::pipes::make_pipe();
     smol::spawn(async move {
         writer.send(b"{\"par".to_vec()).await;
@@ -94,7 +96,10 @@
     responses::stream(200, body)
 }
 
-/// Starts a plain service on a port of its own.
+/// Starts a plain service on the given address and returns the address it listens on.
+///
+/// # Errors
+/// Returns an error if the address cannot be bound.
 pub fn start(address: &str) -> io::Result<(PlainStandin, SocketAddr)> {
     let listener = listeners::bind(address)?;
     let bound = listener.local_addr()?;
--- a/toucanrail-standins/src/platforms.rs
+++ b/toucanrail-standins/src/platforms.rs
@@ -1,4 +1,4 @@
-//! The platform's stand-in: the object API and the VM list.
+//! Simulated platform: the object API and the VM list.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -13,20 +13,20 @@
 use toucanrail_wire::responses;
 use toucanrail_wire::stores::{ListBody, ListedObject, VmRow};
 
-use crate::faults::FaultDesk;
+use crate::faults::FaultInjector;
 
-/// Largest value, in bytes.
-const VALUE_LIMIT: usize = 1024 * 1024;
-const WATCH_STEP: Duration = Duration::from_millis(5);
+/// Maximum size of an object's value, in bytes.
+const MAX_VALUE_BYTES: usize = 1024 * 1024;
+const WATCH_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Calls by kind since the start.
+/// Number of requests by kind since the platform was started.
 #[derive(Debug, Clone, Copy, Default, Serialize, Deserialize)]
 pub struct CallCounts {
-    /// Reads and listings.
+    /// Reads of objects and listings.
     pub reads: u64,
-    /// Writes, refused ones included.
+    /// Writes, including rejected ones.
     pub writes: u64,
-    /// Watches.
+    /// Watch requests.
     pub watches: u64,
 }
 
@@ -38,27 +38,27 @@
     counts: CallCounts,
 }
 
-/// The platform's stand-in; clones share its state.
+/// A simulated platform; clones share its state.
 #[derive(Debug, Clone)]
 pub struct PlatformStandin {
     state: Arc<Mutex<PlatformState>>,
-    /// Its faults.
-    pub faults: FaultDesk,
+    /// Faults injected into this platform.
+    pub faults: FaultInjector,
     vm_lag: Duration,
 }
 
 impl PlatformStandin {
-    /// Makes an empty platform whose VM list lags by `vm_lag`.
+    /// Creates an empty platform whose VM list shows a leaving VM as such only after `vm_lag`.
     pub fn new(vm_lag: Duration) -> Self {
-        Self { state: Arc::default(), faults: FaultDesk::new(), vm_lag }
+        Self { state: Arc::default(), faults: FaultInjector::new(), vm_lag }
     }
 
     /// Serves the object API, the VM list and the control port.
     pub async fn serve(self, listener: TcpListener) {
-        let limits = ServerLimits { max_body: VALUE_LIMIT, ..ServerLimits::default() };
-        let handler = move |call| {
+        let limits = ServerLimits { max_body: MAX_VALUE_BYTES, ..ServerLimits::default() };
+        let handler = move |request| {
             let this = self.clone();
-            async move { this.answer(call).await }
+            async move { this.handle(request).await }
         };
         listeners::serve(listener, limits, handler).await;
     }
@@ -69,18 +69,18 @@
         state.objects.get(name).map(|(_, value)| value.clone())
     }
 
-    /// Returns the calls made so far.
+    /// Returns the number of requests received so far.
     pub fn counts(&self) -> CallCounts {
         self.lock().counts
     }
 
-    /// Puts a VM on the list, or changes its row.
+    /// Adds a VM to the list or updates its row.
     pub fn set_vm(&self, vm: &str, leaving: bool) {
         let row = (leaving, Instant::now());
         self.lock().vms.insert(Arc::from(vm), row);
     }
 
-    /// Takes a VM off the list.
+    /// Removes a VM from the list.
     pub fn remove_vm(&self, vm: &str) {
         self.lock().vms.remove(vm);
     }
@@ -89,28 +89,28 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    async fn answer(&self, call: ReceivedRequest) -> Response {
-        let path = call.path().to_owned();
+    async fn handle(&self, request: ReceivedRequest) -> Response {
+        let path = request.path().to_owned();
         match path.as_str() {
-            "/control/faults" => return self.faults.answer_control(&call),
+            "/control/faults" => return self.faults.handle_control(&request),
             "/control/counts" => return responses::json(200, &self.lock().counts),
-            "/control/vms" => return self.set_vms(&call),
+            "/control/vms" => return self.set_vms(&request),
             _ => {}
         }
-        if !self.faults.pass().await {
+        if !self.faults.apply_delays().await {
             return responses::text(503, "down");
         }
         if let Some(name) = path.strip_prefix("/v1/objects/") {
-            return match call.request.method() {
-                Method::Put => self.put(name, &call).await,
+            return match request.request.method() {
+                Method::Put => self.put(name, &request).await,
                 _ => self.get(name),
             };
         }
         if let Some(kind) = path.strip_prefix("/v1/list/") {
-            return self.list(kind, &call);
+            return self.list(kind, &request);
         }
         if let Some(kind) = path.strip_prefix("/v1/watch/") {
-            return self.watch(kind, &call).await;
+            return self.watch(kind, &request).await;
         }
         match path.as_str() {
             "/v1/vms" => self.list_vms(),
@@ -122,40 +122,40 @@
         let mut state = self.lock();
         state.counts.reads += 1;
         match state.objects.get(name) {
-            Some((version, value)) => tagged(200, *version, value.clone()),
+            Some((version, value)) => response_with_etag(200, *version, value.clone()),
             None => responses::text(404, "no such object"),
         }
     }
 
-    async fn put(&self, name: &str, call: &ReceivedRequest) -> Response {
-        let response = self.write(name, call);
-        if self.faults.take(|plan| &mut plan.lose_answers) {
-            // The write has taken effect; its answer never comes.
+    async fn put(&self, name: &str, request: &ReceivedRequest) -> Response {
+        let response = self.write(name, request);
+        if self.faults.consume(|plan| &mut plan.lose_answers) {
+            // Simulates a lost response: the write has taken effect.
             std::future::pending::<()>().await;
         }
         response
     }
 
-    fn write(&self, name: &str, call: &ReceivedRequest) -> Response {
+    fn write(&self, name: &str, request: &ReceivedRequest) -> Response {
         let mut state = self.lock();
         state.counts.writes += 1;
-        let known = state.objects.get(name).map(|(version, _)| *version);
-        let wanted = call.field("if-match").map(|tag| tag.trim_matches('"').parse().ok());
-        let met = match wanted {
-            Some(version) => version.is_some() && version == known,
-            None => call.field("if-none-match") != Some("*") || known.is_none(),
+        let current = state.objects.get(name).map(|(version, _)| *version);
+        let expected = request.field("if-match").map(|tag| tag.trim_matches('"').parse().ok());
+        let precondition_met = match expected {
+            Some(version) => version.is_some() && version == current,
+            None => request.field("if-none-match") != Some("*") || current.is_none(),
         };
-        if !met {
+        if !precondition_met {
             return responses::text(412, "changed meanwhile");
         }
         state.revision += 1;
         let version = state.revision;
-        state.objects.insert(name.to_owned(), (version, call.body.clone()));
-        tagged(200, version, Vec::new())
+        state.objects.insert(name.to_owned(), (version, request.body.clone()));
+        response_with_etag(200, version, Vec::new())
     }
 
-    fn list(&self, kind: &str, call: &ReceivedRequest) -> Response {
-        let after = number(call, "after");
+    fn list(&self, kind: &str, request: &ReceivedRequest) -> Response {
+        let after = query_number(request, "after");
         let prefix = format!("{kind}/");
         let mut state = self.lock();
         state.counts.reads += 1;
@@ -170,17 +170,17 @@
         responses::json(200, &ListBody { objects: objects.collect(), revision: state.revision })
     }
 
-    async fn watch(&self, kind: &str, call: &ReceivedRequest) -> Response {
+    async fn watch(&self, kind: &str, request: &ReceivedRequest) -> Response {
         self.lock().counts.watches += 1;
-        let after = number(call, "after");
-        let until = Instant::now() + Duration::from_millis(number(call, "wait"));
+        let after = query_number(request, "after");
+        let deadline = Instant::now() + Duration::from_millis(query_number(request, "wait"));
         let prefix = format!("{kind}/");
-        while Instant::now() < until {
-            let gap = self.faults.plan().watch_gap;
-            if !gap && self.has_newer(&prefix, after) {
+        while Instant::now() < deadline {
+            let has_gap = self.faults.plan().watch_gap;
+            if !has_gap && self.has_newer(&prefix, after) {
                 break;
             }
-            smol::Timer::after(WATCH_STEP).await;
+            smol::Timer::after(WATCH_POLL_INTERVAL).await;
         }
         responses::text(200, "look")
     }
@@ -198,20 +198,21 @@
     fn list_vms(&self) -> Response {
         let mut state = self.lock();
         state.counts.reads += 1;
-        let shown = state.vms.iter().map(|(vm, (leaving, since))| VmRow {
+        let rows = state.vms.iter().map(|(vm, (leaving, since))| VmRow {
             vm: Arc::clone(vm),
             leaving: *leaving && since.elapsed() >= self.vm_lag,
         });
-        responses::json(200, &shown.collect::<Vec<_>>())
+        responses::json(200, &rows.collect::<Vec<_>>())
     }
 
-    /// Replaces the VM list's rows named in the body; `POST` with `?gone=VM` removes one.
-    fn set_vms(&self, call: &ReceivedRequest) -> Response {
+    /// Removes the VM given by the query parameter `gone`, then adds or replaces the rows in the
+    /// body.
+    fn set_vms(&self, request: &ReceivedRequest) -> Response {
         let mut state = self.lock();
-        if let Some(vm) = call.query("gone") {
+        if let Some(vm) = request.query("gone") {
             state.vms.remove(&*vm);
         }
-        let rows: Vec<VmRow> = serde_json::from_slice(&call.body).unwrap_or_default();
+        let rows: Vec<VmRow> = serde_json::from_slice(&request.body).unwrap_or_default();
         for row in rows {
             state.vms.insert(row.vm, (row.leaving, Instant::now()));
         }
@@ -219,17 +220,20 @@
     }
 }
 
-fn number(call: &ReceivedRequest, name: &str) -> u64 {
-    call.query(name).and_then(|text| text.parse().ok()).unwrap_or_default()
+fn query_number(request: &ReceivedRequest, name: &str) -> u64 {
+    request.query(name).and_then(|text| text.parse().ok()).unwrap_or_default()
 }
 
-fn tagged(status: u16, version: Version, value: Vec<u8>) -> Response {
+fn response_with_etag(status: u16, version: Version, value: Vec<u8>) -> Response {
     let mut response = responses::bytes(status, value);
     response.insert_header("etag", format!("\"{version}\""));
     response
 }
 
-/// Starts a platform on a port of its own.
+/// Starts a platform on the given address and returns the address it listens on.
+///
+/// # Errors
+/// Returns an error if the address cannot be bound.
 pub fn start(
     address: &str,
     vm_lag: Duration,
