--- a/toucanrail-daemons/src/agents.rs
+++ b/toucanrail-daemons/src/agents.rs
@@ -26,10 +26,10 @@
 use toucanrail_wire::stores::HttpStore;
 
 use crate::execution;
-use crate::fleets::{FleetClient, routes};
+use crate::fleet_client::{FleetClient, routes};
+use crate::metrics::ProcessMetrics;
 use crate::mirroring::{self, MirrorSet};
-use crate::observing::MetricBoard;
-use crate::registering;
+use crate::registration;
 use crate::starting::{self, CommonSettings};
 
 /// Largest order, in bytes.
@@ -113,7 +113,7 @@
     /// Connections to its backend server.
     pub pool: ConnectionPool,
     /// Its metrics.
-    pub board: MetricBoard,
+    pub metrics: ProcessMetrics,
     address: SocketAddr,
     client: FleetClient,
     store: HttpStore,
@@ -134,7 +134,7 @@
             ledger: Mutex::new(UsageLedger::new(Arc::clone(&id))),
             id,
             pool: ConnectionPool::new(limits),
-            board: MetricBoard::new("agent").map_err(io::Error::other)?,
+            metrics: ProcessMetrics::new("agent").map_err(io::Error::other)?,
             address: settings.common.advertise.unwrap_or(address),
             client: FleetClient::new(&settings.common.fleet_key),
             store: HttpStore::new(settings.common.store),
@@ -161,15 +161,15 @@
     async fn respond(self: Arc<Self>, call: ReceivedRequest) -> Response {
         match call.path() {
             "/health" => self.health_response(),
-            "/metrics" => self.board.answer(),
+            "/metrics" => self.metrics.response(),
             "/state" => self.state_response(),
             routes::RUN => self.handle_run(&call),
             routes::LOAD => self.handle_signed(&call, |query: MirrorQuery| {
-                self.mirrors.note_asker(&query);
+                self.mirrors.record_querier(&query);
                 responses::msgpack(&self.report())
             }),
             routes::FENCE => self.handle_signed(&call, |command: FenceCommand| {
-                self.board.count_event("fences");
+                self.metrics.count_event("fences");
                 responses::msgpack(&self.lock_ledger().fence(&command.shard, command.epoch))
             }),
             routes::ACK => self.handle_signed(&call, |command: AckCommand| {
@@ -187,7 +187,7 @@
         Message: serde::de::DeserializeOwned,
         Handler: FnOnce(Message) -> Response,
     {
-        match self.client.read(call) {
+        match self.client.decode(call) {
             Ok(message) => handler(message),
             Err(refusal) => *refusal,
         }
@@ -243,25 +243,25 @@
     }
 
     fn handle_run(self: &Arc<Self>, call: &ReceivedRequest) -> Response {
-        let command: RunCommand = match self.client.read(call) {
+        let command: RunCommand = match self.client.decode(call) {
             Ok(command) => command,
             Err(refusal) => return *refusal,
         };
         if let Err(code) = self.lock_ledger().admit(&command) {
-            self.board.count_result(code);
+            self.metrics.count_result(code);
             let request = Arc::clone(&command.request);
             let frame = RunFrame::Refused { request, code, retry_after: 1_000 };
             return responses::bytes(200, frames::encode_frame(&frame));
         }
-        self.board.count_result(codetable::OK);
-        self.board.in_flight.inc();
+        self.metrics.count_result(codetable::OK);
+        self.metrics.in_flight.inc();
         let (writer, body) = pipes::make_pipe();
         smol::spawn(execution::run_command(Arc::clone(self), command, writer)).detach();
         responses::stream(200, body)
     }
 
     async fn handle_query(&self, call: &ReceivedRequest) -> Response {
-        let query: RunQuery = match self.client.read(call) {
+        let query: RunQuery = match self.client.decode(call) {
             Ok(query) => query,
             Err(refusal) => return *refusal,
         };
@@ -280,7 +280,7 @@
     /// Guards against an order of a holder that was replaced while paused: some engines take any
     /// order, so the agent, their only way in, refuses numbers lower than it has seen.
     async fn forward_engine_command(&self, call: &ReceivedRequest) -> Response {
-        let command: EngineCommand = match self.client.read(call) {
+        let command: EngineCommand = match self.client.decode(call) {
             Ok(command) => command,
             Err(refusal) => return *refusal,
         };
@@ -335,12 +335,12 @@
     async fn sync_catalogue(self: Arc<Self>) {
         loop {
             let common = &self.settings.common;
-            let entries = self.mirrors.entries_to_ask(&common.data_centre, &common.peers);
-            if !self.mirrors.ask_entries(&self.client, None, &entries).await {
-                self.mirrors.read_platform(&self.store).await;
+            let entries = self.mirrors.sync_sources(&common.data_centre, &common.peers);
+            if !self.mirrors.sync_from_entries(&self.client, None, &entries).await {
+                self.mirrors.sync_from_store(&self.store).await;
             }
-            self.board.in_force.set(self.mirrors.lock().objects.seen().cast_signed());
-            smol::Timer::after(mirroring::ASK_INTERVAL).await;
+            self.metrics.in_force.set(self.mirrors.lock().objects.seen().cast_signed());
+            smol::Timer::after(mirroring::PEER_SYNC_INTERVAL).await;
         }
     }
 
@@ -356,7 +356,7 @@
             service: Some(Arc::clone(&self.settings.service)),
         };
         let value = if present { storecalls::encode_value(&node) } else { Vec::new() };
-        registering::write_node(&self.store, &self.id, value).await
+        registration::write_registration(&self.store, &self.id, value).await
     }
 
     /// Takes no new work, lets what runs finish and be settled, then ends the registration.
@@ -366,7 +366,9 @@
         // An order on its way to a process that ends has an unknown end: entries hear first.
         smol::Timer::after(STOP_NOTICE).await;
         let start = Instant::now();
-        while self.lock_ledger().running() > 0 && start.elapsed() < self.settings.common.drain {
+        while self.lock_ledger().running() > 0
+            && start.elapsed() < self.settings.common.shutdown_grace
+        {
             smol::Timer::after(STOP_CHECK_INTERVAL).await;
         }
         let settling = Instant::now();
--- a/toucanrail-daemons/src/attempts.rs
+++ b/toucanrail-daemons/src/attempts.rs
@@ -17,9 +17,9 @@
 use toucanrail_wire::clients::{RequestError, StreamingResponse};
 use toucanrail_wire::time_limits;
 
-use crate::fleets::routes;
+use crate::fleet_client::routes;
 use crate::reclaiming;
-use crate::states::Entry;
+use crate::state::Entry;
 
 /// Silence of an agent's answer after which its connection counts as lost; the agent sends a sign
 /// of life four times as often.
@@ -140,7 +140,7 @@
         None => ExchangeError::CallerGone,
     };
     // One lost connection speaks for those that idle beside it.
-    entry.client.forget(target.address);
+    entry.client.evict(target.address);
     let waited = time_limits::timeout(
         RESULT_TIMEOUT,
         query_result(entry, target, &command.run, command.hold),
--- a/toucanrail-daemons/src/billing.rs
+++ b/toucanrail-daemons/src/billing.rs
@@ -11,7 +11,7 @@
 use crate::attempts::{self, AttemptResult, AttemptTarget};
 use crate::planning::RequestPlan;
 use crate::recording;
-use crate::states::Entry;
+use crate::state::Entry;
 
 /// What a request's tries have used and no bill carries yet.
 #[derive(Debug, Default)]
--- a/toucanrail-daemons/src/bin/toucanrail-agent.rs
+++ b/toucanrail-daemons/src/bin/toucanrail-agent.rs
@@ -13,15 +13,15 @@
         Err(code) => return code,
     };
     let settings = AgentSettings::read(&mut values);
-    if starting::print_faults(&values) {
+    if starting::print_errors(&values) {
         return ExitCode::from(starting::EXIT_USAGE);
     }
-    starting::start_logs(values.text("log"));
+    starting::init_logging(values.text("log"));
     starting::run_main(async move {
         match agents::start(settings) {
             Ok(handle) => {
                 println!("listening on {}", handle.address);
-                starting::wait_stop().await;
+                starting::wait_for_stop().await;
                 handle.stop().await;
                 ExitCode::SUCCESS
             }
--- a/toucanrail-daemons/src/editing.rs
+++ b/toucanrail-daemons/src/catalogue_commands.rs
@@ -15,7 +15,7 @@
 use toucanrail_wire::clients::OutboundRequest;
 use toucanrail_wire::stores::ObjectStore;
 
-use crate::inspecting;
+use crate::inspection_commands;
 use crate::operators::{OperatorError, OperatorTools};
 
 /// First line of a file that `get` wrote: edits made since then are conflicts.
@@ -229,7 +229,7 @@
 }
 
 async fn find_lagging(tools: &OperatorTools, version: Version) -> Outcome<Vec<String>> {
-    let nodes = inspecting::list_nodes(tools).await?;
+    let nodes = inspection_commands::list_nodes(tools).await?;
     let asked = nodes.into_iter().map(|node| {
         let pool = tools.pool.clone();
         smol::spawn(async move {
--- a/toucanrail-daemons/src/demos.rs
+++ b/toucanrail-daemons/src/demos.rs
@@ -15,7 +15,7 @@
 use crate::entries;
 use crate::operators::{self, OperatorTools};
 use crate::starting;
-use crate::states::{self, EntrySettings};
+use crate::state::{self, EntrySettings};
 
 const FLEET_KEY: &str = "demo-fleet";
 const CALLER_KEY: &str = "demo-key";
@@ -59,7 +59,7 @@
     /// The entry, towards callers.
     pub entry: SocketAddr,
     /// The entry, towards the fleet.
-    pub inner: SocketAddr,
+    pub internal: SocketAddr,
 }
 
 fn read_args(rows: &[settings::SettingRow], args: &[(&str, String)]) -> settings::SettingValues {
@@ -102,7 +102,7 @@
 ) -> io::Result<entries::EntryHandle> {
     let mut args = common_args(name, store);
     args.extend(extra.iter().cloned());
-    let rows: Vec<_> = starting::COMMON_SETTINGS.into_iter().chain(states::SETTINGS).collect();
+    let rows: Vec<_> = starting::COMMON_SETTINGS.into_iter().chain(state::SETTINGS).collect();
     entries::start(EntrySettings::read(&mut read_args(&rows, &args)))
 }
 
@@ -133,7 +133,7 @@
     start_agent("agent-1", store, "levy-llm", engine)?;
     start_agent("agent-2", store, "filing-app", plain)?;
     let entry = start_entry("entry-1", store, &[])?;
-    let fleet = DemoFleet { store, entry: entry.address, inner: entry.inner };
+    let fleet = DemoFleet { store, entry: entry.address, internal: entry.internal };
     wait_ready(&fleet).await?;
     Ok(fleet)
 }
--- a/toucanrail-daemons/src/entries.rs
+++ b/toucanrail-daemons/src/entries.rs
@@ -13,13 +13,13 @@
 use toucanrail_wire::listeners::{self, ReceivedRequest, ServerLimits};
 use toucanrail_wire::responses::{self, ErrorDetails};
 
-use crate::fleets::routes;
+use crate::fleet_client::routes;
+use crate::monitoring;
 use crate::planning;
 use crate::reclaiming;
 use crate::serving;
 use crate::settlement;
-use crate::states::{Entry, EntrySettings};
-use crate::watching;
+use crate::state::{Entry, EntrySettings};
 
 /// When to come back to an entry that is stopping: the balancer has another by then.
 const STOP_RETRY: Duration = Duration::from_secs(1);
@@ -31,13 +31,13 @@
     async fn answer_caller(self: Arc<Self>, call: ReceivedRequest) -> Response {
         let ready = self.is_ready();
         if call.path() == "/health" {
-            return match (self.is_leaving(), ready) {
+            return match (self.is_stopping(), ready) {
                 (true, _) => responses::text(503, "stopping\n"),
                 (_, false) => responses::text(503, "starting\n"),
                 _ => responses::text(200, "ok\n"),
             };
         }
-        if self.is_leaving() {
+        if self.is_stopping() {
             let note = ErrorDetails::new(codetable::STOPPING).retry_after(STOP_RETRY);
             return self.refuse(&note);
         }
@@ -66,7 +66,7 @@
         }
     }
 
-    async fn answer_inner(self: Arc<Self>, call: ReceivedRequest) -> Response {
+    async fn answer_internal(self: Arc<Self>, call: ReceivedRequest) -> Response {
         if let Some(request) = call.path().strip_prefix("/state/requests/") {
             return match self.lock().traces.get(request) {
                 Some(steps) => responses::json(200, &steps),
@@ -75,16 +75,20 @@
         }
         match call.path() {
             "/health" => responses::text(200, "ok\n"),
-            "/metrics" => self.board.answer(),
+            "/metrics" => self.metrics.response(),
             "/state" => self.answer_state(),
-            routes::MIRROR => match self.client.read::<MirrorQuery>(&call) {
+            routes::MIRROR => match self.client.decode::<MirrorQuery>(&call) {
                 Ok(order) => {
-                    self.mirrors.note_asker(&order);
-                    responses::msgpack(&self.mirrors.news(&self.id, self.is_leaving(), &order))
+                    self.mirrors.record_querier(&order);
+                    responses::msgpack(&self.mirrors.updates_since(
+                        &self.id,
+                        self.is_stopping(),
+                        &order,
+                    ))
                 }
                 Err(refusal) => *refusal,
             },
-            routes::RECALL => match self.client.read::<RecallCommand>(&call) {
+            routes::RECALL => match self.client.decode::<RecallCommand>(&call) {
                 Ok(order) => {
                     let returned = settlement::release_unused(&self, &order).await;
                     responses::msgpack(&RecallReply { returned })
@@ -102,8 +106,8 @@
         let dump = serde_json::json!({
             "role": "entry",
             "id": self.id,
-            "leaving": self.is_leaving(),
-            "requests": self.requests(),
+            "leaving": self.is_stopping(),
+            "requests": self.requests_in_flight(),
             "catalogue": mirrors.catalogue,
             "catalogue_version": mirrors.objects.seen(),
             "store_calls": { "reads": reads, "writes": writes },
@@ -118,18 +122,19 @@
 
     /// Takes no new requests, finishes those in flight, settles, gives its grants back.
     async fn drain(self: &Arc<Self>) {
-        self.begin_leave();
-        tracing::info!(id = %self.id, requests = self.requests(), "stopping");
+        self.begin_stop();
+        tracing::info!(id = %self.id, requests = self.requests_in_flight(), "stopping");
         smol::Timer::after(STOP_NOTICE).await;
         let start = Instant::now();
-        while self.requests() > 0 && start.elapsed() < self.settings.common.drain {
+        while self.requests_in_flight() > 0 && start.elapsed() < self.settings.common.shutdown_grace
+        {
             smol::Timer::after(STOP_STEP).await;
         }
         // What is still open keeps its tenure: peers reclaim it once this process is gone, with
         // what the agents know.
-        settlement::settle_all(self, self.requests() == 0).await;
+        settlement::settle_all(self, self.requests_in_flight() == 0).await;
         self.register(false).await;
-        tracing::info!(id = %self.id, left = self.requests(), "stopped");
+        tracing::info!(id = %self.id, left = self.requests_in_flight(), "stopped");
     }
 }
 
@@ -140,7 +145,7 @@
     /// Where callers reach it.
     pub address: SocketAddr,
     /// Where the fleet and the operators reach it.
-    pub inner: SocketAddr,
+    pub internal: SocketAddr,
 }
 
 impl EntryHandle {
@@ -158,19 +163,19 @@
 /// Starts an entry on the present executor.
 pub fn start(settings: EntrySettings) -> io::Result<EntryHandle> {
     let callers = listeners::bind(&settings.common.listen)?;
-    let fleet = listeners::bind(&settings.inner)?;
-    let (address, inner) = (callers.local_addr()?, fleet.local_addr()?);
+    let fleet = listeners::bind(&settings.internal)?;
+    let (address, internal) = (callers.local_addr()?, fleet.local_addr()?);
     let limits = settings.limits.clone();
-    let entry = Arc::new(Entry::new(settings, inner)?);
+    let entry = Arc::new(Entry::new(settings, internal)?);
     let caller_entry = Arc::clone(&entry);
     let caller_handler = move |call| Arc::clone(&caller_entry).answer_caller(call);
     smol::spawn(listeners::serve(callers, limits, caller_handler)).detach();
     let fleet_entry = Arc::clone(&entry);
-    let fleet_handler = move |call| Arc::clone(&fleet_entry).answer_inner(call);
+    let fleet_handler = move |call| Arc::clone(&fleet_entry).answer_internal(call);
     smol::spawn(listeners::serve(fleet, ServerLimits::default(), fleet_handler)).detach();
-    watching::start(&entry);
+    monitoring::start(&entry);
     settlement::start(&entry);
     smol::spawn(reclaiming::watch_lost_peers(Arc::clone(&entry))).detach();
-    tracing::info!(id = %entry.id, %address, %inner, "entry started");
-    Ok(EntryHandle { entry, address, inner })
+    tracing::info!(id = %entry.id, %address, inner = %internal, "entry started");
+    Ok(EntryHandle { entry, address, internal })
 }
--- a/toucanrail-daemons/src/execution.rs
+++ b/toucanrail-daemons/src/execution.rs
@@ -347,7 +347,7 @@
     async fn fail(&mut self, code: ResultCode, run: RunState) -> bool {
         let (used, unproved) = self.settle_usage().await;
         self.record_end(false, used, unproved);
-        self.agent.board.count_event("runs_failed");
+        self.agent.metrics.count_event("runs_failed");
         let request = Arc::clone(&self.command.request);
         self.send(&RunFrame::Failed { request, code, run, used, unproved }).await;
         false
@@ -395,6 +395,6 @@
 
 impl Drop for RunTask {
     fn drop(&mut self) {
-        self.agent.board.in_flight.dec();
+        self.agent.metrics.in_flight.dec();
     }
 }
--- a/toucanrail-daemons/src/fleets.rs
+++ b/toucanrail-daemons/src/fleet_client.rs
@@ -98,12 +98,12 @@
     }
 
     /// Drops the idle connections to an address.
-    pub fn forget(&self, address: SocketAddr) {
+    pub fn evict(&self, address: SocketAddr) {
         self.pool.evict(address);
     }
 
     /// Reads a sealed message, or gives the refusal.
-    pub fn read<Message>(&self, call: &ReceivedRequest) -> Result<Message, Box<Response>>
+    pub fn decode<Message>(&self, call: &ReceivedRequest) -> Result<Message, Box<Response>>
     where
         Message: DeserializeOwned,
     {
--- a/toucanrail-daemons/src/inspecting.rs
+++ b/toucanrail-daemons/src/inspection_commands.rs
@@ -16,8 +16,8 @@
 use toucanrail_wire::clients::OutboundRequest;
 use toucanrail_wire::stores::ObjectStore;
 
-use crate::editing;
-use crate::fleets::{FleetClient, routes};
+use crate::catalogue_commands;
+use crate::fleet_client::{FleetClient, routes};
 use crate::operators::{OperatorError, OperatorTools};
 
 const CALL_BOUND: Duration = Duration::from_secs(2);
@@ -80,7 +80,7 @@
 
 async fn change_budget(tools: &OperatorTools, customer: &str) -> Outcome<()> {
     let name: CustomerId = Arc::from(customer);
-    editing::edit_shard(tools, customer, |shard| {
+    catalogue_commands::edit_shard(tools, customer, |shard| {
         let account = shard.accounts.get_mut(&name);
         let account = account.ok_or(BudgetError::NoAccount)?;
         if tools.top_up > 0 {
--- a/toucanrail-daemons/src/observing.rs
+++ b/toucanrail-daemons/src/metrics.rs
@@ -11,7 +11,7 @@
 
 /// The metrics of one daemon.
 #[derive(Debug, Clone)]
-pub struct MetricBoard {
+pub struct ProcessMetrics {
     registry: Registry,
     results: IntCounterVec,
     events: IntCounterVec,
@@ -23,7 +23,7 @@
     pub in_force: IntGauge,
 }
 
-impl MetricBoard {
+impl ProcessMetrics {
     /// Makes the board of a daemon; `prefix` is the daemon's role.
     ///
     /// # Errors
@@ -76,7 +76,7 @@
     }
 
     /// Answers `/metrics`.
-    pub fn answer(&self) -> Response {
+    pub fn response(&self) -> Response {
         match self.encode() {
             Ok(text) => {
                 let mut response = responses::bytes(200, text);
--- a/toucanrail-daemons/src/mirroring.rs
+++ b/toucanrail-daemons/src/mirroring.rs
@@ -17,14 +17,14 @@
 use toucanrail::storecalls;
 use toucanrail_wire::stores::ObjectStore;
 
-use crate::fleets::{FleetClient, routes};
+use crate::fleet_client::{FleetClient, routes};
 
 /// Time between two looks at the platform by a process that reads it.
-pub const READ_INTERVAL: Duration = Duration::from_millis(700);
+pub const STORE_SYNC_INTERVAL: Duration = Duration::from_millis(700);
 /// Time between two questions to a peer by a process that does not.
-pub const ASK_INTERVAL: Duration = Duration::from_millis(500);
+pub const PEER_SYNC_INTERVAL: Duration = Duration::from_millis(500);
 /// Longest wait for a peer's answer.
-pub const PEER_BOUND: Duration = Duration::from_millis(400);
+pub const PEER_CALL_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// Entries remembered that asked this process.
 const ASKERS: usize = 4;
@@ -62,7 +62,7 @@
     }
 
     /// Returns the question for what is not known yet.
-    pub fn order(&self, address: Option<SocketAddr>) -> MirrorQuery {
+    pub fn query(&self, address: Option<SocketAddr>) -> MirrorQuery {
         let state = self.lock();
         let (catalogue, nodes) = (state.objects.seen(), state.nodes.seen());
         MirrorQuery { address, catalogue, nodes }
@@ -72,7 +72,7 @@
     ///
     /// Guards against a process that knows no entry while the platform is down, as one that was
     /// paused right after its start: it asks those that ask it.
-    pub fn note_asker(&self, order: &MirrorQuery) {
+    pub fn record_querier(&self, order: &MirrorQuery) {
         let Some(address) = order.address else {
             return;
         };
@@ -84,7 +84,7 @@
     }
 
     /// Returns what an asker does not know.
-    pub fn news(&self, id: &Arc<str>, leaving: bool, order: &MirrorQuery) -> PeerUpdate {
+    pub fn updates_since(&self, id: &Arc<str>, leaving: bool, order: &MirrorQuery) -> PeerUpdate {
         let state = self.lock();
         PeerUpdate {
             id: Arc::clone(id),
@@ -96,7 +96,7 @@
     }
 
     /// Takes a listing of the catalogue; true if anything was news.
-    pub fn take_catalogue(&self, reply: MirrorDelta) -> bool {
+    pub fn apply_catalogue(&self, reply: MirrorDelta) -> bool {
         let mut state = self.lock();
         let news = state.objects.merge(reply);
         for object in &news {
@@ -106,15 +106,15 @@
     }
 
     /// Takes a listing of the registrations; true if anything was news.
-    pub fn take_nodes(&self, reply: MirrorDelta) -> bool {
+    pub fn apply_nodes(&self, reply: MirrorDelta) -> bool {
         !self.lock().nodes.merge(reply).is_empty()
     }
 
     /// Takes a peer's news; true if the registrations changed.
-    pub fn take_news(&self, news: PeerUpdate) -> bool {
-        self.take_catalogue(news.catalogue);
+    pub fn apply_update(&self, news: PeerUpdate) -> bool {
+        self.apply_catalogue(news.catalogue);
         self.lock().vms.merge_newer(news.vms);
-        self.take_nodes(news.nodes)
+        self.apply_nodes(news.nodes)
     }
 
     /// Returns all registrations.
@@ -125,7 +125,7 @@
     }
 
     /// Reads the platform once; false if it does not answer.
-    pub async fn read_platform<Store>(&self, store: &Store) -> bool
+    pub async fn sync_from_store<Store>(&self, store: &Store) -> bool
     where
         Store: ObjectStore,
     {
@@ -136,11 +136,11 @@
         let Some(reply) = store.list(paths::CATALOGUE, catalogue).await else {
             return false;
         };
-        self.take_catalogue(reply);
+        self.apply_catalogue(reply);
         let Some(reply) = store.list(paths::NODES, nodes).await else {
             return false;
         };
-        self.take_nodes(reply);
+        self.apply_nodes(reply);
         if let Some(rows) = store.list_vms().await {
             let mut state = self.lock();
             state.vms.readings += 1;
@@ -150,17 +150,17 @@
     }
 
     /// Asks entries in turn until one answers; false if none does.
-    pub async fn ask_entries(
+    pub async fn sync_from_entries(
         &self,
         client: &FleetClient,
         own: Option<SocketAddr>,
         entries: &[SocketAddr],
     ) -> bool {
         for address in entries {
-            let order = self.order(own);
-            let answer = client.send(*address, routes::MIRROR, &order, PEER_BOUND).await;
+            let order = self.query(own);
+            let answer = client.send(*address, routes::MIRROR, &order, PEER_CALL_TIMEOUT).await;
             if let Ok(news) = answer {
-                self.take_news(news);
+                self.apply_update(news);
                 return true;
             }
         }
@@ -169,7 +169,7 @@
 
     /// Returns the addresses of entries to ask: those of a data centre first, then the seeds, then
     /// those that asked.
-    pub fn entries_to_ask(&self, data_centre: &str, seeds: &[SocketAddr]) -> Vec<SocketAddr> {
+    pub fn sync_sources(&self, data_centre: &str, seeds: &[SocketAddr]) -> Vec<SocketAddr> {
         const ASKED: usize = 3;
         let nodes = self.node_entries();
         let mut entries: Vec<&NodeEntry> =
--- a/toucanrail-daemons/src/watching.rs
+++ b/toucanrail-daemons/src/monitoring.rs
@@ -12,10 +12,10 @@
 use toucanrail::servers::{NodeEntry, NodeRole};
 use toucanrail_wire::stores::ObjectStore;
 
-use crate::fleets::routes;
-use crate::mirroring::{self, PEER_BOUND};
-use crate::registering;
-use crate::states::Entry;
+use crate::fleet_client::routes;
+use crate::mirroring::{self, PEER_CALL_TIMEOUT};
+use crate::registration;
+use crate::state::Entry;
 
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 const PROBE_INTERVAL: Duration = Duration::from_millis(600);
@@ -43,22 +43,25 @@
 async fn read_platform(entry: Arc<Entry>) {
     loop {
         refresh(&entry).await;
-        smol::Timer::after(mirroring::READ_INTERVAL).await;
+        smol::Timer::after(mirroring::STORE_SYNC_INTERVAL).await;
     }
 }
 
 async fn refresh(entry: &Arc<Entry>) {
     let asked = !is_watcher(entry) && ask_watchers(entry).await;
     if !asked {
-        let reached = entry.mirrors.read_platform(&entry.store).await;
+        let reached = entry.mirrors.sync_from_store(&entry.store).await;
         if !reached {
-            entry.board.count_event("platform_silent");
+            entry.metrics.count_event("platform_silent");
             let seeds = entry
                 .mirrors
-                .entries_to_ask(&entry.settings.common.data_centre, &entry.settings.common.peers);
+                .sync_sources(&entry.settings.common.data_centre, &entry.settings.common.peers);
             let others: Vec<SocketAddr> =
                 seeds.into_iter().filter(|address| *address != entry.node().address).collect();
-            entry.mirrors.ask_entries(&entry.client, Some(entry.node().address), &others).await;
+            entry
+                .mirrors
+                .sync_from_entries(&entry.client, Some(entry.node().address), &others)
+                .await;
         }
     }
     take_mirrors(entry).await;
@@ -73,7 +76,7 @@
         let peers = tables.members.peers().filter(|peer| watchers.contains(&peer.node.id));
         peers.map(|peer| peer.node.address).collect()
     };
-    entry.mirrors.ask_entries(&entry.client, Some(entry.node().address), &watchers).await
+    entry.mirrors.sync_from_entries(&entry.client, Some(entry.node().address), &watchers).await
 }
 
 /// Brings what the mirrors say into the tables.
@@ -85,7 +88,7 @@
             state.catalogue.customers().map(|customer| Arc::clone(&customer.name)).collect();
         (customers, state.vms.clone(), state.objects.seen())
     };
-    entry.board.in_force.set(version.cast_signed());
+    entry.metrics.in_force.set(version.cast_signed());
     {
         let mut tables = entry.lock();
         tables.servers.apply_nodes(nodes.iter());
@@ -103,7 +106,7 @@
     end_registrations(entry, &nodes).await;
     // A registration may be missing at the start, or because peers took this entry for dead.
     let listed = nodes.iter().any(|node| node.id == entry.id);
-    if !listed && !entry.is_leaving() {
+    if !listed && !entry.is_stopping() {
         entry.register(true).await;
     }
 }
@@ -117,8 +120,8 @@
         gone.map(|node| Arc::clone(&node.id)).collect()
     };
     for agent in gone {
-        entry.board.count_event("agents_gone");
-        registering::write_node(&entry.store, &agent, Vec::new()).await;
+        entry.metrics.count_event("agents_gone");
+        registration::write_registration(&entry.store, &agent, Vec::new()).await;
     }
 }
 
@@ -147,15 +150,15 @@
 }
 
 async fn send_heartbeat(entry: Arc<Entry>, peer: Arc<str>, address: SocketAddr) {
-    let order = entry.mirrors.order(Some(entry.node().address));
+    let order = entry.mirrors.query(Some(entry.node().address));
     let answer: std::io::Result<PeerUpdate> =
-        entry.client.send(address, routes::MIRROR, &order, PEER_BOUND).await;
+        entry.client.send(address, routes::MIRROR, &order, PEER_CALL_TIMEOUT).await;
     let Ok(news) = answer else {
-        entry.board.count_event("heartbeats_lost");
+        entry.metrics.count_event("heartbeats_lost");
         return;
     };
     entry.lock().members.record_response(&peer, &news.id, entry.now());
-    entry.mirrors.take_news(news);
+    entry.mirrors.apply_update(news);
 }
 
 async fn probe_agents(entry: Arc<Entry>) {
@@ -175,11 +178,11 @@
 
 async fn probe_agent(entry: Arc<Entry>, agent: AgentId, address: SocketAddr, own: u64) {
     let asked = entry.now();
-    let order = entry.mirrors.order(Some(entry.node().address));
+    let order = entry.mirrors.query(Some(entry.node().address));
     let answer: std::io::Result<LoadReport> =
-        entry.client.send(address, routes::LOAD, &order, PEER_BOUND).await;
+        entry.client.send(address, routes::LOAD, &order, PEER_CALL_TIMEOUT).await;
     let Ok(report) = answer else {
-        entry.board.count_event("reports_lost");
+        entry.metrics.count_event("reports_lost");
         return;
     };
     if report.agent == agent {
@@ -196,7 +199,7 @@
         tables.servers.record_leaving(&agent);
         tables.grants.record_acked(&agent, &BTreeSet::new(), true);
     }
-    registering::write_node(&entry.store, &agent, Vec::new()).await;
+    registration::write_registration(&entry.store, &agent, Vec::new()).await;
 }
 
 async fn tick(entry: Arc<Entry>) {
--- a/toucanrail-daemons/src/operators.rs
+++ b/toucanrail-daemons/src/operators.rs
@@ -12,9 +12,9 @@
 use toucanrail_wire::clients::{ClientLimits, ConnectionPool};
 use toucanrail_wire::stores::HttpStore;
 
+use crate::catalogue_commands;
 use crate::demos;
-use crate::editing;
-use crate::inspecting;
+use crate::inspection_commands;
 use crate::starting;
 
 /// Settings of the operator's command.
@@ -162,20 +162,20 @@
 pub async fn run_command(tools: &OperatorTools, words: &[String]) -> Result<String, OperatorError> {
     let words: Vec<&str> = words.iter().map(String::as_str).collect();
     match words.as_slice() {
-        ["apply", file] => editing::apply(tools, file).await,
-        ["check", file] => editing::check(file),
-        ["diff", file] => editing::diff(tools, file).await,
-        ["get"] => editing::get(tools, None).await,
-        ["get", name] => editing::get(tools, Some(name)).await,
-        ["remove", name] => editing::remove(tools, name).await,
-        ["budget"] => inspecting::budgets(tools, None).await,
-        ["budget", customer] => inspecting::budgets(tools, Some(customer)).await,
-        ["bills"] => inspecting::bills(tools, None).await,
-        ["bills", customer] => inspecting::bills(tools, Some(customer)).await,
-        ["state", address] => inspecting::state(tools, address).await,
-        ["explain", request] => inspecting::explain(tools, request).await,
+        ["apply", file] => catalogue_commands::apply(tools, file).await,
+        ["check", file] => catalogue_commands::check(file),
+        ["diff", file] => catalogue_commands::diff(tools, file).await,
+        ["get"] => catalogue_commands::get(tools, None).await,
+        ["get", name] => catalogue_commands::get(tools, Some(name)).await,
+        ["remove", name] => catalogue_commands::remove(tools, name).await,
+        ["budget"] => inspection_commands::budgets(tools, None).await,
+        ["budget", customer] => inspection_commands::budgets(tools, Some(customer)).await,
+        ["bills"] => inspection_commands::bills(tools, None).await,
+        ["bills", customer] => inspection_commands::bills(tools, Some(customer)).await,
+        ["state", address] => inspection_commands::state(tools, address).await,
+        ["explain", request] => inspection_commands::explain(tools, request).await,
         ["order", address, action, subject] => {
-            inspecting::order(tools, address, action, subject).await
+            inspection_commands::order(tools, address, action, subject).await
         }
         _ => Err(OperatorError::Usage("name a command; see --help".to_owned())),
     }
@@ -192,7 +192,7 @@
         Err(code) => return code,
     };
     let tools = OperatorTools::read(&mut values);
-    if starting::print_faults(&values) {
+    if starting::print_errors(&values) {
         return ExitCode::from(starting::EXIT_USAGE);
     }
     let demo = values.positionals.first().is_some_and(|word| word == "demo");
--- a/toucanrail-daemons/src/reclaiming.rs
+++ b/toucanrail-daemons/src/reclaiming.rs
@@ -13,9 +13,9 @@
 use toucanrail::storecalls;
 use toucanrail_wire::stores::ObjectStore;
 
-use crate::fleets::routes;
-use crate::registering;
-use crate::states::Entry;
+use crate::fleet_client::routes;
+use crate::registration;
+use crate::state::Entry;
 
 const CHECK_INTERVAL: Duration = Duration::from_millis(300);
 const FENCE_TIMEOUT: Duration = Duration::from_millis(800);
@@ -90,7 +90,7 @@
     for shard in shards {
         match reclaim(entry, &shard, dead).await {
             ReclaimOutcome::Closed { proved, bills, runs } => {
-                entry.board.count_event("tenures_reclaimed");
+                entry.metrics.count_event("tenures_reclaimed");
                 tracing::info!(%dead, %shard, proved, bills, "tenure reclaimed");
                 acknowledge_runs(entry, runs).await;
             }
@@ -99,7 +99,7 @@
         }
     }
     if finished {
-        registering::write_node(&entry.store, dead, Vec::new()).await;
+        registration::write_registration(&entry.store, dead, Vec::new()).await;
     }
 }
 
@@ -173,7 +173,7 @@
         let reply: std::io::Result<AgentReply> =
             entry.client.send(address, routes::ACK, &command, FENCE_TIMEOUT).await;
         if reply.is_err() {
-            entry.board.count_event("acks_lost");
+            entry.metrics.count_event("acks_lost");
         }
     }
 }
--- a/toucanrail-daemons/src/recording.rs
+++ b/toucanrail-daemons/src/recording.rs
@@ -11,10 +11,10 @@
 use toucanrail::storecalls::{self, StoreCall, StoreReply, WriteExpectation};
 use toucanrail_wire::stores::ObjectStore;
 
-use crate::fleets::routes;
+use crate::fleet_client::routes;
 use crate::planning::RequestPlan;
 use crate::reclaiming;
-use crate::states::Entry;
+use crate::state::Entry;
 
 const QUERY_TIMEOUT: Duration = Duration::from_secs(1);
 const WRITE_RETRY_INTERVAL: Duration = Duration::from_millis(500);
@@ -87,7 +87,7 @@
     state: RecordState,
 ) {
     while !close_record(entry, record, version, state.clone()).await {
-        entry.board.count_event("records_delayed");
+        entry.metrics.count_event("records_delayed");
         smol::Timer::after(WRITE_RETRY_INTERVAL).await;
     }
 }
--- a/toucanrail-daemons/src/registering.rs
+++ b/toucanrail-daemons/src/registration.rs
@@ -8,7 +8,7 @@
 
 /// Writes a registration whatever its version is: only its own process and those that found it
 /// gone write it.
-pub async fn write_node<Store>(store: &Store, id: &Arc<str>, value: Vec<u8>) -> bool
+pub async fn write_registration<Store>(store: &Store, id: &Arc<str>, value: Vec<u8>) -> bool
 where
     Store: ObjectStore,
 {
--- a/toucanrail-daemons/src/serving.rs
+++ b/toucanrail-daemons/src/serving.rs
@@ -25,7 +25,7 @@
 use crate::recording;
 use crate::responding::{self, ResponseWriter};
 use crate::settlement;
-use crate::states::Entry;
+use crate::state::Entry;
 
 /// Tries of one request, the first included.
 const MAX_ATTEMPTS: u32 = 4;
@@ -281,7 +281,7 @@
         }
         let now = self.entry.now();
         if !self.entry.lock().retries.try_spend(now) {
-            self.entry.board.count_event("retries_refused");
+            self.entry.metrics.count_event("retries_refused");
             return false;
         }
         if !self.writer.has_started() {
@@ -289,7 +289,7 @@
         }
         let pause = retries::backoff(self.attempt, fastrand::f64());
         smol::Timer::after(pause.min(self.time_left())).await;
-        self.entry.board.count_event("retries");
+        self.entry.metrics.count_event("retries");
         self.extend_hold().await
     }
 
@@ -527,7 +527,7 @@
     fn take_bill(&mut self, hold: &GrantHold) -> Option<BillRow> {
         let sum = std::mem::take(&mut self.sum);
         if sum.total() > hold.amount {
-            self.entry.board.count_event("usage_over_hold");
+            self.entry.metrics.count_event("usage_over_hold");
         }
         let bill = sum.into_bill(&self.plan, hold);
         self.marker.record(bill.as_ref());
@@ -547,13 +547,13 @@
     async fn send_end(&mut self, end: RequestEnd) {
         match end {
             RequestEnd::Complete => {
-                self.entry.board.count_result(codetable::OK);
-                self.entry.board.first_byte.observe(self.arrived.elapsed().as_secs_f64());
+                self.entry.metrics.count_result(codetable::OK);
+                self.entry.metrics.first_byte.observe(self.arrived.elapsed().as_secs_f64());
             }
-            RequestEnd::CallerGone => self.entry.board.count_result(codetable::CANCELLED),
+            RequestEnd::CallerGone => self.entry.metrics.count_result(codetable::CANCELLED),
             RequestEnd::Replayed(stored) => {
                 self.trace("answered as the first time".to_owned());
-                self.entry.board.count_event("answers_replayed");
+                self.entry.metrics.count_event("answers_replayed");
                 let mut response = responses::bytes(stored.status, stored.body);
                 responding::set_fields(&mut response, &stored.fields);
                 self.writer.reply.send(response).await.ok();
--- a/toucanrail-daemons/src/settlement.rs
+++ b/toucanrail-daemons/src/settlement.rs
@@ -16,9 +16,9 @@
 use toucanrail_wire::stores::ObjectStore;
 use toucanrail_wire::time_limits;
 
-use crate::fleets::routes;
+use crate::fleet_client::routes;
 use crate::reclaiming;
-use crate::states::Entry;
+use crate::state::Entry;
 
 /// Time for which an account found exhausted is refused without asking again.
 const EXHAUSTED_CACHE_TIME: Duration = Duration::from_millis(100);
@@ -44,7 +44,7 @@
 async fn run_syncs(entry: Arc<Entry>) {
     let running: Arc<std::sync::Mutex<BTreeSet<ShardName>>> = Arc::default();
     loop {
-        let wanted = entry.wanted.listen();
+        let wanted = entry.sync_requested.listen();
         let shards = entry.lock().grants.shards();
         for shard in shards {
             let idle = running.lock().is_ok_and(|mut running| running.insert(Arc::clone(&shard)));
@@ -61,14 +61,14 @@
                     // A request that began to wait during this sync found it running, and
                     // would otherwise wait for the next flush.
                     if entry.lock().grants.has_unplanned_waits(&shard) {
-                        entry.wanted.notify(usize::MAX);
+                        entry.sync_requested.notify(usize::MAX);
                     }
                 })
                 .detach();
             }
         }
         let flush = async {
-            smol::Timer::after(entry.settings.flush).await;
+            smol::Timer::after(entry.settings.settlement_interval).await;
         };
         wanted.or(flush).await;
     }
@@ -91,20 +91,20 @@
     let outcome = machine.into_outcome();
     let applied = matches!(outcome, SyncOutcome::Applied { .. } | SyncOutcome::Unchanged { .. });
     match outcome {
-        SyncOutcome::Applied { .. } => entry.board.count_event("syncs"),
-        SyncOutcome::Unchanged { .. } => entry.board.count_event("syncs_idle"),
-        SyncOutcome::Unavailable => entry.board.count_event("syncs_unanswered"),
+        SyncOutcome::Applied { .. } => entry.metrics.count_event("syncs"),
+        SyncOutcome::Unchanged { .. } => entry.metrics.count_event("syncs_idle"),
+        SyncOutcome::Unavailable => entry.metrics.count_event("syncs_unanswered"),
         // The next sync meets the same until the reclaim is done.
         SyncOutcome::Revoked { .. } if !entry.lock().grants.has_tenure(shard) => {}
         SyncOutcome::Revoked { .. } => {
-            entry.board.count_event("tenures_lost");
+            entry.metrics.count_event("tenures_lost");
             tracing::warn!(id = %entry.id, %shard, "tenure was revoked");
             let finish = reclaiming::reclaim_own(Arc::clone(entry), Arc::clone(shard));
             smol::spawn(finish).detach();
         }
     }
     entry.lock().grants.apply_sync(shard, outcome);
-    entry.synced.notify(usize::MAX);
+    entry.sync_finished.notify(usize::MAX);
     send_acks(entry).await;
     if applied && entry.lock().grants.needs_archiving(shard) {
         archive_keys(entry, shard).await;
@@ -119,7 +119,7 @@
         machine.handle_reply(entry.store.call(&call).await);
     }
     if machine.has_moved() {
-        entry.board.count_event("archives");
+        entry.metrics.count_event("archives");
     }
 }
 
@@ -193,7 +193,7 @@
     let mut confirmed = false;
     let mut recalls = 0;
     loop {
-        let synced = entry.synced.listen();
+        let synced = entry.sync_finished.listen();
         let acquired = entry.lock().grants.hold(customer, amount);
         match acquired {
             Ok(hold) => return Ok(hold),
@@ -211,7 +211,7 @@
         }
         let shard = entry.shard_of(customer);
         let before = entry.lock().grants.confirmed_syncs(&shard);
-        entry.wanted.notify(usize::MAX);
+        entry.sync_requested.notify(usize::MAX);
         synced.await;
         confirmed = entry.lock().grants.confirmed_syncs(&shard) > before;
     }
@@ -219,7 +219,7 @@
 
 /// Asks all peers at once for unused grant; returns how much they gave back.
 async fn recall(entry: &Arc<Entry>, customer: &CustomerId, wanted: Tokens) -> Tokens {
-    entry.board.count_event("recalls");
+    entry.metrics.count_event("recalls");
     let peers: Vec<_> = entry.lock().members.peers().map(|peer| peer.node.address).collect();
     let command =
         RecallCommand { from: Arc::clone(&entry.id), customer: Arc::clone(customer), wanted };
@@ -238,16 +238,16 @@
     for task in calls {
         returned += task.await;
     }
-    entry.board.add_events("recalled_tokens", returned);
+    entry.metrics.add_events("recalled_tokens", returned);
     returned
 }
 
 /// Gives unused grant back to the shard for a peer; returns how much was reserved for it.
 pub async fn release_unused(entry: &Arc<Entry>, command: &RecallCommand) -> Tokens {
-    let synced = entry.synced.listen();
+    let synced = entry.sync_finished.listen();
     let released = entry.lock().grants.recall(&command.customer, command.wanted, &command.from);
     if released > 0 {
-        entry.wanted.notify(usize::MAX);
+        entry.sync_requested.notify(usize::MAX);
         time_limits::timeout(RELEASE_TIMEOUT, synced).await;
     }
     released
@@ -259,7 +259,7 @@
 pub async fn settle_all(entry: &Arc<Entry>, close: bool) {
     let settling = async {
         while !entry.lock().grants.is_settled() {
-            entry.wanted.notify(usize::MAX);
+            entry.sync_requested.notify(usize::MAX);
             smol::Timer::after(LEAVE_CHECK_INTERVAL).await;
         }
         send_acks(entry).await;
--- a/toucanrail-daemons/src/starting.rs
+++ b/toucanrail-daemons/src/starting.rs
@@ -56,7 +56,7 @@
     /// Entries to ask while the object API is down.
     pub peers: Vec<SocketAddr>,
     /// Longest wait for requests in flight at a stop.
-    pub drain: Duration,
+    pub shutdown_grace: Duration,
 }
 
 impl CommonSettings {
@@ -93,7 +93,7 @@
             data_centre: Arc::from(values.text("data-centre")),
             vm,
             peers: values.parse_with("peers", "addresses, with commas between", peers),
-            drain: values.duration("drain"),
+            shutdown_grace: values.duration("drain"),
         }
     }
 }
@@ -138,7 +138,7 @@
 }
 
 /// Prints all faults; true if there were any.
-pub fn print_faults(values: &SettingValues) -> bool {
+pub fn print_errors(values: &SettingValues) -> bool {
     for fault in &values.errors {
         eprintln!("{fault}");
     }
@@ -146,7 +146,7 @@
 }
 
 /// Starts the logs on standard error.
-pub fn start_logs(form: &str) {
+pub fn init_logging(form: &str) {
     let filter = EnvFilter::try_from_default_env().unwrap_or_else(|_| EnvFilter::new("info"));
     let builder = tracing_subscriber::fmt().with_env_filter(filter).with_writer(std::io::stderr);
     // A second start, as in tests, keeps the first logs.
@@ -157,7 +157,7 @@
 }
 
 /// Waits for SIGTERM or SIGINT.
-pub async fn wait_stop() {
+pub async fn wait_for_stop() {
     match Signals::new([Signal::Term, Signal::Int]) {
         Ok(mut signals) => {
             signals.next().await;
--- a/toucanrail-daemons/src/states.rs
+++ b/toucanrail-daemons/src/state.rs
@@ -26,10 +26,10 @@
 use toucanrail_wire::responses::{self, ErrorDetails};
 use toucanrail_wire::stores::HttpStore;
 
-use crate::fleets::FleetClient;
+use crate::fleet_client::FleetClient;
+use crate::metrics::ProcessMetrics;
 use crate::mirroring::MirrorSet;
-use crate::observing::MetricBoard;
-use crate::registering;
+use crate::registration;
 use crate::starting::{self, CommonSettings, ProcessClock};
 
 /// Settings of the entry alone.
@@ -57,7 +57,7 @@
     /// Those that agents have too.
     pub common: CommonSettings,
     /// Where the fleet and the operators reach it.
-    pub inner: String,
+    pub internal: String,
     /// Budget shards; 0 for one a customer.
     pub shards: u64,
     /// How grants are sized.
@@ -65,7 +65,7 @@
     /// How servers are chosen.
     pub routing: RoutingPolicy,
     /// Time between settlements.
-    pub flush: Duration,
+    pub settlement_interval: Duration,
     /// Longest wait of a request for its grant.
     pub budget_wait: Duration,
     /// Bounds towards callers.
@@ -82,11 +82,11 @@
         let routings = "round-robin, random, least-reported, affinity or balanced";
         Self {
             common: CommonSettings::read(values),
-            inner: values.text("inner").to_owned(),
+            internal: values.text("inner").to_owned(),
             shards: values.parse("shards", "a number"),
             policy: values.parse_with("grants", policies, GrantPolicy::parse),
             routing: values.parse_with("routing", routings, RoutingPolicy::parse),
-            flush: values.duration("flush"),
+            settlement_interval: values.duration("flush"),
             budget_wait: values.duration("budget-wait"),
             limits: ServerLimits {
                 max_head: values.parse("max-head", "a number of bytes"),
@@ -137,20 +137,20 @@
     /// The catalogue and the registrations.
     pub mirrors: MirrorSet,
     /// Its metrics.
-    pub board: MetricBoard,
+    pub metrics: ProcessMetrics,
     /// Wakes requests that wait for a sync.
-    pub synced: Event,
+    pub sync_finished: Event,
     /// Wakes the loops that settle shards.
-    pub wanted: Event,
-    inner_address: SocketAddr,
+    pub sync_requested: Event,
+    internal_address: SocketAddr,
     tables: Mutex<EntryTables>,
-    leaving: AtomicBool,
+    stopping: AtomicBool,
     in_flight: Arc<()>,
 }
 
 impl Entry {
     /// Makes the entry of one run of a process.
-    pub fn new(settings: EntrySettings, inner_address: SocketAddr) -> io::Result<Self> {
+    pub fn new(settings: EntrySettings, internal_address: SocketAddr) -> io::Result<Self> {
         let id = starting::new_incarnation(&settings.common.name);
         let tables = EntryTables {
             grants: GrantTable::new(Arc::clone(&id), settings.policy),
@@ -168,12 +168,12 @@
             client: FleetClient::new(&settings.common.fleet_key),
             store: HttpStore::new(settings.common.store),
             mirrors: MirrorSet::new(),
-            board: MetricBoard::new("entry").map_err(io::Error::other)?,
-            synced: Event::new(),
-            wanted: Event::new(),
-            inner_address: settings.common.advertise.unwrap_or(inner_address),
+            metrics: ProcessMetrics::new("entry").map_err(io::Error::other)?,
+            sync_finished: Event::new(),
+            sync_requested: Event::new(),
+            internal_address: settings.common.advertise.unwrap_or(internal_address),
             tables: Mutex::new(tables),
-            leaving: AtomicBool::new(false),
+            stopping: AtomicBool::new(false),
             in_flight: Arc::new(()),
             settings,
         })
@@ -190,8 +190,8 @@
     }
 
     /// Tells whether it is stopping.
-    pub fn is_leaving(&self) -> bool {
-        self.leaving.load(Ordering::Relaxed)
+    pub fn is_stopping(&self) -> bool {
+        self.stopping.load(Ordering::Relaxed)
     }
 
     /// Tells whether the catalogue has been read since the start.
@@ -203,8 +203,8 @@
     }
 
     /// Begins to stop.
-    pub fn begin_leave(&self) {
-        self.leaving.store(true, Ordering::Relaxed);
+    pub fn begin_stop(&self) {
+        self.stopping.store(true, Ordering::Relaxed);
     }
 
     /// Returns a token that keeps the entry from stopping while a request holds it.
@@ -213,7 +213,7 @@
     }
 
     /// Returns the number of requests in flight.
-    pub fn requests(&self) -> usize {
+    pub fn requests_in_flight(&self) -> usize {
         Arc::strong_count(&self.in_flight) - 1
     }
 
@@ -228,7 +228,7 @@
         NodeEntry {
             id: Arc::clone(&self.id),
             role: NodeRole::Entry,
-            address: self.inner_address,
+            address: self.internal_address,
             data_centre: Arc::clone(&common.data_centre),
             vm: Arc::clone(&common.vm),
             service: None,
@@ -238,12 +238,12 @@
     /// Writes or ends this entry's registration.
     pub async fn register(&self, present: bool) -> bool {
         let value = if present { storecalls::encode_value(&self.node()) } else { Vec::new() };
-        registering::write_node(&self.store, &self.id, value).await
+        registration::write_registration(&self.store, &self.id, value).await
     }
 
     /// Counts a refusal and makes its answer.
     pub fn refuse(&self, note: &ErrorDetails) -> Response {
-        self.board.count_result(note.code);
+        self.metrics.count_result(note.code);
         responses::error(note)
     }
 }
--- a/toucanrail-daemons/tests/configuration.rs
+++ b/toucanrail-daemons/tests/configuration.rs
@@ -92,7 +92,7 @@
         fleet.platform.faults.change(|plan| plan.down = true);
         entries[2].signal("CONT");
         entries[1].kill();
-        let seed = entries[0].inner.unwrap().to_string();
+        let seed = entries[0].internal.unwrap().to_string();
         let late = fleet.entry("entry-late", &[("peers", &seed)]);
         wait_output(&fleet, &[&late, &entries[2]], 97).await;
         for _ in 0..20 {
@@ -118,7 +118,7 @@
         wait_output(&fleet, &[&entries[0], &entries[1]], 97).await;
         fleet.platform.faults.change(|plan| plan.down = true);
         entries[1].kill();
-        let taken = entries[1].inner.unwrap().to_string();
+        let taken = entries[1].internal.unwrap().to_string();
         let _foreign = other.entry("entry-0", &[("inner", &taken)]);
         entries[0].signal("STOP");
         entries[2].signal("CONT");
--- a/toucanrail-daemons/tests/fleet/mod.rs
+++ b/toucanrail-daemons/tests/fleet/mod.rs
@@ -34,7 +34,7 @@
 pub struct Process {
     child: Child,
     pub address: SocketAddr,
-    pub inner: Option<SocketAddr>,
+    pub internal: Option<SocketAddr>,
 }
 
 impl Process {
@@ -52,7 +52,7 @@
         Self {
             child,
             address: words[2].parse().unwrap(),
-            inner: words.get(4).map(|word| word.parse().unwrap()),
+            internal: words.get(4).map(|word| word.parse().unwrap()),
         }
     }
 
@@ -195,7 +195,7 @@
     }
 
     pub async fn state(&self, process: &Process) -> Value {
-        let address = process.inner.unwrap_or(process.address);
+        let address = process.internal.unwrap_or(process.address);
         let answer = self.pool.fetch(address, OutboundRequest::get("/state"), BOUND).await;
         answer.map_or(Value::Null, |answer| serde_json::from_slice(&answer.body).unwrap())
     }
--- a/toucanrail-gateway/src/grant_manager.rs
+++ b/toucanrail-gateway/src/grant_manager.rs
@@ -17,7 +17,7 @@
 use toucanrail::ids::{CustomerId, EntryId, ShardName, Tokens};
 use toucanrail::syncs::{SyncMachine, SyncOutcome};
 use toucanrail::{paths, policies};
-use toucanrail_daemons::observing::MetricBoard;
+use toucanrail_daemons::metrics::ProcessMetrics;
 use toucanrail_wire::time_limits;
 
 use crate::store_access::StoreAccess;
@@ -68,7 +68,7 @@
     pub grants: RefCell<GrantTable>,
     store: Rc<StoreAccess>,
     tuning: GatewayTuning,
-    board: MetricBoard,
+    board: ProcessMetrics,
     executor: Rc<LocalExecutor<'static>>,
     /// Recent refusals, by customer.
     refusals: RefCell<BTreeMap<CustomerId, CachedRefusal>>,
@@ -90,7 +90,7 @@
         id: &EntryId,
         store: Rc<StoreAccess>,
         tuning: GatewayTuning,
-        board: MetricBoard,
+        board: ProcessMetrics,
         executor: Rc<LocalExecutor<'static>>,
     ) -> Self {
         Self {
--- a/toucanrail-gateway/src/launching.rs
+++ b/toucanrail-gateway/src/launching.rs
@@ -19,7 +19,7 @@
         Err(code) => return code,
     };
     let tuning = GatewayTuning::read(&mut values);
-    if starting::print_faults(&values) {
+    if starting::print_errors(&values) {
         return ExitCode::from(starting::EXIT_USAGE);
     }
     let settings = match settings::read_settings() {
--- a/toucanrail-gateway/src/relay.rs
+++ b/toucanrail-gateway/src/relay.rs
@@ -16,7 +16,7 @@
 use smol::{Async, LocalExecutor};
 use toucanrail::coldstarts::PermitTable;
 use toucanrail::endpoints::EndpointTable;
-use toucanrail_daemons::observing::MetricBoard;
+use toucanrail_daemons::metrics::ProcessMetrics;
 use toucanrail_daemons::starting::{self, ProcessClock};
 use toucanrail_platform::settings::NodeSettings;
 use toucanrail_platform::stores::StoreClient;
@@ -77,7 +77,7 @@
     executor: &Rc<LocalExecutor<'static>>,
 ) -> io::Result<RelayApi> {
     let id = starting::new_incarnation(&settings.vm);
-    let metrics = MetricBoard::new("relay").map_err(io::Error::other)?;
+    let metrics = ProcessMetrics::new("relay").map_err(io::Error::other)?;
     let data_centre = Arc::clone(&settings.data_centre);
     let ways = EndpointTable::new(settings.store, data_centre, Arc::clone(&settings.region));
     let client = StoreClient::new(CONNECT_TIMEOUT);
--- a/toucanrail-gateway/src/starting.rs
+++ b/toucanrail-gateway/src/starting.rs
@@ -14,7 +14,7 @@
 use toucanrail::endpoints::EndpointTable;
 use toucanrail::evacuations::EvacuationTable;
 use toucanrail::matching::RouteTable;
-use toucanrail_daemons::observing::MetricBoard;
+use toucanrail_daemons::metrics::ProcessMetrics;
 use toucanrail_daemons::starting::{self, ProcessClock};
 use toucanrail_platform::settings::NodeSettings;
 use toucanrail_platform::stores::StoreClient;
@@ -72,7 +72,7 @@
 
 fn make_gateway(settings: NodeSettings, tuning: GatewayTuning) -> io::Result<Gateway> {
     let id = starting::new_incarnation(&settings.vm);
-    let metrics = MetricBoard::new("gateway").map_err(io::Error::other)?;
+    let metrics = ProcessMetrics::new("gateway").map_err(io::Error::other)?;
     let clock = ProcessClock::start();
     let executor = Rc::new(LocalExecutor::new());
     let data_centre = Arc::clone(&settings.data_centre);
--- a/toucanrail-gateway/src/state.rs
+++ b/toucanrail-gateway/src/state.rs
@@ -14,7 +14,7 @@
 use toucanrail::matching::RouteTable;
 use toucanrail::probes::{ProbeRow, SlotGauge};
 use toucanrail::retries::{RetryBounds, RetryBudget};
-use toucanrail_daemons::observing::MetricBoard;
+use toucanrail_daemons::metrics::ProcessMetrics;
 use toucanrail_daemons::starting::ProcessClock;
 use toucanrail_platform::names;
 use toucanrail_platform::settings::NodeSettings;
@@ -64,7 +64,7 @@
     /// Access to the platform's store.
     pub store: Rc<StoreAccess>,
     /// Metrics registry.
-    pub metrics: MetricBoard,
+    pub metrics: ProcessMetrics,
     /// Runs all tasks on a single thread.
     pub executor: Rc<LocalExecutor<'static>>,
     /// Tables that decisions read and update.
