--- a/toucanrail-daemons/src/bin/toucanrail-agent.rs
+++ b/toucanrail-daemons/src/bin/toucanrail-agent.rs
@@ -1,4 +1,4 @@
-//! The agent as a process.
+//! Main function of the agent program.
 
 use std::process::ExitCode;
 
@@ -7,7 +7,7 @@
 
 fn main() -> ExitCode {
     let rows: Vec<_> = starting::COMMON_SETTINGS.into_iter().chain(agents::SETTINGS).collect();
-    let about = "stands beside one backend server";
+    let about = "runs beside one backend server and meters its requests";
     let mut values = match starting::read_settings("toucanrail-agent", about, &rows) {
         Ok(values) => values,
         Err(code) => return code,
--- a/toucanrail-daemons/src/bin/toucanrail-entry.rs
+++ b/toucanrail-daemons/src/bin/toucanrail-entry.rs
@@ -1,4 +1,4 @@
-//! The entry as a process.
+//! Main function of the entry program.
 
 use std::process::ExitCode;
 
@@ -8,7 +8,7 @@
 
 fn main() -> ExitCode {
     let rows: Vec<_> = starting::COMMON_SETTINGS.into_iter().chain(state::SETTINGS).collect();
-    let about = "takes callers' requests for the fleet";
+    let about = "accepts callers' requests and forwards them to the fleet";
     let mut values = match starting::read_settings("toucanrail-entry", about, &rows) {
         Ok(values) => values,
         Err(code) => return code,
--- a/toucanrail-daemons/src/bin/toucanrail.rs
+++ b/toucanrail-daemons/src/bin/toucanrail.rs
@@ -1,4 +1,4 @@
-//! The operator's command.
+//! Main function of the operator's program.
 
 use std::process::ExitCode;
 
--- a/toucanrail-daemons/src/catalogue_commands.rs
+++ b/toucanrail-daemons/src/catalogue_commands.rs
@@ -18,35 +18,38 @@
 use crate::inspection_commands;
 use crate::operators::{OperatorError, OperatorTools};
 
-/// First line of a file that `get` wrote: edits made since then are conflicts.
-const VERSION_MARK: &str = "# toucanrail-version: ";
-const CONFLICT_LIMIT: u32 = 16;
+/// Prefix of the first line of a file that `get` wrote. The version that follows lets `apply` detect
+/// conflicting edits made since then.
+const VERSION_PREFIX: &str = "# toucanrail-version: ";
+/// Attempts of a conditional update before it is reported as a conflict.
+const MAX_UPDATE_ATTEMPTS: u32 = 16;
 
-type Outcome<Value> = Result<Value, OperatorError>;
+type CommandResult<Value> = Result<Value, OperatorError>;
 
 struct CatalogueFile {
     items: Vec<CatalogueItem>,
-    base: Option<Version>,
+    /// Catalogue version from which the file was written, if `get` wrote it.
+    base_version: Option<Version>,
 }
 
-fn read_file(path: &str) -> Outcome<CatalogueFile> {
+fn read_file(path: &str) -> CommandResult<CatalogueFile> {
     let text = std::fs::read_to_string(path)
         .map_err(|error| OperatorError::File(path.to_owned(), error))?;
-    let rows = catalogue_files::parse_items(&text).map_err(OperatorError::Faults)?;
-    let mark = text.lines().find_map(|line| line.strip_prefix(VERSION_MARK));
-    let base = mark.and_then(|version| version.trim().parse().ok());
-    Ok(CatalogueFile { items: rows.into_iter().map(|row| row.item).collect(), base })
+    let rows = catalogue_files::parse_items(&text).map_err(OperatorError::InvalidCatalogue)?;
+    let version = text.lines().find_map(|line| line.strip_prefix(VERSION_PREFIX));
+    let base_version = version.and_then(|version| version.trim().parse().ok());
+    Ok(CatalogueFile { items: rows.into_iter().map(|row| row.item).collect(), base_version })
 }
 
-/// Checks a file.
-pub fn check(path: &str) -> Outcome<String> {
+/// Checks a catalogue file.
+pub fn check(path: &str) -> CommandResult<String> {
     let file = read_file(path)?;
-    Ok(format!("{path}: {} entries, no faults\n", file.items.len()))
+    Ok(format!("{path}: {} entries, no errors\n", file.items.len()))
 }
 
 async fn list_catalogue(
     tools: &OperatorTools,
-) -> Outcome<(BTreeMap<Arc<str>, MirrorObject>, Version)> {
+) -> CommandResult<(BTreeMap<Arc<str>, MirrorObject>, Version)> {
     let listed = tools.store.list(paths::CATALOGUE, 0).await;
     let listed = listed.ok_or_else(|| OperatorError::Unavailable("the object API".to_owned()))?;
     let rows = listed.objects.into_iter().map(|object| (Arc::clone(&object.name), object));
@@ -54,7 +57,7 @@
 }
 
 /// Shows what `apply` would change.
-pub async fn diff(tools: &OperatorTools, path: &str) -> Outcome<String> {
+pub async fn diff(tools: &OperatorTools, path: &str) -> CommandResult<String> {
     let file = read_file(path)?;
     let (known, _) = list_catalogue(tools).await?;
     let mut text = String::new();
@@ -68,13 +71,13 @@
     Ok(if text.is_empty() { "no changes\n".to_owned() } else { text })
 }
 
-/// Returns a line for each field that differs.
+/// Returns a line for each field that differs between two encoded entries.
 fn describe_changes(old: &[u8], new: &[u8]) -> Vec<String> {
     let fields = |bytes: &[u8]| -> BTreeMap<String, Value> {
         let value: Value = serde_json::from_slice(bytes).unwrap_or_default();
-        let inner = value.as_object().and_then(|item| item.values().next()).cloned();
-        let inner = inner.as_ref().and_then(Value::as_object).cloned().unwrap_or_default();
-        inner.into_iter().filter(|(_, value)| !value.is_null()).collect()
+        let item = value.as_object().and_then(|item| item.values().next()).cloned();
+        let fields = item.as_ref().and_then(Value::as_object).cloned().unwrap_or_default();
+        fields.into_iter().filter(|(_, value)| !value.is_null()).collect()
     };
     let (old, new) = (fields(old), fields(new));
     let mut names: Vec<&String> = old.keys().chain(new.keys()).collect();
@@ -87,13 +90,13 @@
         .collect()
 }
 
-/// Brings a file's entries into force.
-pub async fn apply(tools: &OperatorTools, path: &str) -> Outcome<String> {
+/// Writes the entries of a file that differ from the catalogue.
+pub async fn apply(tools: &OperatorTools, path: &str) -> CommandResult<String> {
     let file = read_file(path)?;
     let (known, _) = list_catalogue(tools).await?;
-    find_conflicts(&file, &known)?;
+    check_conflicts(&file, &known)?;
     let mut text = String::new();
-    let mut newest = 0;
+    let mut newest_version = 0;
     for item in &file.items {
         let name = item.object_name();
         let value = storecalls::encode_value(item);
@@ -105,21 +108,24 @@
             continue;
         }
         let version = write_item(tools, &name, old.map(|object| object.version), value).await?;
-        newest = newest.max(version);
+        newest_version = newest_version.max(version);
         text += &format!("{name}: in the catalogue at version {version}\n");
     }
     if text.is_empty() {
         return Ok("no changes\n".to_owned());
     }
     if tools.wait {
-        text += &wait_in_force(tools, newest).await?;
+        text += &wait_in_force(tools, newest_version).await?;
     }
     Ok(text)
 }
 
-/// A file that `get` wrote must not undo what others have changed since.
-fn find_conflicts(file: &CatalogueFile, known: &BTreeMap<Arc<str>, MirrorObject>) -> Outcome<()> {
-    let Some(base) = file.base else {
+/// Returns a conflict if a file that `get` wrote would undo changes made since then.
+fn check_conflicts(
+    file: &CatalogueFile,
+    known: &BTreeMap<Arc<str>, MirrorObject>,
+) -> CommandResult<()> {
+    let Some(base) = file.base_version else {
         return Ok(());
     };
     let mut changes = Vec::new();
@@ -143,18 +149,19 @@
     name: &str,
     version: Option<Version>,
     value: Vec<u8>,
-) -> Outcome<Version> {
+) -> CommandResult<Version> {
     let path: Arc<str> = Arc::from(format!("{}/{name}", paths::CATALOGUE));
     let expect = version.map_or(WriteExpectation::Absent, WriteExpectation::At);
     let put = StoreCall::Put { path: Arc::clone(&path), expect, value: value.clone() };
     match tools.store.call(&put).await {
         StoreReply::Written { version } => Ok(version),
-        // The answer may be lost, or another operator was first: reading tells which.
+        // Either the reply was lost or another operator's write came first; reading shows which.
         _ => match tools.store.call(&StoreCall::Get { path }).await {
             StoreReply::Found { version, value: found } if found == value => Ok(version),
             StoreReply::Found { version, value: found } => {
                 let changes = describe_changes(&value, &found).join("; ");
-                let what = format!("{name} was changed meanwhile, at version {version}: {changes}");
+                let what =
+                    format!("{name} was changed concurrently at version {version}: {changes}");
                 Err(OperatorError::Conflict(what))
             }
             _ => Err(OperatorError::Unavailable("the object API".to_owned())),
@@ -162,8 +169,8 @@
     }
 }
 
-/// Makes a customer's account with its opening budget, unless there is one.
-async fn open_account(tools: &OperatorTools, customer: &CustomerEntry) -> Outcome<()> {
+/// Creates a customer's account with its opening budget, unless it exists.
+async fn open_account(tools: &OperatorTools, customer: &CustomerEntry) -> CommandResult<()> {
     let name = Arc::clone(&customer.name);
     edit_shard(tools, &customer.name, move |shard| {
         if shard.accounts.contains_key(&name) {
@@ -175,17 +182,23 @@
     .await
 }
 
-/// Changes a customer's budget shard by conditional update; an edit that returns false is none.
+/// Changes a customer's budget shard by conditional update. If `edit` returns false, nothing is
+/// written.
 ///
-/// After a lost answer the edit counts as not made and is reported so: the operator looks and
-/// decides, since a top-up made twice cannot be told from two top-ups.
-pub async fn edit_shard<Edit>(tools: &OperatorTools, customer: &str, edit: Edit) -> Outcome<()>
+/// If the reply to the write is lost, an error is returned even though the edit may have taken
+/// effect. It is not retried, since a top-up applied twice cannot be told from two top-ups: the
+/// operator checks and decides.
+pub async fn edit_shard<Edit>(
+    tools: &OperatorTools,
+    customer: &str,
+    edit: Edit,
+) -> CommandResult<()>
 where
-    Edit: Fn(&mut BudgetShard) -> Outcome<bool>,
+    Edit: Fn(&mut BudgetShard) -> CommandResult<bool>,
 {
     let shard = paths::shard_of(&Arc::from(customer), tools.shards);
     let path = paths::budget_path(&shard);
-    for _ in 0..CONFLICT_LIMIT {
+    for _ in 0..MAX_UPDATE_ATTEMPTS {
         let found = tools.store.call(&StoreCall::Get { path: Arc::clone(&path) }).await;
         let (expect, mut content) = match found {
             StoreReply::Found { version, value } => {
@@ -204,22 +217,24 @@
             StoreReply::Written { .. } => return Ok(()),
             StoreReply::Conflict => {}
             _ => {
-                let what = "the object API, and the edit may have taken effect; look first: it";
+                let what = "the edit may have taken effect, check before retrying: the object API";
                 return Err(OperatorError::Unavailable(what.to_owned()));
             }
         }
     }
-    Err(OperatorError::Conflict(format!("{path} changes too often; try again")))
+    Err(OperatorError::Conflict(format!(
+        "{path} was changed concurrently {MAX_UPDATE_ATTEMPTS} times; try again"
+    )))
 }
 
-/// Waits until every registered process has a version in force.
-async fn wait_in_force(tools: &OperatorTools, version: Version) -> Outcome<String> {
+/// Waits until a catalogue version is in force at every registered process.
+async fn wait_in_force(tools: &OperatorTools, version: Version) -> CommandResult<String> {
     let start = Instant::now();
     loop {
         let lagging = find_lagging(tools, version).await?;
         if lagging.is_empty() {
-            let time = start.elapsed().as_secs_f64();
-            return Ok(format!("in force everywhere after {time:.2} s\n"));
+            let seconds = start.elapsed().as_secs_f64();
+            return Ok(format!("in force everywhere after {seconds:.2} s\n"));
         }
         if start.elapsed() > tools.wait_limit {
             return Err(OperatorError::Lagging(lagging));
@@ -228,22 +243,22 @@
     }
 }
 
-async fn find_lagging(tools: &OperatorTools, version: Version) -> Outcome<Vec<String>> {
+async fn find_lagging(tools: &OperatorTools, version: Version) -> CommandResult<Vec<String>> {
     let nodes = inspection_commands::list_nodes(tools).await?;
-    let asked = nodes.into_iter().map(|node| {
+    let tasks = nodes.into_iter().map(|node| {
         let pool = tools.pool.clone();
         smol::spawn(async move {
-            let call = OutboundRequest::get("/state");
-            let bound = std::time::Duration::from_secs(1);
-            let answer = pool.fetch(node.address, call, bound).await.ok();
+            let request = OutboundRequest::get("/state");
+            let timeout = std::time::Duration::from_secs(1);
+            let response = pool.fetch(node.address, request, timeout).await.ok();
             let state: Option<Value> =
-                answer.and_then(|answer| serde_json::from_slice(&answer.body).ok());
+                response.and_then(|response| serde_json::from_slice(&response.body).ok());
             let seen = state.as_ref().and_then(|state| state["catalogue_version"].as_u64());
             (node.id, seen.unwrap_or(0))
         })
     });
     let mut lagging = Vec::new();
-    for task in asked.collect::<Vec<_>>() {
+    for task in tasks.collect::<Vec<_>>() {
         let (id, seen) = task.await;
         if seen < version {
             lagging.push(format!("{id} (at {seen})"));
@@ -252,8 +267,8 @@
     Ok(lagging)
 }
 
-/// Prints the catalogue, or one entry of it, as a file.
-pub async fn get(tools: &OperatorTools, name: Option<&str>) -> Outcome<String> {
+/// Returns the catalogue, or one entry of it, in the format of a catalogue file.
+pub async fn get(tools: &OperatorTools, name: Option<&str>) -> CommandResult<String> {
     let (known, seen) = list_catalogue(tools).await?;
     let wanted = known.values().filter(|object| name.is_none_or(|name| &*object.name == name));
     let items: Vec<CatalogueItem> =
@@ -264,25 +279,25 @@
     if tools.json {
         return Ok(format!("{}\n", serde_json::json!({ "version": seen, "entries": items })));
     }
-    let mut text = format!("{VERSION_MARK}{seen}\n");
+    let mut text = format!("{VERSION_PREFIX}{seen}\n");
     for item in &items {
-        let block = match item {
+        let (table, fields) = match item {
             CatalogueItem::Service(service) => ("service", toml::to_string(service)),
             CatalogueItem::Customer(customer) => ("customer", toml::to_string(customer)),
         };
-        let fields = block.1.map_err(|error| OperatorError::Usage(error.to_string()))?;
-        text += &format!("\n[[{}]]\n{fields}", block.0);
+        let fields = fields.map_err(|error| OperatorError::Usage(error.to_string()))?;
+        text += &format!("\n[[{table}]]\n{fields}");
     }
     Ok(text)
 }
 
-/// Ends an entry: it stays as an empty object, so that no old copy brings it back.
-pub async fn remove(tools: &OperatorTools, name: &str) -> Outcome<String> {
+/// Removes an entry. An empty object remains as a tombstone, so that no stale replica restores it.
+pub async fn remove(tools: &OperatorTools, name: &str) -> CommandResult<String> {
     let (known, _) = list_catalogue(tools).await?;
     let found = known.get(name).filter(|object| !object.value.is_empty());
     let object = found.ok_or_else(|| OperatorError::Missing(name.to_owned()))?;
     let version = write_item(tools, name, Some(object.version), Vec::new()).await?;
-    let mut text = format!("{name}: ended at version {version}\n");
+    let mut text = format!("{name}: removed at version {version}\n");
     if tools.wait {
         text += &wait_in_force(tools, version).await?;
     }
--- a/toucanrail-daemons/src/entries.rs
+++ b/toucanrail-daemons/src/entries.rs
@@ -1,4 +1,4 @@
-//! The entry: takes callers' requests, admits them, and answers the fleet and the operators.
+//! The entry: accepts callers' requests and serves the internal API for the fleet and operators.
 
 use std::io;
 use std::net::SocketAddr;
@@ -21,16 +21,18 @@
 use crate::settlement;
 use crate::state::{Entry, EntrySettings};
 
-/// When to come back to an entry that is stopping: the balancer has another by then.
-const STOP_RETRY: Duration = Duration::from_secs(1);
-const STOP_STEP: Duration = Duration::from_millis(50);
-/// Time in which the fleet and the balancer learn that the entry is stopping.
-const STOP_NOTICE: Duration = Duration::from_millis(300);
+/// `Retry-After` of an entry that is starting or stopping; by then the load balancer sends the caller
+/// to another entry.
+const RETRY_DELAY: Duration = Duration::from_secs(1);
+/// Interval at which the shutdown checks for requests in flight.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Time for the fleet and the load balancer to learn that the entry is stopping.
+const SHUTDOWN_NOTICE: Duration = Duration::from_millis(300);
 
 impl Entry {
-    async fn answer_caller(self: Arc<Self>, call: ReceivedRequest) -> Response {
+    async fn handle_request(self: Arc<Self>, request: ReceivedRequest) -> Response {
         let ready = self.is_ready();
-        if call.path() == "/health" {
+        if request.path() == "/health" {
             return match (self.is_stopping(), ready) {
                 (true, _) => responses::text(503, "stopping\n"),
                 (_, false) => responses::text(503, "starting\n"),
@@ -38,68 +40,68 @@
             };
         }
         if self.is_stopping() {
-            let note = ErrorDetails::new(codetable::STOPPING).retry_after(STOP_RETRY);
-            return self.refuse(&note);
+            let error = ErrorDetails::new(codetable::STOPPING).retry_after(RETRY_DELAY);
+            return self.refuse(&error);
         }
         if !ready {
-            let note = ErrorDetails::new(codetable::NO_BACKEND_SERVER).retry_after(STOP_RETRY);
-            return self.refuse(&note.detail("This entry is starting."));
+            let error = ErrorDetails::new(codetable::NO_BACKEND_SERVER).retry_after(RETRY_DELAY);
+            return self.refuse(&error.detail("This entry is starting."));
         }
-        match (call.path(), call.request.method()) {
-            ("/v1/models", Method::Get) => self.answer_models(&call),
+        match (request.path(), request.request.method()) {
+            ("/v1/models", Method::Get) => self.list_models(&request),
             ("/v1/chat/completions" | "/v1/completions", method) if method != Method::Post => {
                 self.refuse(&ErrorDetails::new(codetable::NO_SUCH_ROUTE).detail("Use POST."))
             }
-            _ => serving::serve(self, call).await,
+            _ => serving::serve(self, request).await,
         }
     }
 
-    fn answer_models(&self, call: &ReceivedRequest) -> Response {
+    fn list_models(&self, request: &ReceivedRequest) -> Response {
         let state = self.mirrors.lock();
         let customer: Result<CustomerEntry, _> =
-            planning::find_customer(&state.catalogue, call).cloned();
+            planning::find_customer(&state.catalogue, request).cloned();
         match customer {
             Ok(customer) => {
                 responses::json(200, &planning::list_models(&state.catalogue, &customer))
             }
-            Err(note) => self.refuse(&note),
+            Err(error) => self.refuse(&error),
         }
     }
 
-    async fn answer_internal(self: Arc<Self>, call: ReceivedRequest) -> Response {
-        if let Some(request) = call.path().strip_prefix("/state/requests/") {
-            return match self.lock().traces.get(request) {
+    async fn handle_internal(self: Arc<Self>, request: ReceivedRequest) -> Response {
+        if let Some(id) = request.path().strip_prefix("/state/requests/") {
+            return match self.lock().traces.get(id) {
                 Some(steps) => responses::json(200, &steps),
                 None => responses::text(404, "not seen here lately"),
             };
         }
-        match call.path() {
+        match request.path() {
             "/health" => responses::text(200, "ok\n"),
             "/metrics" => self.metrics.response(),
-            "/state" => self.answer_state(),
-            routes::MIRROR => match self.client.decode::<MirrorQuery>(&call) {
-                Ok(order) => {
-                    self.mirrors.record_querier(&order);
+            "/state" => self.dump_state(),
+            routes::MIRROR => match self.client.decode::<MirrorQuery>(&request) {
+                Ok(query) => {
+                    self.mirrors.record_querier(&query);
                     responses::msgpack(&self.mirrors.updates_since(
                         &self.id,
                         self.is_stopping(),
-                        &order,
+                        &query,
                     ))
                 }
-                Err(refusal) => *refusal,
+                Err(response) => *response,
             },
-            routes::RECALL => match self.client.decode::<RecallCommand>(&call) {
-                Ok(order) => {
-                    let returned = settlement::release_unused(&self, &order).await;
+            routes::RECALL => match self.client.decode::<RecallCommand>(&request) {
+                Ok(command) => {
+                    let returned = settlement::release_unused(&self, &command).await;
                     responses::msgpack(&RecallReply { returned })
                 }
-                Err(refusal) => *refusal,
+                Err(response) => *response,
             },
             _ => responses::error(&ErrorDetails::new(codetable::NO_SUCH_ROUTE)),
         }
     }
 
-    fn answer_state(&self) -> Response {
+    fn dump_state(&self) -> Response {
         let (reads, writes) = self.store.counts();
         let mirrors = self.mirrors.lock();
         let tables = self.lock();
@@ -120,21 +122,21 @@
         responses::json(200, &dump)
     }
 
-    /// Takes no new requests, finishes those in flight, settles, gives its grants back.
+    /// Rejects new requests, waits for those in flight, settles and returns the unused grants.
     async fn drain(self: &Arc<Self>) {
         self.begin_stop();
-        tracing::info!(id = %self.id, requests = self.requests_in_flight(), "stopping");
-        smol::Timer::after(STOP_NOTICE).await;
+        tracing::info!(id = %self.id, requests = self.requests_in_flight(), "entry stopping");
+        smol::Timer::after(SHUTDOWN_NOTICE).await;
         let start = Instant::now();
         while self.requests_in_flight() > 0 && start.elapsed() < self.settings.common.shutdown_grace
         {
-            smol::Timer::after(STOP_STEP).await;
+            smol::Timer::after(DRAIN_POLL_INTERVAL).await;
         }
-        // What is still open keeps its tenure: peers reclaim it once this process is gone, with
-        // what the agents know.
+        // Tenures with requests still in flight are kept: after this process has ended, peers reclaim
+        // them from what the agents have recorded.
         settlement::settle_all(self, self.requests_in_flight() == 0).await;
         self.register(false).await;
-        tracing::info!(id = %self.id, left = self.requests_in_flight(), "stopped");
+        tracing::info!(id = %self.id, left = self.requests_in_flight(), "entry stopped");
     }
 }
 
@@ -142,25 +144,25 @@
 #[derive(Debug)]
 pub struct EntryHandle {
     entry: Arc<Entry>,
-    /// Where callers reach it.
+    /// Address for callers.
     pub address: SocketAddr,
-    /// Where the fleet and the operators reach it.
+    /// Address for calls from the fleet and from operators.
     pub internal: SocketAddr,
 }
 
 impl EntryHandle {
-    /// Returns the incarnation.
+    /// Returns the identifier of this incarnation.
     pub fn id(&self) -> &EntryId {
         &self.entry.id
     }
 
-    /// Stops gracefully.
+    /// Shuts down gracefully.
     pub async fn stop(self) {
         self.entry.drain().await;
     }
 }
 
-/// Starts an entry on the present executor.
+/// Starts an entry on the current executor.
 pub fn start(settings: EntrySettings) -> io::Result<EntryHandle> {
     let callers = listeners::bind(&settings.common.listen)?;
     let fleet = listeners::bind(&settings.internal)?;
@@ -168,10 +170,10 @@
     let limits = settings.limits.clone();
     let entry = Arc::new(Entry::new(settings, internal)?);
     let caller_entry = Arc::clone(&entry);
-    let caller_handler = move |call| Arc::clone(&caller_entry).answer_caller(call);
+    let caller_handler = move |request| Arc::clone(&caller_entry).handle_request(request);
     smol::spawn(listeners::serve(callers, limits, caller_handler)).detach();
     let fleet_entry = Arc::clone(&entry);
-    let fleet_handler = move |call| Arc::clone(&fleet_entry).answer_internal(call);
+    let fleet_handler = move |request| Arc::clone(&fleet_entry).handle_internal(request);
     smol::spawn(listeners::serve(fleet, ServerLimits::default(), fleet_handler)).detach();
     monitoring::start(&entry);
     settlement::start(&entry);
--- a/toucanrail-daemons/src/fleet_client.rs
+++ b/toucanrail-daemons/src/fleet_client.rs
@@ -1,4 +1,4 @@
-//! Calls between the system's own processes: `rmp-serde` bodies under the fleet's seal.
+//! Signed calls between the fleet's processes, with bodies in `MessagePack`.
 
 use std::io;
 use std::net::SocketAddr;
@@ -14,27 +14,27 @@
 use toucanrail_wire::listeners::ReceivedRequest;
 use toucanrail_wire::responses::{self, ErrorDetails};
 
-/// The paths of the system's own calls.
+/// Paths of the calls between the fleet's processes.
 pub mod routes {
     /// Runs a request at an agent.
     pub const RUN: &str = "/fleet/run";
     /// Fences a tenure at an agent.
     pub const FENCE: &str = "/fleet/fence";
-    /// Drops settled runs at an agent.
+    /// Acknowledges settled runs, which the agent then deletes.
     pub const ACK: &str = "/fleet/ack";
-    /// Asks an agent what became of a try.
+    /// Queries an agent for the outcome of an attempt.
     pub const ASK: &str = "/fleet/ask";
-    /// Reads an agent's load report.
+    /// Fetches an agent's load report.
     pub const LOAD: &str = "/fleet/load";
-    /// Orders an agent's model engine.
+    /// Sends a command to an agent's model engine.
     pub const ORDER: &str = "/fleet/order";
-    /// Reads a peer's mirrors.
+    /// Fetches updates from a peer's local replicas.
     pub const MIRROR: &str = "/fleet/mirror";
-    /// Recalls unused grant from a peer.
+    /// Recalls the unused part of a peer's grant.
     pub const RECALL: &str = "/fleet/recall";
 }
 
-/// Makes sealed calls to other processes of the fleet.
+/// Client for signed calls to other processes of the fleet.
 #[derive(Debug, Clone)]
 pub struct FleetClient {
     pool: ConnectionPool,
@@ -42,84 +42,91 @@
 }
 
 impl FleetClient {
-    /// Makes a client with the fleet's secret.
+    /// Creates a client that signs with the fleet's secret.
     pub fn new(secret: &str) -> Self {
         let limits =
             ClientLimits { connect_timeout: Duration::from_millis(500), ..ClientLimits::default() };
         Self { pool: ConnectionPool::new(limits), key: FleetKey::new(secret) }
     }
 
-    fn call<Message>(&self, path: &str, message: &Message) -> io::Result<OutboundRequest>
+    fn signed_request<Message>(&self, path: &str, message: &Message) -> io::Result<OutboundRequest>
     where
         Message: Serialize,
     {
-        let body = rmp_serde_vec(message)?;
-        let seal = self.key.sign(path, &body);
-        Ok(OutboundRequest::post(path, body).field(signatures::SIGNATURE_HEADER, seal))
+        let body = encode_message(message)?;
+        let signature = self.key.sign(path, &body);
+        Ok(OutboundRequest::post(path, body).field(signatures::SIGNATURE_HEADER, signature))
     }
 
-    /// Sends a message and reads its reply, all within `bound`.
+    /// Sends a message and reads the whole reply within `timeout`.
     ///
-    /// After a failure the idle connections to that address are dropped: they may be as silent.
+    /// A failure evicts the idle connections to the address, since they may be unresponsive too.
+    ///
+    /// # Errors
+    /// Returns an error if the call fails or times out, if the status is not 200, and with kind
+    /// `InvalidData` if the reply cannot be decoded.
     pub async fn send<Message, Reply>(
         &self,
         address: SocketAddr,
         path: &str,
         message: &Message,
-        bound: Duration,
+        timeout: Duration,
     ) -> io::Result<Reply>
     where
         Message: Serialize,
         Reply: DeserializeOwned,
     {
-        let call = self.call(path, message)?;
-        let answer = self.pool.fetch(address, call, bound).await;
-        let answer = answer.inspect_err(|_| self.pool.evict(address))?;
-        if answer.status != 200 {
-            return Err(io::Error::other(format!("status {}", answer.status)));
+        let request = self.signed_request(path, message)?;
+        let response = self.pool.fetch(address, request, timeout).await;
+        let response = response.inspect_err(|_| self.pool.evict(address))?;
+        if response.status != 200 {
+            return Err(io::Error::other(format!("unexpected status {}", response.status)));
         }
-        rmp_serde::from_slice(&answer.body)
+        rmp_serde::from_slice(&response.body)
             .map_err(|error| io::Error::new(io::ErrorKind::InvalidData, error))
     }
 
-    /// Sends a message and gives its answer back open.
+    /// Sends a message and returns the response for streaming, once its head has arrived.
     pub async fn open<Message>(
         &self,
         address: SocketAddr,
         path: &str,
         message: &Message,
-        bound: Duration,
+        timeout: Duration,
     ) -> Result<StreamingResponse, RequestError>
     where
         Message: Serialize,
     {
-        let call = self.call(path, message).map_err(RequestError::NotSent)?;
-        self.pool.open(address, call, bound).await
+        let request = self.signed_request(path, message).map_err(RequestError::NotSent)?;
+        self.pool.open(address, request, timeout).await
     }
 
-    /// Drops the idle connections to an address.
+    /// Evicts the idle connections to an address.
     pub fn evict(&self, address: SocketAddr) {
         self.pool.evict(address);
     }
 
-    /// Reads a sealed message, or gives the refusal.
-    pub fn decode<Message>(&self, call: &ReceivedRequest) -> Result<Message, Box<Response>>
+    /// Verifies the signature of a request and decodes its message.
+    ///
+    /// # Errors
+    /// Returns the error response to send if the signature or the body is invalid.
+    pub fn decode<Message>(&self, request: &ReceivedRequest) -> Result<Message, Box<Response>>
     where
         Message: DeserializeOwned,
     {
-        let seal = call.field(signatures::SIGNATURE_HEADER).unwrap_or_default();
-        if !self.key.verify(call.path(), &call.body, seal) {
-            return Err(refuse(codetable::NOT_AUTHENTIC));
+        let signature = request.field(signatures::SIGNATURE_HEADER).unwrap_or_default();
+        if !self.key.verify(request.path(), &request.body, signature) {
+            return Err(error_response(codetable::NOT_AUTHENTIC));
         }
-        rmp_serde::from_slice(&call.body).map_err(|_| refuse(codetable::BAD_REQUEST))
+        rmp_serde::from_slice(&request.body).map_err(|_| error_response(codetable::BAD_REQUEST))
     }
 }
 
-fn refuse(code: toucanrail::codes::ResultCode) -> Box<Response> {
+fn error_response(code: toucanrail::codes::ResultCode) -> Box<Response> {
     Box::new(responses::error(&ErrorDetails::new(code)))
 }
 
-fn rmp_serde_vec<Message>(message: &Message) -> io::Result<Vec<u8>>
+fn encode_message<Message>(message: &Message) -> io::Result<Vec<u8>>
 where
     Message: Serialize,
 {
--- a/toucanrail-daemons/src/inspection_commands.rs
+++ b/toucanrail-daemons/src/inspection_commands.rs
@@ -1,4 +1,4 @@
-//! Commands that show and change budgets, and show bills, states and requests.
+//! Commands for budgets, bills, process states, requests and model engines.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -20,31 +20,33 @@
 use crate::fleet_client::{FleetClient, routes};
 use crate::operators::{OperatorError, OperatorTools};
 
-const CALL_BOUND: Duration = Duration::from_secs(2);
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-type Outcome<Value> = Result<Value, OperatorError>;
+type CommandResult<Value> = Result<Value, OperatorError>;
 
 fn unavailable() -> OperatorError {
     OperatorError::Unavailable("the object API".to_owned())
 }
 
 /// Returns the registrations of all processes.
-pub async fn list_nodes(tools: &OperatorTools) -> Outcome<Vec<NodeEntry>> {
+pub async fn list_nodes(tools: &OperatorTools) -> CommandResult<Vec<NodeEntry>> {
     let listed = tools.store.list(paths::NODES, 0).await.ok_or_else(unavailable)?;
     let objects = listed.objects.iter();
     Ok(objects.filter_map(|object| storecalls::decode_value(&object.value)).collect())
 }
 
-async fn list_shards(tools: &OperatorTools) -> Outcome<BTreeMap<ShardName, BudgetShard>> {
+async fn list_shards(tools: &OperatorTools) -> CommandResult<BTreeMap<ShardName, BudgetShard>> {
     let listed = tools.store.list(paths::BUDGETS, 0).await.ok_or_else(unavailable)?;
     Ok(budgets::read_shards(&listed.objects))
 }
 
-/// Changes a budget if asked to, then shows it, or all.
-pub async fn budgets(tools: &OperatorTools, customer: Option<&str>) -> Outcome<String> {
+/// Changes a customer's budget if an option says so, then shows it, or all budgets.
+pub async fn budget(tools: &OperatorTools, customer: Option<&str>) -> CommandResult<String> {
     if tools.top_up > 0 || tools.lower > 0 || tools.release > 0 {
         let Some(customer) = customer else {
-            return Err(OperatorError::Usage("name the customer to change".to_owned()));
+            return Err(OperatorError::Usage(
+                "--top-up, --lower and --release need a customer".to_owned(),
+            ));
         };
         change_budget(tools, customer).await?;
     }
@@ -66,19 +68,20 @@
     for (name, account) in shown {
         let granted: u64 = account.grants.values().sum();
         let frozen: u64 = account.frozen.values().sum();
-        let (billed, off) = (account.billed, account.written_off);
+        let (billed, written_off) = (account.billed, account.written_off);
         let (prepaid, free) = (account.prepaid, account.unallocated());
         text += &format!(
-            "{name:<20}{prepaid:>12}{billed:>12}{off:>12}{granted:>12}{frozen:>12}{free:>12}\n"
+            "{name:<20}{prepaid:>12}{billed:>12}{written_off:>12}\
+             {granted:>12}{frozen:>12}{free:>12}\n"
         );
         for (epoch, tokens) in &account.frozen {
-            text += &format!("  epoch {epoch}: {tokens} frozen; --release {epoch} frees them\n");
+            text += &format!("  epoch {epoch}: {tokens} frozen; --release {epoch} releases them\n");
         }
     }
     Ok(text)
 }
 
-async fn change_budget(tools: &OperatorTools, customer: &str) -> Outcome<()> {
+async fn change_budget(tools: &OperatorTools, customer: &str) -> CommandResult<()> {
     let name: CustomerId = Arc::from(customer);
     catalogue_commands::edit_shard(tools, customer, |shard| {
         let account = shard.accounts.get_mut(&name);
@@ -97,15 +100,15 @@
     .await
 }
 
-/// Returns the bills that count: those that their holder applied, and those of reclaims.
-async fn list_bills(tools: &OperatorTools) -> Outcome<Vec<BillRow>> {
+/// Returns the valid bills: those applied by the holder of their grant, and those of reclaims.
+async fn list_bills(tools: &OperatorTools) -> CommandResult<Vec<BillRow>> {
     let shards = list_shards(tools).await?;
     let listed = tools.store.list(paths::BILLS, 0).await.ok_or_else(unavailable)?;
     Ok(budgets::read_bills(&listed.objects, &shards))
 }
 
-/// Shows the last bills.
-pub async fn bills(tools: &OperatorTools, customer: Option<&str>) -> Outcome<String> {
+/// Shows the latest bills.
+pub async fn bills(tools: &OperatorTools, customer: Option<&str>) -> CommandResult<String> {
     let mut rows = list_bills(tools).await?;
     rows.retain(|row| customer.is_none_or(|wanted| *row.customer == *wanted));
     let shown = &rows[rows.len().saturating_sub(tools.last)..];
@@ -118,31 +121,33 @@
     );
     for row in shown {
         let (request, customer, service) = (&row.request, &row.customer, &row.service);
-        let (billed, off, runs) = (row.billed, row.written_off, row.runs.len());
-        text +=
-            &format!("{request:<34}{customer:<16}{service:<16}{billed:>10}{off:>12}{runs:>6}\n");
+        let (billed, written_off, runs) = (row.billed, row.written_off, row.runs.len());
+        text += &format!(
+            "{request:<34}{customer:<16}{service:<16}{billed:>10}{written_off:>12}{runs:>6}\n"
+        );
     }
     Ok(text + &format!("{} of {} bills\n", shown.len(), rows.len()))
 }
 
 async fn fetch_json(tools: &OperatorTools, address: SocketAddr, path: &str) -> Option<Value> {
-    let answer = tools.pool.fetch(address, OutboundRequest::get(path), CALL_BOUND).await.ok()?;
-    serde_json::from_slice(&answer.body).ok().filter(|_| answer.status == 200)
+    let response =
+        tools.pool.fetch(address, OutboundRequest::get(path), CALL_TIMEOUT).await.ok()?;
+    serde_json::from_slice(&response.body).ok().filter(|_| response.status == 200)
 }
 
-fn read_address(text: &str) -> Outcome<SocketAddr> {
-    text.parse().map_err(|_| OperatorError::Usage(format!("'{text}' is no address")))
+fn parse_address(text: &str) -> CommandResult<SocketAddr> {
+    text.parse().map_err(|_| OperatorError::Usage(format!("'{text}' is not an address")))
 }
 
-/// Dumps a process's state.
-pub async fn state(tools: &OperatorTools, address: &str) -> Outcome<String> {
-    let found = fetch_json(tools, read_address(address)?, "/state").await;
+/// Shows the state of a process as JSON.
+pub async fn state(tools: &OperatorTools, address: &str) -> CommandResult<String> {
+    let found = fetch_json(tools, parse_address(address)?, "/state").await;
     let dump = found.ok_or_else(|| OperatorError::Unavailable(address.to_owned()))?;
     Ok(format!("{dump:#}\n"))
 }
 
-/// Tells what happened to a request: the steps that entries saw, and its bill.
-pub async fn explain(tools: &OperatorTools, request: &str) -> Outcome<String> {
+/// Shows the steps of a request as recorded by the entries, and its bill.
+pub async fn explain(tools: &OperatorTools, request: &str) -> CommandResult<String> {
     let mut text = String::new();
     let nodes = list_nodes(tools).await?;
     for node in nodes.iter().filter(|node| node.role == NodeRole::Entry) {
@@ -158,11 +163,13 @@
     }
     let request: RequestId = Arc::from(request);
     for row in list_bills(tools).await?.into_iter().filter(|row| row.request == request) {
-        let (billed, off, epoch) = (row.billed, row.written_off, row.epoch);
+        let (billed, written_off, epoch) = (row.billed, row.written_off, row.epoch);
         let customer = &row.customer;
-        text += &format!("billed {billed} to {customer} in tenure {epoch}; {off} written off\n");
-        for note in row.runs {
-            text += &format!("  run {} at {} used {}\n", note.run, note.agent, note.used);
+        text += &format!(
+            "billed {billed} to {customer} in tenure {epoch}; {written_off} written off\n"
+        );
+        for run in row.runs {
+            text += &format!("  run {} at {} used {}\n", run.run, run.agent, run.used);
         }
     }
     if text.is_empty() {
@@ -172,20 +179,23 @@
     }
 }
 
-/// Orders a model engine through its agent.
+/// Sends a command to a model engine through its agent.
 pub async fn order(
     tools: &OperatorTools,
     address: &str,
     action: &str,
     subject: &str,
-) -> Outcome<String> {
+) -> CommandResult<String> {
     let client = FleetClient::new(&tools.fleet_key);
     let (action, subject) = (Arc::from(action), Arc::from(subject));
-    let order = EngineCommand { fence: tools.fence, action, subject };
-    let address = read_address(address)?;
-    let done: std::io::Result<bool> = client.send(address, routes::ORDER, &order, CALL_BOUND).await;
-    match done {
+    let command = EngineCommand { fence: tools.fence, action, subject };
+    let address = parse_address(address)?;
+    let reply: std::io::Result<bool> =
+        client.send(address, routes::ORDER, &command, CALL_TIMEOUT).await;
+    match reply {
         Ok(_) => Ok("done\n".to_owned()),
-        Err(error) => Err(OperatorError::Conflict(format!("the order was refused: {error}"))),
+        Err(error) => {
+            Err(OperatorError::Conflict(format!("command to the model engine failed: {error}")))
+        }
     }
 }
--- a/toucanrail-daemons/src/lib.rs
+++ b/toucanrail-daemons/src/lib.rs
@@ -1,8 +1,8 @@
-//! The entry, the agent and the operator's commands, as libraries under thin programs.
+//! The entry, the agent and the operator's commands as a library; the programs are thin wrappers.
 //!
 //! # Examples
 //! ```no_run
-//! // The whole path in one process on loopback, as `toucanrail demo` runs it.
+//! // Runs the whole request path in one process on loopback, as `toucanrail demo` does.
 //! smol::block_on(toucanrail_daemons::demos::run()).unwrap();
 //! ```
 
--- a/toucanrail-daemons/src/metrics.rs
+++ b/toucanrail-daemons/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics of a daemon.
+//! Prometheus metrics of a daemon.
 
 use http_types::Response;
 use prometheus::TextEncoder;
@@ -6,10 +6,11 @@
 use toucanrail::codes::ResultCode;
 use toucanrail_wire::responses;
 
-/// Bounds of the latency histograms, in seconds.
-const LATENCY_BOUNDS: [f64; 11] = [0.001, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 10.0];
+/// Bucket bounds of the latency histograms in seconds.
+const LATENCY_BUCKETS: [f64; 11] =
+    [0.001, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 10.0];
 
-/// The metrics of one daemon.
+/// Metrics of a daemon.
 #[derive(Debug, Clone)]
 pub struct ProcessMetrics {
     registry: Registry,
@@ -17,17 +18,17 @@
     events: IntCounterVec,
     /// Requests in flight.
     pub in_flight: IntGauge,
-    /// Time to the first byte of an answer.
+    /// Time to the first byte of a response.
     pub first_byte: Histogram,
     /// Version of the catalogue in force.
     pub in_force: IntGauge,
 }
 
 impl ProcessMetrics {
-    /// Makes the board of a daemon; `prefix` is the daemon's role.
+    /// Creates and registers the metrics of a daemon; `prefix` is the daemon's role.
     ///
     /// # Errors
-    /// Only if `prefix` is no metric name.
+    /// Returns an error if `prefix` is not valid in a metric name.
     pub fn new(prefix: &str) -> prometheus::Result<Self> {
         let registry = Registry::new();
         let name = |end: &str| format!("toucanrail_{prefix}_{end}");
@@ -36,9 +37,9 @@
         let events = Opts::new(name("events_total"), "Events by kind.");
         let events = IntCounterVec::new(events, &["kind"])?;
         let in_flight = IntGauge::new(name("in_flight"), "Requests in flight.")?;
-        let bounds = HistogramOpts::new(name("first_byte_seconds"), "Time to the first byte.")
-            .buckets(LATENCY_BOUNDS.to_vec());
-        let first_byte = Histogram::with_opts(bounds)?;
+        let options = HistogramOpts::new(name("first_byte_seconds"), "Time to the first byte.")
+            .buckets(LATENCY_BUCKETS.to_vec());
+        let first_byte = Histogram::with_opts(options)?;
         let in_force = IntGauge::new(name("catalogue_version"), "Catalogue version in force.")?;
         registry.register(Box::new(results.clone()))?;
         registry.register(Box::new(events.clone()))?;
@@ -48,34 +49,34 @@
         Ok(Self { registry, results, events, in_flight, first_byte, in_force })
     }
 
-    /// Counts a request's result.
+    /// Counts the result of a request.
     pub fn count_result(&self, code: ResultCode) {
         self.results.with_label_values(&[code.row().name]).inc();
     }
 
-    /// Counts an event.
+    /// Counts an event of a kind.
     pub fn count_event(&self, kind: &str) {
         self.events.with_label_values(&[kind]).inc();
     }
 
-    /// Adds to an event's count.
+    /// Adds to the count of a kind of event.
     pub fn add_events(&self, kind: &str, count: u64) {
         self.events.with_label_values(&[kind]).inc_by(count);
     }
 
-    /// Returns how often an event was counted.
+    /// Returns the count of a kind of event.
     pub fn event_count(&self, kind: &str) -> u64 {
         self.events.with_label_values(&[kind]).get()
     }
 
-    /// Encodes all metrics as text.
+    /// Encodes all metrics in the Prometheus text format.
     pub fn encode(&self) -> prometheus::Result<Vec<u8>> {
         let mut text = Vec::new();
         TextEncoder::new().encode(&self.registry.gather(), &mut text)?;
         Ok(text)
     }
 
-    /// Answers `/metrics`.
+    /// Builds the response to `/metrics`.
     pub fn response(&self) -> Response {
         match self.encode() {
             Ok(text) => {
--- a/toucanrail-daemons/src/mirroring.rs
+++ b/toucanrail-daemons/src/mirroring.rs
@@ -1,8 +1,8 @@
-//! Keeps a process's mirrors of the catalogue and of the registrations up to date.
+//! Local replicas of the catalogue and the registrations, and their synchronization.
 //!
-//! Two entries a data centre read the platform's object API; all other processes ask entries. The
-//! watches only wake the readers: what changed is always listed, so that a watch with gaps costs a
-//! second and loses nothing.
+//! Two entries per data centre sync from the platform's object API; all other processes sync from
+//! entries. Watches only trigger an early sync: changes are always read by listing, so a watch that
+//! misses events delays a change by about a second but loses nothing.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -19,102 +19,103 @@
 
 use crate::fleet_client::{FleetClient, routes};
 
-/// Time between two looks at the platform by a process that reads it.
+/// Interval between syncs of an entry, from the object API or from an entry that reads it.
 pub const STORE_SYNC_INTERVAL: Duration = Duration::from_millis(700);
-/// Time between two questions to a peer by a process that does not.
+/// Interval between syncs of an agent from an entry.
 pub const PEER_SYNC_INTERVAL: Duration = Duration::from_millis(500);
-/// Longest wait for a peer's answer.
+/// Timeout of a call to a peer.
 pub const PEER_CALL_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Entries remembered that asked this process.
-const ASKERS: usize = 4;
+/// Maximum number of queriers that are remembered.
+const MAX_QUERIERS: usize = 4;
 
-/// All that a process mirrors.
+/// The replicated state of a process.
 #[derive(Debug, Default)]
 pub struct MirrorState {
-    /// The catalogue's objects.
+    /// Objects of the catalogue.
     pub objects: MirrorTable,
-    /// The catalogue in force.
+    /// Catalogue in force, built from `objects`.
     pub catalogue: CatalogueTable,
-    /// The registrations' objects.
+    /// Objects of the registrations.
     pub nodes: MirrorTable,
-    /// The VM list.
+    /// Latest list of VMs.
     pub vms: VmSnapshot,
-    /// Entries that asked this process lately.
-    askers: VecDeque<SocketAddr>,
+    /// Entries that queried this process recently.
+    queriers: VecDeque<SocketAddr>,
 }
 
-/// Shared mirrors.
+/// Shared handle to a process's replicas.
 #[derive(Debug, Clone, Default)]
 pub struct MirrorSet {
     state: Arc<Mutex<MirrorState>>,
 }
 
 impl MirrorSet {
-    /// Makes empty mirrors.
+    /// Creates empty replicas.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Locks the mirrors.
+    /// Locks the replicas.
     pub fn lock(&self) -> MutexGuard<'_, MirrorState> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Returns the question for what is not known yet.
+    /// Returns the query for all objects newer than the local ones; `address` is the sender's, if it
+    /// is an entry.
     pub fn query(&self, address: Option<SocketAddr>) -> MirrorQuery {
         let state = self.lock();
         let (catalogue, nodes) = (state.objects.seen(), state.nodes.seen());
         MirrorQuery { address, catalogue, nodes }
     }
 
-    /// Remembers an entry that asked.
+    /// Remembers the entry that sent a query, as a source to sync from.
     ///
-    /// Guards against a process that knows no entry while the platform is down, as one that was
-    /// paused right after its start: it asks those that ask it.
-    pub fn record_querier(&self, order: &MirrorQuery) {
-        let Some(address) = order.address else {
+    /// This helps a process that knows no entries while the object API is down, for example one that
+    /// was paused right after its start: it syncs from the entries that query it.
+    pub fn record_querier(&self, query: &MirrorQuery) {
+        let Some(address) = query.address else {
             return;
         };
         let mut state = self.lock();
-        if !state.askers.contains(&address) {
-            state.askers.push_front(address);
-            state.askers.truncate(ASKERS);
+        if !state.queriers.contains(&address) {
+            state.queriers.push_front(address);
+            state.queriers.truncate(MAX_QUERIERS);
         }
     }
 
-    /// Returns what an asker does not know.
-    pub fn updates_since(&self, id: &Arc<str>, leaving: bool, order: &MirrorQuery) -> PeerUpdate {
+    /// Returns the objects that are newer than a query states.
+    pub fn updates_since(&self, id: &Arc<str>, leaving: bool, query: &MirrorQuery) -> PeerUpdate {
         let state = self.lock();
         PeerUpdate {
             id: Arc::clone(id),
             leaving,
-            catalogue: state.objects.newer_than(order.catalogue),
-            nodes: state.nodes.newer_than(order.nodes),
+            catalogue: state.objects.newer_than(query.catalogue),
+            nodes: state.nodes.newer_than(query.nodes),
             vms: state.vms.clone(),
         }
     }
 
-    /// Takes a listing of the catalogue; true if anything was news.
+    /// Merges a listing of the catalogue; true if anything changed.
     pub fn apply_catalogue(&self, reply: MirrorDelta) -> bool {
         let mut state = self.lock();
-        let news = state.objects.merge(reply);
-        for object in &news {
+        let changed = state.objects.merge(reply);
+        for object in &changed {
             state.catalogue.apply(object);
         }
-        !news.is_empty()
+        !changed.is_empty()
     }
 
-    /// Takes a listing of the registrations; true if anything was news.
+    /// Merges a listing of the registrations; true if anything changed.
     pub fn apply_nodes(&self, reply: MirrorDelta) -> bool {
         !self.lock().nodes.merge(reply).is_empty()
     }
 
-    /// Takes a peer's news; true if the registrations changed.
-    pub fn apply_update(&self, news: PeerUpdate) -> bool {
-        self.apply_catalogue(news.catalogue);
-        self.lock().vms.merge_newer(news.vms);
-        self.apply_nodes(news.nodes)
+    /// Merges a peer's update; true if the registrations changed.
+    pub fn apply_update(&self, update: PeerUpdate) -> bool {
+        self.apply_catalogue(update.catalogue);
+        self.lock().vms.merge_newer(update.vms);
+        self.apply_nodes(update.nodes)
     }
 
     /// Returns all registrations.
@@ -124,7 +125,7 @@
         live.filter_map(|(_, _, value)| storecalls::decode_value(value)).collect()
     }
 
-    /// Reads the platform once; false if it does not answer.
+    /// Syncs from the object API once; false if it does not respond.
     pub async fn sync_from_store<Store>(&self, store: &Store) -> bool
     where
         Store: ObjectStore,
@@ -149,7 +150,8 @@
         true
     }
 
-    /// Asks entries in turn until one answers; false if none does.
+    /// Syncs from the first entry that responds; false if none does. `own` is the address of the
+    /// calling entry, `None` for an agent.
     pub async fn sync_from_entries(
         &self,
         client: &FleetClient,
@@ -157,27 +159,27 @@
         entries: &[SocketAddr],
     ) -> bool {
         for address in entries {
-            let order = self.query(own);
-            let answer = client.send(*address, routes::MIRROR, &order, PEER_CALL_TIMEOUT).await;
-            if let Ok(news) = answer {
-                self.apply_update(news);
+            let query = self.query(own);
+            let reply = client.send(*address, routes::MIRROR, &query, PEER_CALL_TIMEOUT).await;
+            if let Ok(update) = reply {
+                self.apply_update(update);
                 return true;
             }
         }
         false
     }
 
-    /// Returns the addresses of entries to ask: those of a data centre first, then the seeds, then
-    /// those that asked.
+    /// Returns the addresses of entries to sync from: up to three registered ones in random order,
+    /// those of the data centre first, then the seeds, then recent queriers.
     pub fn sync_sources(&self, data_centre: &str, seeds: &[SocketAddr]) -> Vec<SocketAddr> {
-        const ASKED: usize = 3;
+        const MAX_REGISTERED: usize = 3;
         let nodes = self.node_entries();
         let mut entries: Vec<&NodeEntry> =
             nodes.iter().filter(|node| node.role == NodeRole::Entry).collect();
         fastrand::shuffle(&mut entries);
         entries.sort_by_key(|node| &*node.data_centre != data_centre);
-        let known = entries.into_iter().map(|node| node.address).take(ASKED);
-        let askers: Vec<SocketAddr> = self.lock().askers.iter().copied().collect();
-        known.chain(seeds.iter().copied()).chain(askers).collect()
+        let registered = entries.into_iter().map(|node| node.address).take(MAX_REGISTERED);
+        let queriers: Vec<SocketAddr> = self.lock().queriers.iter().copied().collect();
+        registered.chain(seeds.iter().copied()).chain(queriers).collect()
     }
 }
--- a/toucanrail-daemons/src/monitoring.rs
+++ b/toucanrail-daemons/src/monitoring.rs
@@ -1,4 +1,4 @@
-//! The entry's loops that look at the fleet: catalogue, registrations, peers and agents.
+//! Background loops of the entry that follow the catalogue, the registrations, peers and agents.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -19,20 +19,23 @@
 
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 const PROBE_INTERVAL: Duration = Duration::from_millis(600);
-const WATCH_WAIT: Duration = Duration::from_secs(10);
+/// Maximum duration of one watch call.
+const WATCH_TIMEOUT: Duration = Duration::from_secs(10);
+/// Pause between watch calls.
 const WATCH_PAUSE: Duration = Duration::from_millis(100);
-const TICK: Duration = Duration::from_secs(1);
+/// Interval at which rates are updated and expired rows are dropped.
+const TICK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Starts the loops.
+/// Starts all loops in the background.
 pub fn start(entry: &Arc<Entry>) {
-    smol::spawn(read_platform(Arc::clone(entry))).detach();
-    smol::spawn(watch_platform(Arc::clone(entry))).detach();
+    smol::spawn(sync_mirrors(Arc::clone(entry))).detach();
+    smol::spawn(watch_catalogue(Arc::clone(entry))).detach();
     smol::spawn(send_heartbeats(Arc::clone(entry))).detach();
     smol::spawn(probe_agents(Arc::clone(entry))).detach();
-    smol::spawn(tick(Arc::clone(entry))).detach();
+    smol::spawn(run_ticks(Arc::clone(entry))).detach();
 }
 
-/// Tells whether this entry is one of its data centre's that read the platform.
+/// Tells whether this entry is one of those in its data centre that sync from the object API.
 fn is_watcher(entry: &Entry) -> bool {
     let tables = entry.lock();
     let data_centre = &entry.settings.common.data_centre;
@@ -40,34 +43,36 @@
     members::pick_watchers(&alive, data_centre).contains(&entry.id)
 }
 
-async fn read_platform(entry: Arc<Entry>) {
+async fn sync_mirrors(entry: Arc<Entry>) {
     loop {
         refresh(&entry).await;
         smol::Timer::after(mirroring::STORE_SYNC_INTERVAL).await;
     }
 }
 
+/// Syncs from the entries that read the object API, else from the API itself. If neither responds,
+/// syncs from any known entry.
 async fn refresh(entry: &Arc<Entry>) {
-    let asked = !is_watcher(entry) && ask_watchers(entry).await;
-    if !asked {
+    let synced = !is_watcher(entry) && sync_from_watchers(entry).await;
+    if !synced {
         let reached = entry.mirrors.sync_from_store(&entry.store).await;
         if !reached {
             entry.metrics.count_event("platform_silent");
-            let seeds = entry
+            let sources = entry
                 .mirrors
                 .sync_sources(&entry.settings.common.data_centre, &entry.settings.common.peers);
             let others: Vec<SocketAddr> =
-                seeds.into_iter().filter(|address| *address != entry.node().address).collect();
+                sources.into_iter().filter(|address| *address != entry.node().address).collect();
             entry
                 .mirrors
                 .sync_from_entries(&entry.client, Some(entry.node().address), &others)
                 .await;
         }
     }
-    take_mirrors(entry).await;
+    apply_mirrors(entry).await;
 }
 
-async fn ask_watchers(entry: &Arc<Entry>) -> bool {
+async fn sync_from_watchers(entry: &Arc<Entry>) -> bool {
     let watchers: Vec<SocketAddr> = {
         let tables = entry.lock();
         let data_centre = &entry.settings.common.data_centre;
@@ -79,8 +84,8 @@
     entry.mirrors.sync_from_entries(&entry.client, Some(entry.node().address), &watchers).await
 }
 
-/// Brings what the mirrors say into the tables.
-async fn take_mirrors(entry: &Arc<Entry>) {
+/// Updates the entry's tables from the replicas.
+async fn apply_mirrors(entry: &Arc<Entry>) {
     let nodes = entry.mirrors.node_entries();
     let (customers, vms, version) = {
         let state = entry.mirrors.lock();
@@ -103,16 +108,16 @@
             tables.grants.add_account(&customer, &shard);
         }
     }
-    end_registrations(entry, &nodes).await;
-    // A registration may be missing at the start, or because peers took this entry for dead.
-    let listed = nodes.iter().any(|node| node.id == entry.id);
-    if !listed && !entry.is_stopping() {
+    remove_dead_registrations(entry, &nodes).await;
+    // The registration is missing at startup, or if peers considered this entry dead and removed it.
+    let registered = nodes.iter().any(|node| node.id == entry.id);
+    if !registered && !entry.is_stopping() {
         entry.register(true).await;
     }
 }
 
-/// Ends the registrations of agents whose VM has left the list.
-async fn end_registrations(entry: &Arc<Entry>, nodes: &[NodeEntry]) {
+/// Removes the registrations of agents whose VM is no longer listed.
+async fn remove_dead_registrations(entry: &Arc<Entry>, nodes: &[NodeEntry]) {
     let gone: Vec<AgentId> = {
         let tables = entry.lock();
         let agents = nodes.iter().filter(|node| node.role == NodeRole::Agent);
@@ -125,12 +130,12 @@
     }
 }
 
-/// Wakes the reader when the platform says that the catalogue changed.
-async fn watch_platform(entry: Arc<Entry>) {
+/// Syncs early when a watch reports a change of the catalogue.
+async fn watch_catalogue(entry: Arc<Entry>) {
     loop {
         if is_watcher(&entry) {
             let seen = entry.mirrors.lock().objects.seen();
-            if entry.store.watch(paths::CATALOGUE, seen, WATCH_WAIT).await {
+            if entry.store.watch(paths::CATALOGUE, seen, WATCH_TIMEOUT).await {
                 refresh(&entry).await;
             }
         }
@@ -150,15 +155,15 @@
 }
 
 async fn send_heartbeat(entry: Arc<Entry>, peer: Arc<str>, address: SocketAddr) {
-    let order = entry.mirrors.query(Some(entry.node().address));
-    let answer: std::io::Result<PeerUpdate> =
-        entry.client.send(address, routes::MIRROR, &order, PEER_CALL_TIMEOUT).await;
-    let Ok(news) = answer else {
+    let query = entry.mirrors.query(Some(entry.node().address));
+    let reply: std::io::Result<PeerUpdate> =
+        entry.client.send(address, routes::MIRROR, &query, PEER_CALL_TIMEOUT).await;
+    let Ok(update) = reply else {
         entry.metrics.count_event("heartbeats_lost");
         return;
     };
-    entry.lock().members.record_response(&peer, &news.id, entry.now());
-    entry.mirrors.apply_update(news);
+    entry.lock().members.record_response(&peer, &update.id, entry.now());
+    entry.mirrors.apply_update(update);
 }
 
 async fn probe_agents(entry: Arc<Entry>) {
@@ -177,23 +182,23 @@
 }
 
 async fn probe_agent(entry: Arc<Entry>, agent: AgentId, address: SocketAddr, own: u64) {
-    let asked = entry.now();
-    let order = entry.mirrors.query(Some(entry.node().address));
-    let answer: std::io::Result<LoadReport> =
-        entry.client.send(address, routes::LOAD, &order, PEER_CALL_TIMEOUT).await;
-    let Ok(report) = answer else {
+    let sent_at = entry.now();
+    let query = entry.mirrors.query(Some(entry.node().address));
+    let reply: std::io::Result<LoadReport> =
+        entry.client.send(address, routes::LOAD, &query, PEER_CALL_TIMEOUT).await;
+    let Ok(report) = reply else {
         entry.metrics.count_event("reports_lost");
         return;
     };
     if report.agent == agent {
         let now = entry.now();
         let mut tables = entry.lock();
-        tables.servers.apply_report(&report, own, asked, now);
+        tables.servers.apply_report(&report, own, sent_at, now);
         let agents = tables.servers.choose_agents(&entry.id);
         tables.grants.set_wanted_agents(agents);
         return;
     }
-    // Another incarnation answers: this one is gone, with all that it knew.
+    // Another incarnation responds at this address: the probed one is gone, with all its records.
     {
         let mut tables = entry.lock();
         tables.servers.record_leaving(&agent);
@@ -202,12 +207,12 @@
     registration::write_registration(&entry.store, &agent, Vec::new()).await;
 }
 
-async fn tick(entry: Arc<Entry>) {
+async fn run_ticks(entry: Arc<Entry>) {
     loop {
-        smol::Timer::after(TICK).await;
+        smol::Timer::after(TICK_INTERVAL).await;
         let mut tables = entry.lock();
-        tables.grants.update_burn_rates(TICK);
-        tables.limits.update_drain_rates(TICK);
+        tables.grants.update_burn_rates(TICK_INTERVAL);
+        tables.limits.update_drain_rates(TICK_INTERVAL);
         let now = entry.now();
         tables.exhausted.retain(|_, (until, _)| *until > now);
     }
--- a/toucanrail-daemons/src/operators.rs
+++ b/toucanrail-daemons/src/operators.rs
@@ -1,4 +1,4 @@
-//! The operator's commands.
+//! The operator's program: command line, errors and exit codes.
 
 use std::io;
 use std::net::SocketAddr;
@@ -17,88 +17,100 @@
 use crate::inspection_commands;
 use crate::starting;
 
-/// Settings of the operator's command.
+/// Settings of the operator's program.
 pub const SETTINGS: [SettingRow; 11] = [
     SettingRow { name: "store", default: Some("127.0.0.1:7001"), help: "Platform's object API." },
-    SettingRow { name: "fleet-key", default: Some(""), help: "Secret of the fleet, for order." },
-    SettingRow { name: "shards", default: Some("1"), help: "Budget shards, as the entries have." },
+    SettingRow { name: "fleet-key", default: Some(""), help: "order: secret shared by the fleet." },
+    SettingRow {
+        name: "shards",
+        default: Some("1"),
+        help: "Number of budget shards; the same as at the entries.",
+    },
     SettingRow { name: "json", default: Some("false"), help: "Print JSON instead of tables." },
-    SettingRow { name: "wait", default: Some("false"), help: "apply: wait until in force." },
-    SettingRow { name: "wait-limit", default: Some("10s"), help: "Longest such wait." },
-    SettingRow { name: "top-up", default: Some("0"), help: "budget: add so many tokens." },
-    SettingRow { name: "lower", default: Some("0"), help: "budget: take so many tokens back." },
-    SettingRow { name: "release", default: Some("0"), help: "budget: free what an epoch froze." },
-    SettingRow { name: "fence", default: Some("0"), help: "order: the fencing number." },
-    SettingRow { name: "last", default: Some("20"), help: "bills: how many." },
+    SettingRow {
+        name: "wait",
+        default: Some("false"),
+        help: "apply, remove: wait until in force.",
+    },
+    SettingRow { name: "wait-limit", default: Some("10s"), help: "apply, remove: maximum wait." },
+    SettingRow { name: "top-up", default: Some("0"), help: "budget: number of tokens to add." },
+    SettingRow { name: "lower", default: Some("0"), help: "budget: number of tokens to withdraw." },
+    SettingRow {
+        name: "release",
+        default: Some("0"),
+        help: "budget: epoch whose frozen tokens to release.",
+    },
+    SettingRow { name: "fence", default: Some("0"), help: "order: fencing number." },
+    SettingRow { name: "last", default: Some("20"), help: "bills: number of bills to show." },
 ];
 
-/// What the commands are, for `--help`.
+/// Description and commands for `--help`.
 pub const ABOUT: &str = "operates a toucanrail fleet
 
 Commands:
-  apply FILE             check a catalogue file and bring it into force (--wait)
+  apply FILE             check a catalogue file and apply it (--wait)
   check FILE             check a catalogue file
   diff FILE              show what apply would change
   get [NAME]             print the catalogue as a file
-  remove NAME            end an entry, such as customer.acme
+  remove NAME            remove an entry, such as customer.acme (--wait)
   budget [CUSTOMER]      show budgets; --top-up, --lower, --release
-  bills [CUSTOMER]       show the last bills
+  bills [CUSTOMER]       show the latest bills
   state ADDRESS          dump a process's state
-  explain REQUEST        tell what happened to a request, step by step
-  order ADDRESS ACTION SUBJECT   order a model engine through its agent (--fence)
-  demo                   run the whole path in this process on loopback
+  explain REQUEST        show the steps and the bill of a request
+  order ADDRESS ACTION SUBJECT   send a command to a model engine (--fence)
+  demo                   run the whole request path in one process on loopback
 
 Flags:";
 
 quick_error! {
-    /// Why a command failed; the exit code says which kind.
+    /// Why a command failed; determines the exit code.
     #[derive(Debug)]
     pub enum OperatorError {
-        /// The command line is wrong; exit code 2.
+        /// Invalid command line; exit code 2.
         Usage(reason: String) {
             display("5003: {reason}")
         }
-        /// A file cannot be read; exit code 2.
+        /// A file could not be read; exit code 2.
         File(path: String, error: io::Error) {
             display("5003: {path}: {error}")
         }
-        /// The catalogue file has faults; exit code 1.
-        Faults(faults: Vec<CatalogueError>) {
-            display("{}", list_faults(faults))
+        /// Invalid catalogue file; exit code 1.
+        InvalidCatalogue(errors: Vec<CatalogueError>) {
+            display("{}", join_errors(errors))
         }
-        /// Something was changed meanwhile; exit code 3.
+        /// An object was changed concurrently, or a process refused a command; exit code 3.
         Conflict(what: String) {
             display("5002: {what}")
         }
-        /// The platform or a process does not answer; exit code 4.
+        /// The object API or a process did not respond; exit code 4.
         Unavailable(what: String) {
-            display("4101: {what} does not answer")
+            display("4101: {what} did not respond")
         }
-        /// The change is not in force everywhere; exit code 5.
+        /// A change is not yet in force at some processes; exit code 5.
         Lagging(nodes: Vec<String>) {
             display("5005: not in force yet at {}", nodes.join(", "))
         }
-        /// A budget cannot be changed so; exit code 1.
+        /// The change of a budget is not allowed; exit code 1.
         Budget(error: BudgetError) {
             from()
             display("{error}")
         }
-        /// There is nothing of this name; exit code 1.
+        /// Nothing with this name exists; exit code 1.
         Missing(what: String) {
-            display("5001: there is no {what}")
+            display("5001: {what} not found")
         }
     }
 }
 
-fn list_faults(faults: &[CatalogueError]) -> String {
-    faults.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n")
+fn join_errors(errors: &[CatalogueError]) -> String {
+    errors.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n")
 }
 
 impl OperatorError {
     /// Returns the exit code.
     pub fn exit_code(&self) -> u8 {
         match self {
-            Self::Faults(_) | Self::Budget(_) | Self::Missing(_) => 1,
+            Self::InvalidCatalogue(_) | Self::Budget(_) | Self::Missing(_) => 1,
             Self::Usage(_) | Self::File(..) => starting::EXIT_USAGE,
             Self::Conflict(_) => 3,
             Self::Unavailable(_) => 4,
@@ -107,37 +119,37 @@
     }
 }
 
-/// What every command works with.
+/// Connections and options shared by all commands.
 #[derive(Debug)]
 pub struct OperatorTools {
-    /// The platform.
+    /// The platform's object API.
     pub store: HttpStore,
     /// Connections to the fleet's processes.
     pub pool: ConnectionPool,
-    /// Secret of the fleet.
+    /// Secret shared by the fleet.
     pub fleet_key: String,
-    /// Budget shards.
+    /// Number of budget shards.
     pub shards: u64,
     /// Whether to print JSON.
     pub json: bool,
-    /// Whether `apply` waits.
+    /// Whether `apply` and `remove` wait until the change is in force.
     pub wait: bool,
-    /// How long it waits.
+    /// Maximum such wait.
     pub wait_limit: Duration,
-    /// Tokens to add.
+    /// Tokens to add to a budget.
     pub top_up: u64,
-    /// Tokens to take back.
+    /// Tokens to withdraw from a budget.
     pub lower: u64,
-    /// Epoch to release.
+    /// Epoch whose frozen tokens are released.
     pub release: u64,
-    /// Fencing number of an order.
+    /// Fencing number of a command to a model engine.
     pub fence: u64,
-    /// Bills to show.
+    /// Number of bills to show.
     pub last: usize,
 }
 
 impl OperatorTools {
-    /// Reads the settings, noting faults.
+    /// Reads the settings; errors are collected in `values`.
     pub fn read(values: &mut SettingValues) -> Self {
         let address = |text: &str| text.parse().ok().map(Some);
         let store = values.parse_with("store", "an address", address);
@@ -158,18 +170,18 @@
     }
 }
 
-/// Runs the command that the words name and returns what to print.
-pub async fn run_command(tools: &OperatorTools, words: &[String]) -> Result<String, OperatorError> {
-    let words: Vec<&str> = words.iter().map(String::as_str).collect();
-    match words.as_slice() {
+/// Runs the command given by `args` and returns its output.
+pub async fn run_command(tools: &OperatorTools, args: &[String]) -> Result<String, OperatorError> {
+    let args: Vec<&str> = args.iter().map(String::as_str).collect();
+    match args.as_slice() {
         ["apply", file] => catalogue_commands::apply(tools, file).await,
         ["check", file] => catalogue_commands::check(file),
         ["diff", file] => catalogue_commands::diff(tools, file).await,
         ["get"] => catalogue_commands::get(tools, None).await,
         ["get", name] => catalogue_commands::get(tools, Some(name)).await,
         ["remove", name] => catalogue_commands::remove(tools, name).await,
-        ["budget"] => inspection_commands::budgets(tools, None).await,
-        ["budget", customer] => inspection_commands::budgets(tools, Some(customer)).await,
+        ["budget"] => inspection_commands::budget(tools, None).await,
+        ["budget", customer] => inspection_commands::budget(tools, Some(customer)).await,
         ["bills"] => inspection_commands::bills(tools, None).await,
         ["bills", customer] => inspection_commands::bills(tools, Some(customer)).await,
         ["state", address] => inspection_commands::state(tools, address).await,
@@ -177,15 +189,15 @@
         ["order", address, action, subject] => {
             inspection_commands::order(tools, address, action, subject).await
         }
-        _ => Err(OperatorError::Usage("name a command; see --help".to_owned())),
+        _ => Err(OperatorError::Usage("missing or unknown command; see --help".to_owned())),
     }
 }
 
-fn demo_failed(error: &io::Error) -> OperatorError {
-    OperatorError::Unavailable(format!("a part of the demo ({error})"))
+fn demo_error(error: &io::Error) -> OperatorError {
+    OperatorError::Unavailable(format!("part of the demo ({error})"))
 }
 
-/// Runs the program.
+/// Runs the program and returns its exit code.
 pub fn main() -> ExitCode {
     let mut values = match starting::read_settings("toucanrail", ABOUT, &SETTINGS) {
         Ok(values) => values,
@@ -195,17 +207,17 @@
     if starting::print_errors(&values) {
         return ExitCode::from(starting::EXIT_USAGE);
     }
-    let demo = values.positionals.first().is_some_and(|word| word == "demo");
-    let ran = smol::block_on(async {
+    let demo = values.positionals.first().is_some_and(|command| command == "demo");
+    let result = smol::block_on(async {
         if demo {
-            demos::run().await.map(|()| String::new()).map_err(|error| demo_failed(&error))
+            demos::run().await.map(|()| String::new()).map_err(|error| demo_error(&error))
         } else {
             run_command(&tools, &values.positionals).await
         }
     });
-    match ran {
-        Ok(text) => {
-            print!("{text}");
+    match result {
+        Ok(output) => {
+            print!("{output}");
             ExitCode::SUCCESS
         }
         Err(error) => {
--- a/toucanrail-daemons/src/registration.rs
+++ b/toucanrail-daemons/src/registration.rs
@@ -1,4 +1,4 @@
-//! Registrations of the fleet's processes in the object API.
+//! Registrations of the fleet's processes in the platform's object API.
 
 use std::sync::Arc;
 
@@ -6,15 +6,17 @@
 use toucanrail::storecalls::{StoreCall, StoreReply, WriteExpectation};
 use toucanrail_wire::stores::ObjectStore;
 
-/// Writes a registration whatever its version is: only its own process and those that found it
-/// gone write it.
+/// Writes the registration of a process, or removes it if `value` is empty; false if a call fails.
+///
+/// Overwrites any version: only the process itself and those that found it gone write the
+/// registration.
 pub async fn write_registration<Store>(store: &Store, id: &Arc<str>, value: Vec<u8>) -> bool
 where
     Store: ObjectStore,
 {
     let path: Arc<str> = Arc::from(format!("{}/{id}", paths::NODES));
-    let found = store.call(&StoreCall::Get { path: Arc::clone(&path) }).await;
-    let expect = match found {
+    let reply = store.call(&StoreCall::Get { path: Arc::clone(&path) }).await;
+    let expect = match reply {
         StoreReply::Found { version, .. } => WriteExpectation::At(version),
         StoreReply::Missing if value.is_empty() => return true,
         StoreReply::Missing => WriteExpectation::Absent,
--- a/toucanrail-daemons/src/starting.rs
+++ b/toucanrail-daemons/src/starting.rs
@@ -1,4 +1,4 @@
-//! What all daemons share at their start and their end: identity, settings, logs and signals.
+//! Startup and shutdown code shared by all daemons: identity, settings, logging and signals.
 
 use std::net::SocketAddr;
 use std::process::ExitCode;
@@ -11,56 +11,60 @@
 use toucanrail::settings::{self, SettingRow, SettingValues, StartAction};
 use tracing_subscriber::EnvFilter;
 
-/// Exit code of a program whose settings have faults.
+/// Exit code for invalid settings.
 pub const EXIT_USAGE: u8 = 2;
 
-/// Settings that entries and agents have in common.
+/// Settings common to entries and agents.
 pub const COMMON_SETTINGS: [SettingRow; 10] = [
     SettingRow { name: "name", default: None, help: "Name of this process." },
     SettingRow { name: "listen", default: None, help: "Address to listen on." },
-    SettingRow { name: "advertise", default: Some(""), help: "Address others use, if another." },
+    SettingRow {
+        name: "advertise",
+        default: Some(""),
+        help: "Address that others connect to, if different.",
+    },
     SettingRow { name: "store", default: None, help: "Address of the platform's object API." },
     SettingRow { name: "fleet-key", default: None, help: "Secret shared by the fleet." },
     SettingRow { name: "data-centre", default: Some("local"), help: "Data centre of this VM." },
-    SettingRow { name: "vm", default: Some(""), help: "VM of this process; its name by default." },
+    SettingRow { name: "vm", default: Some(""), help: "VM of this process; defaults to its name." },
     SettingRow {
         name: "peers",
         default: Some(""),
-        help: "Entries to ask while the store is down.",
+        help: "Entries to query while the store is down.",
     },
     SettingRow {
         name: "drain",
         default: Some("30s"),
-        help: "Longest wait for requests at a stop.",
+        help: "Maximum wait for requests at shutdown.",
     },
-    SettingRow { name: "log", default: Some("text"), help: "Form of the logs: text or json." },
+    SettingRow { name: "log", default: Some("text"), help: "Log format: text or json." },
 ];
 
-/// The common settings as read.
+/// Parsed common settings.
 #[derive(Debug, Clone)]
 pub struct CommonSettings {
-    /// The process's configured name.
+    /// Configured name of the process.
     pub name: Arc<str>,
-    /// Where it listens.
+    /// Listen address.
     pub listen: String,
-    /// Where others reach it; none for the address it listens on.
+    /// Address that others connect to; `None` for the listen address.
     pub advertise: Option<SocketAddr>,
-    /// The platform's object API.
+    /// Address of the platform's object API.
     pub store: SocketAddr,
-    /// The fleet's secret.
+    /// Secret shared by the fleet; signs the calls between its processes.
     pub fleet_key: String,
-    /// Its data centre.
+    /// Data centre of the VM.
     pub data_centre: DataCentre,
-    /// Its VM.
+    /// VM on which the process runs.
     pub vm: VmId,
-    /// Entries to ask while the object API is down.
+    /// Entries to query while the object API is down.
     pub peers: Vec<SocketAddr>,
-    /// Longest wait for requests in flight at a stop.
+    /// Maximum wait for requests in flight at shutdown.
     pub shutdown_grace: Duration,
 }
 
 impl CommonSettings {
-    /// Reads the common settings, noting faults.
+    /// Reads the common settings; errors are collected in `values`.
     pub fn read(values: &mut SettingValues) -> Self {
         let name = Arc::from(values.text("name"));
         let vm = match values.text("vm") {
@@ -76,8 +80,8 @@
             let items = text.split(',').map(str::trim).filter(|item| !item.is_empty());
             items.map(|item| item.parse().ok()).collect()
         };
-        let log = |text: &str| matches!(text, "text" | "json").then_some(());
-        values.parse_with("log", "text or json", log);
+        let log_format = |text: &str| matches!(text, "text" | "json").then_some(());
+        values.parse_with("log", "text or json", log_format);
         values.parse_with("listen", "an address like 127.0.0.1:7100", |text| {
             text.parse::<SocketAddr>().ok().map(|_| ())
         });
@@ -92,20 +96,20 @@
             fleet_key: values.text("fleet-key").to_owned(),
             data_centre: Arc::from(values.text("data-centre")),
             vm,
-            peers: values.parse_with("peers", "addresses, with commas between", peers),
+            peers: values.parse_with("peers", "addresses separated by commas", peers),
             shutdown_grace: values.duration("drain"),
         }
     }
 }
 
-/// The time since the process's start: the `now` of every system.
+/// Clock that counts from the start of the process; source of every `now` argument.
 #[derive(Debug, Clone, Copy)]
 pub struct ProcessClock {
     start: Instant,
 }
 
 impl ProcessClock {
-    /// Starts the clock.
+    /// Starts the clock at zero.
     pub fn start() -> Self {
         Self { start: Instant::now() }
     }
@@ -116,12 +120,12 @@
     }
 }
 
-/// Returns the id of one run of a process: its name and a random part.
+/// Returns the identifier of a new incarnation: the process's name and a random suffix.
 pub fn new_incarnation(name: &str) -> Arc<str> {
     Arc::from(format!("{name}.{:08x}", fastrand::u32(..)))
 }
 
-/// Reads a daemon's settings; prints help, the version or all faults, and gives the exit code.
+/// Reads a daemon's settings. For `--help` and `--version` prints the text and returns the exit code.
 pub fn read_settings(
     program: &str,
     about: &str,
@@ -137,20 +141,20 @@
     }
 }
 
-/// Prints all faults; true if there were any.
+/// Prints all errors of the settings; true if there are any.
 pub fn print_errors(values: &SettingValues) -> bool {
-    for fault in &values.errors {
-        eprintln!("{fault}");
+    for error in &values.errors {
+        eprintln!("{error}");
     }
     !values.errors.is_empty()
 }
 
-/// Starts the logs on standard error.
-pub fn init_logging(form: &str) {
+/// Initializes logging to standard error.
+pub fn init_logging(format: &str) {
     let filter = EnvFilter::try_from_default_env().unwrap_or_else(|_| EnvFilter::new("info"));
     let builder = tracing_subscriber::fmt().with_env_filter(filter).with_writer(std::io::stderr);
-    // A second start, as in tests, keeps the first logs.
-    match form {
+    // Where logging is already initialized, as in tests, the existing subscriber stays.
+    match format {
         "json" => builder.json().try_init().ok(),
         _ => builder.try_init().ok(),
     };
@@ -163,7 +167,7 @@
             signals.next().await;
         }
         Err(error) => {
-            tracing::error!(%error, "no signals can be received");
+            tracing::error!(%error, "cannot register signal handlers");
             std::future::pending::<()>().await;
         }
     }
@@ -172,8 +176,8 @@
 /// Runs a program's main future on the executor's own thread.
 ///
 /// `smol::block_on` would poll for I/O on the main thread and wake the executor's thread for each
-/// event, which costs more than the event's work (`docs/HTTP-EDGES.md` has the figures); parked
-/// like this, the main thread leaves the polling to the executor's.
+/// event, which costs more than handling the event (figures in `docs/HTTP-EDGES.md`). Here the main
+/// thread is parked and the executor's thread does the polling.
 pub fn run_main<Main>(main: Main) -> ExitCode
 where
     Main: Future<Output = ExitCode> + Send + 'static,
--- a/toucanrail-daemons/src/state.rs
+++ b/toucanrail-daemons/src/state.rs
@@ -1,4 +1,4 @@
-//! What all parts of the entry share: its settings, its tables and its registration.
+//! State shared by all parts of the entry: settings, tables and registration.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -32,48 +32,72 @@
 use crate::registration;
 use crate::starting::{self, CommonSettings, ProcessClock};
 
-/// Settings of the entry alone.
+/// Settings specific to the entry.
 pub const SETTINGS: [SettingRow; 11] = [
-    SettingRow { name: "inner", default: Some("127.0.0.1:0"), help: "Address for the fleet." },
+    SettingRow {
+        name: "inner",
+        default: Some("127.0.0.1:0"),
+        help: "Address for fleet-internal calls.",
+    },
     SettingRow {
         name: "shards",
         default: Some("1"),
-        help: "Budget shards; the same at all entries.",
+        help: "Number of budget shards; must be the same at all entries.",
     },
     SettingRow { name: "grants", default: Some("recall:60"), help: "Grant policy." },
     SettingRow { name: "routing", default: Some("balanced"), help: "Routing policy." },
     SettingRow { name: "flush", default: Some("2s"), help: "Time between settlements." },
-    SettingRow { name: "budget-wait", default: Some("1500ms"), help: "Longest wait for a grant." },
-    SettingRow { name: "max-head", default: Some("8192"), help: "Largest head, in bytes." },
-    SettingRow { name: "max-body", default: Some("1048576"), help: "Largest body, in bytes." },
-    SettingRow { name: "max-connections", default: Some("4096"), help: "Most connections." },
-    SettingRow { name: "arrival", default: Some("10s"), help: "Longest arrival of a request." },
-    SettingRow { name: "write-idle", default: Some("20s"), help: "Longest stall of a reader." },
+    SettingRow { name: "budget-wait", default: Some("1500ms"), help: "Maximum wait for a grant." },
+    SettingRow {
+        name: "max-head",
+        default: Some("8192"),
+        help: "Maximum size of a request head in bytes.",
+    },
+    SettingRow {
+        name: "max-body",
+        default: Some("1048576"),
+        help: "Maximum size of a request body in bytes.",
+    },
+    SettingRow {
+        name: "max-connections",
+        default: Some("4096"),
+        help: "Maximum number of connections.",
+    },
+    SettingRow {
+        name: "arrival",
+        default: Some("10s"),
+        help: "Time limit for receiving a request.",
+    },
+    SettingRow {
+        name: "write-idle",
+        default: Some("20s"),
+        help: "Time limit for a client that reads nothing.",
+    },
 ];
 
-/// The entry's settings.
+/// Parsed settings of an entry.
 #[derive(Debug, Clone)]
 pub struct EntrySettings {
-    /// Those that agents have too.
+    /// Settings shared with agents.
     pub common: CommonSettings,
-    /// Where the fleet and the operators reach it.
+    /// Listen address for calls from the fleet and from operators.
     pub internal: String,
-    /// Budget shards; 0 for one a customer.
+    /// Number of budget shards; 0 for one shard per customer.
     pub shards: u64,
-    /// How grants are sized.
+    /// Policy that sizes grants.
     pub policy: GrantPolicy,
-    /// How servers are chosen.
+    /// Policy that chooses backend servers.
     pub routing: RoutingPolicy,
     /// Time between settlements.
     pub settlement_interval: Duration,
-    /// Longest wait of a request for its grant.
+    /// Maximum time that a request waits for a grant.
     pub budget_wait: Duration,
-    /// Bounds towards callers.
+    /// Limits on callers' connections and requests.
     pub limits: ServerLimits,
 }
 
 impl EntrySettings {
-    /// Reads the settings, noting faults.
+    /// Reads the settings; errors are collected in `values`.
     pub fn read(values: &mut SettingValues) -> Self {
         values.parse_with("inner", "an address like 127.0.0.1:7101", |text| {
             text.parse::<SocketAddr>().ok().map(|_| ())
@@ -100,47 +124,47 @@
     }
 }
 
-/// The tables of one entry.
+/// Mutable tables of an entry.
 #[derive(Debug)]
 pub struct EntryTables {
-    /// What it may spend.
+    /// Budget grants held by this entry.
     pub grants: GrantTable,
-    /// The backend servers.
+    /// Known agents and their backend servers.
     pub servers: ServerTable,
-    /// Requests in flight.
+    /// Load-based admission of requests.
     pub limits: LoadLimiter,
-    /// Retries left.
+    /// Budget for retries.
     pub retries: RetryBudget,
-    /// The peers and VMs.
+    /// Peer entries and VMs.
     pub members: MemberTable,
-    /// Keyed requests.
+    /// Requests with an idempotency key, and their stored responses.
     pub replays: ReplayTable,
-    /// What happened to recent requests.
+    /// Traces of recent requests.
     pub traces: TraceTable,
-    /// Accounts found exhausted: until when, and for which amount.
+    /// Accounts whose budget did not suffice: until when this holds, and for which amount.
     pub exhausted: BTreeMap<CustomerId, (Duration, Tokens)>,
 }
 
-/// One run of the entry.
+/// A running entry.
 #[derive(Debug)]
 pub struct Entry {
-    /// Its incarnation.
+    /// Identifier of this incarnation.
     pub id: EntryId,
-    /// Its settings.
+    /// Parsed settings.
     pub settings: EntrySettings,
-    /// Its clock.
+    /// Time since the start of the process.
     pub clock: ProcessClock,
-    /// Calls to the fleet.
+    /// Client for calls to other processes of the fleet.
     pub client: FleetClient,
-    /// The platform.
+    /// The platform's object API.
     pub store: HttpStore,
-    /// The catalogue and the registrations.
+    /// Local replicas of the catalogue and the registrations.
     pub mirrors: MirrorSet,
-    /// Its metrics.
+    /// Metrics served at `/metrics`.
     pub metrics: ProcessMetrics,
-    /// Wakes requests that wait for a sync.
+    /// Notified after each sync; wakes the requests that wait for it.
     pub sync_finished: Event,
-    /// Wakes the loops that settle shards.
+    /// Notified when a sync is needed early; wakes the settlement loops.
     pub sync_requested: Event,
     internal_address: SocketAddr,
     tables: Mutex<EntryTables>,
@@ -149,7 +173,7 @@
 }
 
 impl Entry {
-    /// Makes the entry of one run of a process.
+    /// Creates an entry with a new incarnation identifier.
     pub fn new(settings: EntrySettings, internal_address: SocketAddr) -> io::Result<Self> {
         let id = starting::new_incarnation(&settings.common.name);
         let tables = EntryTables {
@@ -179,35 +203,35 @@
         })
     }
 
-    /// Locks the tables; never across an await.
+    /// Locks the tables. The guard must not be held across an await.
     pub fn lock(&self) -> MutexGuard<'_, EntryTables> {
         self.tables.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Returns the time since the start.
+    /// Returns the time since the start of the process.
     pub fn now(&self) -> Duration {
         self.clock.now()
     }
 
-    /// Tells whether it is stopping.
+    /// Tells whether the entry is shutting down.
     pub fn is_stopping(&self) -> bool {
         self.stopping.load(Ordering::Relaxed)
     }
 
     /// Tells whether the catalogue has been read since the start.
     ///
-    /// Guards against callers of a new entry who hear that their key is unknown or their budget
-    /// spent, only because the entry does not know them yet.
+    /// Until then an entry must not serve: it would reject valid keys as unknown and budgets as
+    /// exhausted, only because it has not loaded them.
     pub fn is_ready(&self) -> bool {
         self.mirrors.lock().objects.seen() > 0
     }
 
-    /// Begins to stop.
+    /// Begins the shutdown.
     pub fn begin_stop(&self) {
         self.stopping.store(true, Ordering::Relaxed);
     }
 
-    /// Returns a token that keeps the entry from stopping while a request holds it.
+    /// Returns a token that delays the shutdown while a request holds it.
     pub fn begin_request(&self) -> Arc<()> {
         Arc::clone(&self.in_flight)
     }
@@ -217,7 +241,7 @@
         Arc::strong_count(&self.in_flight) - 1
     }
 
-    /// Returns the shard of a customer's account.
+    /// Returns the budget shard of a customer's account.
     pub fn shard_of(&self, customer: &CustomerId) -> ShardName {
         paths::shard_of(customer, self.settings.shards)
     }
@@ -235,15 +259,16 @@
         }
     }
 
-    /// Writes or ends this entry's registration.
+    /// Writes this entry's registration, or removes it if `present` is false; false if the store
+    /// call fails.
     pub async fn register(&self, present: bool) -> bool {
         let value = if present { storecalls::encode_value(&self.node()) } else { Vec::new() };
         registration::write_registration(&self.store, &self.id, value).await
     }
 
-    /// Counts a refusal and makes its answer.
-    pub fn refuse(&self, note: &ErrorDetails) -> Response {
-        self.metrics.count_result(note.code);
-        responses::error(note)
+    /// Counts a refused request and builds its error response.
+    pub fn refuse(&self, error: &ErrorDetails) -> Response {
+        self.metrics.count_result(error.code);
+        responses::error(error)
     }
 }
