--- a/toucanrail-daemons/tests/at_most_once.rs
+++ b/toucanrail-daemons/tests/at_most_once.rs
@@ -7,7 +7,7 @@
 
 use std::time::Duration;
 
-use fleet::{BOUND, Fleet, Process, authorized, result_of};
+use fleet::{Fleet, Process, TIMEOUT, authorized, result_code};
 use serde_json::json;
 use smol::future::FutureExt;
 use toucanrail_standins::plains::PlainStandin;
@@ -18,10 +18,10 @@
 }
 
 async fn start(fleet: &Fleet) -> (PlainStandin, Process, Process, Process) {
-    let (plain, backend) = fleet.plain();
-    let agent = fleet.agent("agent-1", "filing-app", backend);
-    let first = fleet.entry("entry-1", &[]);
-    let second = fleet.entry("entry-2", &[]);
+    let (plain, backend) = fleet.start_plain();
+    let agent = fleet.start_agent("agent-1", "filing-app", backend);
+    let first = fleet.start_entry("entry-1", &[]);
+    let second = fleet.start_entry("entry-2", &[]);
     fleet.wait_servers(&first, 1).await;
     fleet.wait_servers(&second, 1).await;
     (plain, agent, first, second)
@@ -43,7 +43,7 @@
         }
         let other = authorized("/filing/returns", &json!({"month": "June"}));
         let other = fleet.fetch(&second, other.field("idempotency-key", "k1")).await.unwrap();
-        assert_eq!((other.status, result_of(&other)), (422, 2202));
+        assert_eq!((other.status, result_code(&other)), (422, 2202));
         assert_eq!(plain.runs()["k1"], 1);
         assert_eq!(fleet.wait_billed(|| 5).await.billed, 5);
     });
@@ -65,8 +65,8 @@
                 // An attempt that was voided before it was sent did not run, and is refused as
                 // such.
                 let expected =
-                    response.status == 200 || [2203, 4204].contains(&result_of(&response));
-                assert!(expected, "{} {}", response.status, result_of(&response));
+                    response.status == 200 || [2203, 4204].contains(&result_code(&response));
+                assert!(expected, "{} {}", response.status, result_code(&response));
             }
             assert!(plain.runs().get(&key).is_none_or(|runs| *runs == 1), "{key}");
         }
@@ -85,7 +85,7 @@
         fleet.fetch(&first, file_return("k0")).await.unwrap();
         fleet.platform.faults.change(|plan| plan.down = true);
         let refused = fleet.fetch(&first, file_return("k1")).await.unwrap();
-        assert_eq!((refused.status, result_of(&refused)), (503, 4101));
+        assert_eq!((refused.status, result_code(&refused)), (503, 4101));
         assert_eq!(refused.field("toucanrail-run"), Some("not-run"));
         assert!(refused.field("retry-after").is_some());
         fleet.platform.faults.change(|plan| plan.down = false);
@@ -110,7 +110,7 @@
         let (plain, _agent, mut first, second) = start(&fleet).await;
         let call = file_return("k1").field("plain-delay-ms", "300");
         let sent = async {
-            fleet.pool.fetch(first.address, call, BOUND).await.ok();
+            fleet.pool.fetch(first.address, call, TIMEOUT).await.ok();
         };
         let started = fleet.wait("the run", async || plain.runs().contains_key("k1"));
         sent.or(started).await;
@@ -119,7 +119,7 @@
         fleet
             .wait("the response of the first run", async || {
                 let again = fleet.fetch(&second, file_return("k1")).await.unwrap();
-                assert!(again.status == 200 || result_of(&again) == 2203, "{}", again.status);
+                assert!(again.status == 200 || result_code(&again) == 2203, "{}", again.status);
                 let done = again.status == 200;
                 response = done.then_some(again);
                 done
@@ -149,13 +149,13 @@
         assert_ne!(response.status, 200);
         assert_eq!(response.field("toucanrail-run"), Some("unknown"));
         drop(agent);
-        let (_other, backend) = fleet.plain();
-        let _agent = fleet.agent_at("agent-1", "filing-app", backend, address);
+        let (_other, backend) = fleet.start_plain();
+        let _agent = fleet.start_agent_at("agent-1", "filing-app", backend, address);
         fleet
             .wait("the outcome to be recorded as unknown", async || {
                 let again = fleet.fetch(&second, file_return("k1")).await.unwrap();
                 assert_ne!(again.status, 200);
-                result_of(&again) == 2204
+                result_code(&again) == 2204
             })
             .await;
         smol::Timer::after(Duration::from_millis(100)).await;
--- a/toucanrail-daemons/tests/complete_responses.rs
+++ b/toucanrail-daemons/tests/complete_responses.rs
@@ -8,7 +8,7 @@
 
 use std::time::Instant;
 
-use fleet::{BOUND, Fleet, Process, authorized, right_text, stream_text};
+use fleet::{Fleet, Process, TIMEOUT, authorized, expected_text, stream_text};
 use serde_json::{Value, json};
 use smol::future::FutureExt;
 use toucanrail_standins::engines::EngineStandin;
@@ -17,11 +17,11 @@
     let mut engines = Vec::new();
     let mut agents = Vec::new();
     for number in 0..count {
-        let (engine, backend) = fleet.engine();
+        let (engine, backend) = fleet.start_engine();
         engines.push(engine);
-        agents.push(fleet.agent(&format!("agent-{number}"), "levy-llm", backend));
+        agents.push(fleet.start_agent(&format!("agent-{number}"), "levy-llm", backend));
     }
-    let entry = fleet.entry("entry-1", &[]);
+    let entry = fleet.start_entry("entry-1", &[]);
     fleet.wait_servers(&entry, count).await;
     (engines, agents, entry)
 }
@@ -52,8 +52,12 @@
             }
             engines[cut as usize % 2].faults.change(|plan| plan.cut_answers = 1);
             let prompt = format!("cut {cut}");
-            let response = fleet.fetch(&entry, fleet.chat(&prompt, 12)).await.unwrap();
-            assert_eq!(stream_text(&response.body), (right_text(&prompt, 12), true), "cut {cut}");
+            let response = fleet.fetch(&entry, fleet.chat_request(&prompt, 12)).await.unwrap();
+            assert_eq!(
+                stream_text(&response.body),
+                (expected_text(&prompt, 12), true),
+                "cut {cut}"
+            );
         }
         let account = fleet.wait_billed(|| spent(&engines)).await;
         assert_eq!(account.billed + account.written_off, spent(&engines));
@@ -72,7 +76,7 @@
             plan.cut_after = 2;
             plan.cut_answers = 100;
         });
-        let response = fleet.fetch(&entry, fleet.chat("cut", 12)).await;
+        let response = fleet.fetch(&entry, fleet.chat_request("cut", 12)).await;
         assert!(response.is_err(), "a truncated response looked complete");
         let account = fleet.wait_billed(|| spent(&engines)).await;
         assert_eq!(account.billed, spent(&engines));
@@ -93,9 +97,9 @@
             });
         }
         let started = Instant::now();
-        let response = fleet.fetch(&entry, fleet.chat("silent", 30)).await.unwrap();
-        assert_eq!(stream_text(&response.body), (right_text("silent", 30), true));
-        assert!(started.elapsed() < BOUND / 2, "the stream took {:?}", started.elapsed());
+        let response = fleet.fetch(&entry, fleet.chat_request("silent", 30)).await.unwrap();
+        assert_eq!(stream_text(&response.body), (expected_text("silent", 30), true));
+        assert!(started.elapsed() < TIMEOUT / 2, "the stream took {:?}", started.elapsed());
         let account = fleet.wait_billed(|| spent(&engines)).await;
         assert_eq!(account.billed + account.written_off, spent(&engines));
     });
@@ -111,9 +115,9 @@
         engines[1].faults.change(|plan| plan.foreign_answers = 1);
         for turn in 0..4 {
             let prompt = format!("mine {turn}");
-            let response = fleet.fetch(&entry, fleet.chat(&prompt, 8)).await.unwrap();
+            let response = fleet.fetch(&entry, fleet.chat_request(&prompt, 8)).await.unwrap();
             if response.status == 200 {
-                assert_eq!(stream_text(&response.body), (right_text(&prompt, 8), true));
+                assert_eq!(stream_text(&response.body), (expected_text(&prompt, 8), true));
             }
         }
     });
@@ -126,18 +130,18 @@
     smol::block_on(async {
         let fleet = Fleet::start(50_000).await;
         let (engines, mut agents, entry) = start(&fleet, 2).await;
-        let call = fleet.chat("killed", 120);
-        let mut response = fleet.pool.open(entry.address, call, BOUND).await.unwrap();
-        let mut body = response.read_chunk(BOUND).await.unwrap();
+        let call = fleet.chat_request("killed", 120);
+        let mut response = fleet.pool.open(entry.address, call, TIMEOUT).await.unwrap();
+        let mut body = response.read_chunk(TIMEOUT).await.unwrap();
         let at = engines.iter().position(|engine| engine.spent().contains_key("acme")).unwrap();
         agents[at].kill();
-        while let Ok(chunk) = response.read_chunk(BOUND).await {
+        while let Ok(chunk) = response.read_chunk(TIMEOUT).await {
             if chunk.is_empty() {
                 break;
             }
             body.extend(chunk);
         }
-        assert_eq!(stream_text(&body), (right_text("killed", 120), true));
+        assert_eq!(stream_text(&body), (expected_text("killed", 120), true));
     });
 }
 
@@ -148,9 +152,9 @@
     smol::block_on(async {
         let fleet = Fleet::start(50_000).await;
         let (engines, _agents, entry) = start(&fleet, 1).await;
-        let call = fleet.chat("gone", 200);
-        let mut response = fleet.pool.open(entry.address, call, BOUND).await.unwrap();
-        response.read_chunk(BOUND).await.unwrap();
+        let call = fleet.chat_request("gone", 200);
+        let mut response = fleet.pool.open(entry.address, call, TIMEOUT).await.unwrap();
+        response.read_chunk(TIMEOUT).await.unwrap();
         drop(response);
         fleet.wait("the engine to stop", async || engines[0].running() == 0).await;
         assert!(spent(&engines) < 150, "the engine continued to {} tokens", spent(&engines));
@@ -171,17 +175,17 @@
     smol::block_on(async {
         let fleet = Fleet::start(50_000).await;
         let (engines, _agents, entry) = start(&fleet, 1).await;
-        let other = fleet.entry("entry-2", &[]);
+        let other = fleet.start_entry("entry-2", &[]);
         fleet.wait_servers(&other, 1).await;
-        let call = || fleet.chat("keyed", 40).field("idempotency-key", "k1");
-        let mut first = fleet.pool.open(entry.address, call(), BOUND).await.unwrap();
-        first.read_chunk(BOUND).await.unwrap();
+        let call = || fleet.chat_request("keyed", 40).field("idempotency-key", "k1");
+        let mut first = fleet.pool.open(entry.address, call(), TIMEOUT).await.unwrap();
+        first.read_chunk(TIMEOUT).await.unwrap();
         let during = fleet.fetch(&entry, call()).await.unwrap();
         assert_eq!((during.status, during.field("retry-after")), (409, Some("1")));
-        while !first.read_chunk(BOUND).await.unwrap().is_empty() {}
+        while !first.read_chunk(TIMEOUT).await.unwrap().is_empty() {}
         for process in [&entry, &other, &entry] {
             let again = fleet.fetch(process, call()).await.unwrap();
-            assert_eq!(stream_text(&again.body), (right_text("keyed", 40), true));
+            assert_eq!(stream_text(&again.body), (expected_text("keyed", 40), true));
         }
         let account = fleet.wait_billed(|| spent(&engines)).await;
         let once = spent(&engines) / 2;
@@ -200,19 +204,19 @@
     smol::block_on(async {
         let mut fleet = Fleet::start(50_000).await;
         let (engines, agents, entry) = start(&fleet, 2).await;
-        let call = fleet.chat("frozen", 150);
-        let mut response = fleet.pool.open(entry.address, call, BOUND).await.unwrap();
-        let mut body = response.read_chunk(BOUND).await.unwrap();
+        let call = fleet.chat_request("frozen", 150);
+        let mut response = fleet.pool.open(entry.address, call, TIMEOUT).await.unwrap();
+        let mut body = response.read_chunk(TIMEOUT).await.unwrap();
         let at = engines.iter().position(|engine| engine.spent().contains_key("acme")).unwrap();
         agents[at].signal("STOP");
         loop {
-            let chunk = response.read_chunk(BOUND).await.unwrap();
+            let chunk = response.read_chunk(TIMEOUT).await.unwrap();
             if chunk.is_empty() {
                 break;
             }
             body.extend(chunk);
         }
-        assert_eq!(stream_text(&body), (right_text("frozen", 150), true));
+        assert_eq!(stream_text(&body), (expected_text("frozen", 150), true));
         agents[at].signal("CONT");
         let account = fleet.wait_billed(|| spent(&engines)).await;
         assert_eq!(account.billed + account.written_off, spent(&engines));
@@ -227,13 +231,13 @@
     smol::block_on(async {
         let fleet = Fleet::start(50_000).await;
         let (engines, agents, entry) = start(&fleet, 1).await;
-        fleet.fetch(&entry, fleet.chat("warm", 2)).await.unwrap();
+        fleet.fetch(&entry, fleet.chat_request("warm", 2)).await.unwrap();
         fleet
             .wait("the run to be settled", async || !has_run(&fleet.state(&agents[0]).await))
             .await;
         let before = spent(&engines);
         engines[0].faults.change(|plan| plan.late_ms = 300);
-        let call = fleet.pool.open(entry.address, fleet.chat("late", 100), BOUND);
+        let call = fleet.pool.open(entry.address, fleet.chat_request("late", 100), TIMEOUT);
         let leaving = async {
             fleet
                 .wait("the command to arrive", async || has_run(&fleet.state(&agents[0]).await))
--- a/toucanrail-daemons/tests/configuration.rs
+++ b/toucanrail-daemons/tests/configuration.rs
@@ -7,7 +7,7 @@
 
 use std::time::{Duration, Instant};
 
-use fleet::{Fleet, Process, authorized, result_of};
+use fleet::{Fleet, Process, authorized, result_code};
 use serde_json::json;
 use toucanrail_daemons::demos;
 use toucanrail_daemons::operators::OperatorError;
@@ -16,10 +16,10 @@
 const FORCE_BOUND: Duration = Duration::from_secs(3);
 
 async fn start(fleet: &Fleet) -> (Process, Vec<Process>) {
-    let (_, backend) = fleet.engine();
-    let agent = fleet.agent("agent-1", "levy-llm", backend);
+    let (_, backend) = fleet.start_engine();
+    let agent = fleet.start_agent("agent-1", "levy-llm", backend);
     let entries: Vec<Process> =
-        (0..3).map(|number| fleet.entry(&format!("entry-{number}"), &[])).collect();
+        (0..3).map(|number| fleet.start_entry(&format!("entry-{number}"), &[])).collect();
     for entry in &entries {
         fleet.wait_servers(entry, 1).await;
     }
@@ -93,7 +93,7 @@
         entries[2].signal("CONT");
         entries[1].kill();
         let seed = entries[0].internal.unwrap().to_string();
-        let late = fleet.entry("entry-late", &[("peers", &seed)]);
+        let late = fleet.start_entry("entry-late", &[("peers", &seed)]);
         wait_output(&fleet, &[&late, &entries[2]], 97).await;
         for _ in 0..20 {
             assert_eq!(output_at(&fleet, &entries[0]).await, 97);
@@ -119,7 +119,7 @@
         fleet.platform.faults.change(|plan| plan.down = true);
         entries[1].kill();
         let taken = entries[1].internal.unwrap().to_string();
-        let _foreign = other.entry("entry-0", &[("inner", &taken)]);
+        let _foreign = other.start_entry("entry-0", &[("inner", &taken)]);
         entries[0].signal("STOP");
         entries[2].signal("CONT");
         smol::Timer::after(FORCE_BOUND).await;
@@ -147,7 +147,10 @@
             })
             .await;
         assert_eq!(output_at(&fleet, &entries[0]).await, 256);
-        assert_eq!(fleet.fetch(&entries[0], fleet.chat("on", 2)).await.unwrap().status, 200);
+        assert_eq!(
+            fleet.fetch(&entries[0], fleet.chat_request("on", 2)).await.unwrap().status,
+            200
+        );
     });
 }
 
@@ -157,14 +160,17 @@
     smol::block_on(async {
         let fleet = Fleet::start(10_000).await;
         let (_agent, entries) = start(&fleet).await;
-        assert_eq!(fleet.fetch(&entries[0], fleet.chat("on", 2)).await.unwrap().status, 200);
-        fleet.operate(&["remove", "customer.acme"]).await.unwrap();
+        assert_eq!(
+            fleet.fetch(&entries[0], fleet.chat_request("on", 2)).await.unwrap().status,
+            200
+        );
+        fleet.run_command(&["remove", "customer.acme"]).await.unwrap();
         let begun = Instant::now();
         for entry in &entries {
             fleet
                 .wait("the refusal", async || {
-                    let answer = fleet.fetch(entry, fleet.chat("off", 2)).await.unwrap();
-                    result_of(&answer) == 2101
+                    let answer = fleet.fetch(entry, fleet.chat_request("off", 2)).await.unwrap();
+                    result_code(&answer) == 2101
                 })
                 .await;
         }
@@ -178,7 +184,7 @@
 fn racing_edits() {
     smol::block_on(async {
         let fleet = Fleet::start(10_000).await;
-        let got = fleet.operate(&["get"]).await.unwrap();
+        let got = fleet.run_command(&["get"]).await.unwrap();
         let first = got.replace("max-output = 256", "max-output = 100");
         let second = got.replace("max-output = 256", "max-output = 200");
         fleet.apply(&first).await.unwrap();
@@ -188,7 +194,7 @@
             }
             other => panic!("{other}"),
         }
-        assert!(fleet.operate(&["get"]).await.unwrap().contains("max-output = 100"));
+        assert!(fleet.run_command(&["get"]).await.unwrap().contains("max-output = 100"));
         let faulty = got.replace("price = 5", "price = 0").replace("kind = \"engine\"", "kind = 7");
         let said = fleet.apply(&faulty).await.unwrap_err().to_string();
         assert!(said.contains("price: ") && said.contains("line "), "{said}");
@@ -213,18 +219,18 @@
 fn starting_entry() {
     smol::block_on(async {
         let fleet = Fleet::start(10_000).await;
-        let (_, backend) = fleet.engine();
-        let _agent = fleet.agent("agent-1", "levy-llm", backend);
+        let (_, backend) = fleet.start_engine();
+        let _agent = fleet.start_agent("agent-1", "levy-llm", backend);
         fleet.platform.faults.change(|plan| plan.down = true);
-        let entry = fleet.entry("entry-1", &[]);
-        let answer = fleet.fetch(&entry, fleet.chat("early", 2)).await.unwrap();
-        assert_eq!((answer.status, result_of(&answer)), (503, 3201));
+        let entry = fleet.start_entry("entry-1", &[]);
+        let answer = fleet.fetch(&entry, fleet.chat_request("early", 2)).await.unwrap();
+        assert_eq!((answer.status, result_code(&answer)), (503, 3201));
         assert_eq!(answer.field("toucanrail-run"), Some("not-run"));
         let health = || toucanrail_wire::clients::OutboundRequest::get("/health");
         assert_eq!(fleet.fetch(&entry, health()).await.unwrap().status, 503);
         fleet.platform.faults.change(|plan| plan.down = false);
         fleet.wait_servers(&entry, 1).await;
-        assert_eq!(fleet.fetch(&entry, fleet.chat("soon", 2)).await.unwrap().status, 200);
+        assert_eq!(fleet.fetch(&entry, fleet.chat_request("soon", 2)).await.unwrap().status, 200);
         assert_eq!(fleet.fetch(&entry, health()).await.unwrap().status, 200);
     });
 }
--- a/toucanrail-daemons/tests/fleet/mod.rs
+++ b/toucanrail-daemons/tests/fleet/mod.rs
@@ -26,7 +26,7 @@
 /// The bearer key of the customer `acme`.
 pub const KEY: &str = "demo-key";
 /// Longest wait for anything that a test waits for; a failure, not a pace.
-pub const BOUND: Duration = Duration::from_secs(30);
+pub const TIMEOUT: Duration = Duration::from_secs(30);
 const LOOK_STEP: Duration = Duration::from_millis(20);
 
 /// A process of the fleet; killed when dropped.
@@ -71,7 +71,7 @@
     /// Waits until the process has ended by itself.
     pub async fn wait_end(&mut self) -> bool {
         let start = Instant::now();
-        while start.elapsed() < BOUND {
+        while start.elapsed() < TIMEOUT {
             if let Some(status) = self.child.try_wait().unwrap() {
                 return status.success();
             }
@@ -118,12 +118,12 @@
     pub async fn apply(&self, text: &str) -> Result<String, OperatorError> {
         let path = std::env::temp_dir().join(format!("toucanrail-{:016x}.toml", fastrand::u64(..)));
         std::fs::write(&path, text).unwrap();
-        let ran = self.operate(&["apply", path.to_str().unwrap()]).await;
+        let ran = self.run_command(&["apply", path.to_str().unwrap()]).await;
         std::fs::remove_file(&path).unwrap();
         ran
     }
 
-    pub async fn operate(&self, words: &[&str]) -> Result<String, OperatorError> {
+    pub async fn run_command(&self, words: &[&str]) -> Result<String, OperatorError> {
         let words: Vec<String> = words.iter().map(ToString::to_string).collect();
         operators::run_command(&self.tools, &words).await
     }
@@ -138,27 +138,27 @@
     }
 
     /// Starts a fleet of one engine, its agent and an entry that can use it.
-    pub async fn start_served(budget: u64) -> (Self, EngineStandin, Process, Process) {
+    pub async fn start_with_engine(budget: u64) -> (Self, EngineStandin, Process, Process) {
         let fleet = Self::start(budget).await;
-        let (engine, backend) = fleet.engine();
-        let agent = fleet.agent("agent-1", "levy-llm", backend);
-        let entry = fleet.entry("entry-1", &[]);
+        let (engine, backend) = fleet.start_engine();
+        let agent = fleet.start_agent("agent-1", "levy-llm", backend);
+        let entry = fleet.start_entry("entry-1", &[]);
         fleet.wait_servers(&entry, 1).await;
         (fleet, engine, agent, entry)
     }
 
-    pub fn entry(&self, name: &str, extra: &[(&'static str, &str)]) -> Process {
+    pub fn start_entry(&self, name: &str, extra: &[(&'static str, &str)]) -> Process {
         let mut args = self.args(name);
         args.extend(extra.iter().map(|(name, value)| (*name, (*value).to_owned())));
         Process::start(env!("CARGO_BIN_EXE_toucanrail-entry"), &args)
     }
 
-    pub fn agent(&self, name: &str, service: &str, backend: SocketAddr) -> Process {
-        self.agent_at(name, service, backend, SocketAddr::from(([127, 0, 0, 1], 0)))
+    pub fn start_agent(&self, name: &str, service: &str, backend: SocketAddr) -> Process {
+        self.start_agent_at(name, service, backend, SocketAddr::from(([127, 0, 0, 1], 0)))
     }
 
     /// Starts an agent at an address, as one that is replaced in its place.
-    pub fn agent_at(
+    pub fn start_agent_at(
         &self,
         name: &str,
         service: &str,
@@ -175,11 +175,11 @@
         Process::start(env!("CARGO_BIN_EXE_toucanrail-agent"), &args)
     }
 
-    pub fn engine(&self) -> (EngineStandin, SocketAddr) {
+    pub fn start_engine(&self) -> (EngineStandin, SocketAddr) {
         engines::start("127.0.0.1:0", EngineSpeed::default(), false).unwrap()
     }
 
-    pub fn plain(&self) -> (PlainStandin, SocketAddr) {
+    pub fn start_plain(&self) -> (PlainStandin, SocketAddr) {
         plains::start("127.0.0.1:0").unwrap()
     }
 
@@ -196,7 +196,7 @@
 
     pub async fn state(&self, process: &Process) -> Value {
         let address = process.internal.unwrap_or(process.address);
-        let answer = self.pool.fetch(address, OutboundRequest::get("/state"), BOUND).await;
+        let answer = self.pool.fetch(address, OutboundRequest::get("/state"), TIMEOUT).await;
         answer.map_or(Value::Null, |answer| serde_json::from_slice(&answer.body).unwrap())
     }
 
@@ -204,12 +204,12 @@
     pub async fn wait(&self, what: &str, mut holds: impl AsyncFnMut() -> bool) {
         let start = Instant::now();
         while !holds().await {
-            assert!(start.elapsed() < BOUND, "waited in vain for {what}");
+            assert!(start.elapsed() < TIMEOUT, "waited in vain for {what}");
             smol::Timer::after(LOOK_STEP).await;
         }
     }
 
-    pub fn chat(&self, prompt: &str, tokens: u64) -> OutboundRequest {
+    pub fn chat_request(&self, prompt: &str, tokens: u64) -> OutboundRequest {
         let body = json!({
             "model": "levy-llm", "stream": true, "max_tokens": 200, "standin_tokens": tokens,
             "messages": [{"role": "user", "content": prompt}],
@@ -222,7 +222,7 @@
         process: &Process,
         call: OutboundRequest,
     ) -> std::io::Result<CompleteResponse> {
-        self.pool.fetch(process.address, call, BOUND).await
+        self.pool.fetch(process.address, call, TIMEOUT).await
     }
 
     pub async fn account(&self) -> BudgetAccount {
@@ -235,7 +235,7 @@
     pub async fn check_single_bills(&mut self) {
         self.tools.json = true;
         self.tools.last = usize::MAX;
-        let bills = self.operate(&["bills"]).await.unwrap();
+        let bills = self.run_command(&["bills"]).await.unwrap();
         let rows: Vec<Value> = serde_json::from_str(&bills).unwrap();
         let mut billed = std::collections::BTreeSet::new();
         for row in rows.iter().filter(|row| row["billed"] != json!(0)) {
@@ -273,16 +273,16 @@
 }
 
 /// Returns the right text of a prompt's answer.
-pub fn right_text(prompt: &str, tokens: u64) -> String {
+pub fn expected_text(prompt: &str, tokens: u64) -> String {
     texts::answer_text(prompt, 0, tokens)
 }
 
 /// Returns the number in the result header.
-pub fn result_of(answer: &CompleteResponse) -> u16 {
+pub fn result_code(answer: &CompleteResponse) -> u16 {
     answer.field("toucanrail-result").unwrap().parse().unwrap()
 }
 
 /// Opens a connection that a test writes raw bytes to.
-pub async fn raw(address: SocketAddr) -> TcpStream {
+pub async fn connect(address: SocketAddr) -> TcpStream {
     TcpStream::connect(address).await.unwrap()
 }
--- a/toucanrail-daemons/tests/holder_failures.rs
+++ b/toucanrail-daemons/tests/holder_failures.rs
@@ -5,14 +5,14 @@
 
 mod fleet;
 
-use fleet::{BOUND, Fleet, Process, result_of};
+use fleet::{Fleet, Process, TIMEOUT, result_code};
 use toucanrail_standins::engines::EngineStandin;
 
 async fn start(fleet: &Fleet) -> (EngineStandin, Process, Process, Process) {
-    let (engine, backend) = fleet.engine();
-    let agent = fleet.agent("agent-1", "levy-llm", backend);
-    let first = fleet.entry("entry-1", &[]);
-    let second = fleet.entry("entry-2", &[]);
+    let (engine, backend) = fleet.start_engine();
+    let agent = fleet.start_agent("agent-1", "levy-llm", backend);
+    let first = fleet.start_entry("entry-1", &[]);
+    let second = fleet.start_entry("entry-2", &[]);
     fleet.wait_servers(&first, 1).await;
     fleet.wait_servers(&second, 1).await;
     (engine, agent, first, second)
@@ -32,9 +32,9 @@
         let (engine, _agent, mut first, second) = start(&fleet).await;
         let mut open = Vec::new();
         for turn in 0..4 {
-            let call = fleet.chat(&format!("draft {turn}"), 150);
-            let mut response = fleet.pool.open(first.address, call, BOUND).await.unwrap();
-            response.read_chunk(BOUND).await.unwrap();
+            let call = fleet.chat_request(&format!("draft {turn}"), 150);
+            let mut response = fleet.pool.open(first.address, call, TIMEOUT).await.unwrap();
+            response.read_chunk(TIMEOUT).await.unwrap();
             open.push(response);
         }
         first.kill();
@@ -47,7 +47,7 @@
         let account = fleet.account().await;
         assert_eq!(account.billed + account.written_off, engine.spent()["acme"]);
         assert_eq!(account.frozen.len(), 0);
-        let response = fleet.fetch(&second, fleet.chat("next", 5)).await.unwrap();
+        let response = fleet.fetch(&second, fleet.chat_request("next", 5)).await.unwrap();
         assert_eq!(response.status, 200);
     });
 }
@@ -59,7 +59,7 @@
     smol::block_on(async {
         let fleet = Fleet::start(3_000).await;
         let (engine, _agent, first, second) = start(&fleet).await;
-        fleet.fetch(&first, fleet.chat("before", 5)).await.unwrap();
+        fleet.fetch(&first, fleet.chat_request("before", 5)).await.unwrap();
         first.signal("STOP");
         fleet
             .wait("the paused entry's grant to be returned", async || {
@@ -68,9 +68,9 @@
             .await;
         // The other entry spends until the rest does not cover another request.
         for turn in 0.. {
-            let call = fleet.chat(&format!("spend {turn}"), 190);
+            let call = fleet.chat_request(&format!("spend {turn}"), 190);
             let response = fleet.fetch(&second, call).await.unwrap();
-            if result_of(&response) == 3001 {
+            if result_code(&response) == 3001 {
                 break;
             }
             assert_eq!(response.status, 200);
@@ -78,7 +78,7 @@
         first.signal("CONT");
         let mut refused = 0;
         for turn in 0..10 {
-            let call = fleet.chat(&format!("awake {turn}"), 190);
+            let call = fleet.chat_request(&format!("awake {turn}"), 190);
             let response = fleet.fetch(&first, call).await.unwrap();
             refused += u64::from(response.status != 200);
         }
@@ -98,9 +98,9 @@
         fleet.platform.set_vm("entry-1", false);
         fleet.platform.set_vm("agent-1", false);
         let (engine, mut agent, mut first, _second) = start(&fleet).await;
-        let call = fleet.chat("draft", 150);
-        let mut response = fleet.pool.open(first.address, call, BOUND).await.unwrap();
-        response.read_chunk(BOUND).await.unwrap();
+        let call = fleet.chat_request("draft", 150);
+        let mut response = fleet.pool.open(first.address, call, TIMEOUT).await.unwrap();
+        response.read_chunk(TIMEOUT).await.unwrap();
         first.kill();
         agent.kill();
         // The VM list reports it later.
@@ -115,7 +115,7 @@
         let account = fleet.account().await;
         let (epoch, frozen) = account.frozen.iter().next().unwrap();
         assert!(account.billed + frozen >= engine.spent()["acme"]);
-        let shown = fleet.operate(&["budget", "acme"]).await.unwrap();
+        let shown = fleet.run_command(&["budget", "acme"]).await.unwrap();
         assert!(shown.contains(&format!("epoch {epoch}: {frozen} frozen")), "{shown}");
     });
 }
@@ -127,14 +127,14 @@
     smol::block_on(async {
         let fleet = Fleet::start(100_000).await;
         let (engine, _agent, first, _second) = start(&fleet).await;
-        fleet.fetch(&first, fleet.chat("before", 5)).await.unwrap();
+        fleet.fetch(&first, fleet.chat_request("before", 5)).await.unwrap();
         fleet.platform.faults.change(|plan| plan.down = true);
         let mut served = 0;
         let mut refused = 0;
         for turn in 0..30 {
-            let call = fleet.chat(&format!("during {turn}"), 150);
+            let call = fleet.chat_request(&format!("during {turn}"), 150);
             let response = fleet.fetch(&first, call).await.unwrap();
-            match result_of(&response) {
+            match result_code(&response) {
                 1000 => served += 1,
                 3002 => {
                     assert!(response.field("retry-after").is_some());
@@ -148,7 +148,7 @@
         fleet.platform.faults.change(|plan| plan.down = false);
         let account = fleet.wait_billed(|| engine.spent()["acme"]).await;
         assert_eq!(account.billed, engine.spent()["acme"]);
-        assert_eq!(fleet.fetch(&first, fleet.chat("after", 5)).await.unwrap().status, 200);
+        assert_eq!(fleet.fetch(&first, fleet.chat_request("after", 5)).await.unwrap().status, 200);
     });
 }
 
@@ -160,10 +160,10 @@
     smol::block_on(async {
         let fleet = Fleet::start(1_600).await;
         let (engine, _agent, first, second) = start(&fleet).await;
-        fleet.fetch(&second, fleet.chat("first", 5)).await.unwrap();
+        fleet.fetch(&second, fleet.chat_request("first", 5)).await.unwrap();
         let mut served = 0;
         for turn in 0..20 {
-            let call = fleet.chat(&format!("turn {turn}"), 100);
+            let call = fleet.chat_request(&format!("turn {turn}"), 100);
             served += u64::from(fleet.fetch(&first, call).await.unwrap().status == 200);
         }
         let spent = engine.spent()["acme"];
--- a/toucanrail-daemons/tests/whole_path.rs
+++ b/toucanrail-daemons/tests/request_path.rs
@@ -5,25 +5,25 @@
 
 mod fleet;
 
-use fleet::{BOUND, Fleet, authorized, result_of, right_text, stream_text};
+use fleet::{Fleet, TIMEOUT, authorized, expected_text, result_code, stream_text};
 use serde_json::{Value, json};
 use toucanrail_wire::clients::OutboundRequest;
 
 #[test]
 fn streamed_answer() {
     smol::block_on(async {
-        let (fleet, engine, _agent, entry) = Fleet::start_served(10_000).await;
+        let (fleet, engine, _agent, entry) = Fleet::start_with_engine(10_000).await;
 
-        let answer = fleet.fetch(&entry, fleet.chat("May return", 20)).await.unwrap();
-        assert_eq!(stream_text(&answer.body), (right_text("May return", 20), true));
+        let answer = fleet.fetch(&entry, fleet.chat_request("May return", 20)).await.unwrap();
+        assert_eq!(stream_text(&answer.body), (expected_text("May return", 20), true));
         assert_eq!(answer.field("toucanrail-run"), Some("ran"));
         let request = answer.field("toucanrail-request").unwrap().to_owned();
 
         let account = fleet.wait_billed(|| engine.spent()["acme"]).await;
         assert_eq!(account.billed, engine.spent()["acme"]);
-        let bills = fleet.operate(&["bills", "acme"]).await.unwrap();
+        let bills = fleet.run_command(&["bills", "acme"]).await.unwrap();
         assert!(bills.contains(&request), "{bills}");
-        let steps = fleet.operate(&["explain", &request]).await.unwrap();
+        let steps = fleet.run_command(&["explain", &request]).await.unwrap();
         for step in ["arrived", "holds", "sent to agent-1", "whole, used", "billed"] {
             assert!(steps.contains(step), "{steps}");
         }
@@ -33,11 +33,11 @@
 #[test]
 fn whole_answer() {
     smol::block_on(async {
-        let (fleet, _engine, _agent, entry) = Fleet::start_served(10_000).await;
+        let (fleet, _engine, _agent, entry) = Fleet::start_with_engine(10_000).await;
         let body = json!({"model": "levy-llm", "prompt": "sugar", "standin_tokens": 5});
         let answer = fleet.fetch(&entry, authorized("/v1/completions", &body)).await.unwrap();
         let found: Value = serde_json::from_slice(&answer.body).unwrap();
-        assert_eq!(found["choices"][0]["text"], right_text("sugar", 5));
+        assert_eq!(found["choices"][0]["text"], expected_text("sugar", 5));
         assert_eq!(found["usage"]["completion_tokens"], 5);
 
         let models = OutboundRequest::get("/v1/models").field("authorization", "Bearer demo-key");
@@ -51,9 +51,9 @@
 fn plain_service() {
     smol::block_on(async {
         let fleet = Fleet::start(10_000).await;
-        let (_plain, backend) = fleet.plain();
-        let _agent = fleet.agent("agent-1", "filing-app", backend);
-        let entry = fleet.entry("entry-1", &[]);
+        let (_plain, backend) = fleet.start_plain();
+        let _agent = fleet.start_agent("agent-1", "filing-app", backend);
+        let entry = fleet.start_entry("entry-1", &[]);
         fleet.wait_servers(&entry, 1).await;
         let call = authorized("/filing/balance?year=2026", &json!({})).field("plain-status", "418");
         let answer = fleet.fetch(&entry, call).await.unwrap();
@@ -67,13 +67,13 @@
 #[test]
 fn numbered_refusals() {
     smol::block_on(async {
-        let (fleet, engine, _agent, entry) = Fleet::start_served(150).await;
+        let (fleet, engine, _agent, entry) = Fleet::start_with_engine(150).await;
         let nobody = OutboundRequest::get("/v1/models");
         let unknown = authorized("/v1/chat/completions", &json!({"model": "none", "messages": []}));
         let no_route = authorized("/elsewhere", &json!({}));
         let returns = authorized("/filing/returns", &json!({}));
         let broken = authorized("/v1/completions", &json!([1]));
-        let costly = fleet.chat("too much for the budget", 10);
+        let costly = fleet.chat_request("too much for the budget", 10);
         let cases = [
             (nobody, 401, 2101),
             (unknown, 404, 2103),
@@ -85,7 +85,7 @@
         for (call, status, code) in cases {
             let path = call.path.clone();
             let answer = fleet.fetch(&entry, call).await.unwrap();
-            assert_eq!((answer.status, result_of(&answer)), (status, code), "{path}");
+            assert_eq!((answer.status, result_code(&answer)), (status, code), "{path}");
             assert_eq!(answer.field("toucanrail-run"), Some("not-run"), "{path}");
             let body: Value = serde_json::from_slice(&answer.body).unwrap();
             assert_eq!(body["error"]["result"], code, "{path}");
@@ -98,22 +98,22 @@
 fn stopping_entry() {
     smol::block_on(async {
         let fleet = Fleet::start(100_000).await;
-        let (engine, backend) = fleet.engine();
-        let _agent = fleet.agent("agent-1", "levy-llm", backend);
-        let mut entry = fleet.entry("entry-1", &[]);
+        let (engine, backend) = fleet.start_engine();
+        let _agent = fleet.start_agent("agent-1", "levy-llm", backend);
+        let mut entry = fleet.start_entry("entry-1", &[]);
         fleet.wait_servers(&entry, 1).await;
-        let call = fleet.chat("long", 150);
-        let mut answer = fleet.pool.open(entry.address, call, BOUND).await.unwrap();
-        let mut body = answer.read_chunk(BOUND).await.unwrap();
+        let call = fleet.chat_request("long", 150);
+        let mut answer = fleet.pool.open(entry.address, call, TIMEOUT).await.unwrap();
+        let mut body = answer.read_chunk(TIMEOUT).await.unwrap();
         entry.signal("TERM");
         loop {
-            let chunk = answer.read_chunk(BOUND).await.unwrap();
+            let chunk = answer.read_chunk(TIMEOUT).await.unwrap();
             if chunk.is_empty() {
                 break;
             }
             body.extend(chunk);
         }
-        assert_eq!(stream_text(&body), (right_text("long", 150), true));
+        assert_eq!(stream_text(&body), (expected_text("long", 150), true));
         assert!(entry.wait_end().await, "the entry did not stop well");
         let account = fleet.account().await;
         assert_eq!(account.billed, engine.spent()["acme"]);
@@ -126,7 +126,7 @@
 #[test]
 fn wrong_limits() {
     smol::block_on(async {
-        let (fleet, _engine, _agent, entry) = Fleet::start_served(10_000).await;
+        let (fleet, _engine, _agent, entry) = Fleet::start_with_engine(10_000).await;
         for limit in [json!(-4), json!(4_000_000_000_000_000_000_u64), json!(0), json!("x")] {
             let body = json!({"model": "levy-llm", "prompt": "sugar", "max_tokens": limit});
             let answer = fleet.fetch(&entry, authorized("/v1/completions", &body)).await.unwrap();
--- a/toucanrail-daemons/tests/server_departures.rs
+++ b/toucanrail-daemons/tests/server_departures.rs
@@ -7,7 +7,7 @@
 
 use std::time::{Duration, Instant};
 
-use fleet::{BOUND, Fleet, Process, result_of, right_text, stream_text};
+use fleet::{Fleet, Process, TIMEOUT, expected_text, result_code, stream_text};
 use toucanrail_standins::engines::EngineStandin;
 use toucanrail_standins::platforms::PlatformStandin;
 
@@ -18,11 +18,11 @@
     let mut engines = Vec::new();
     let mut agents = Vec::new();
     for number in 0..2 {
-        let (engine, backend) = fleet.engine();
+        let (engine, backend) = fleet.start_engine();
         engines.push(engine);
-        agents.push(fleet.agent(&format!("agent-{number}"), "levy-llm", backend));
+        agents.push(fleet.start_agent(&format!("agent-{number}"), "levy-llm", backend));
     }
-    let entry = fleet.entry("entry-1", &[]);
+    let entry = fleet.start_entry("entry-1", &[]);
     fleet.wait_servers(&entry, 2).await;
     (engines, agents, entry)
 }
@@ -35,8 +35,8 @@
     while started.elapsed() < DEPARTURE_TIMEOUT + Duration::from_secs(1) {
         turn += 1;
         let prompt = format!("turn {turn}");
-        let response = fleet.fetch(entry, fleet.chat(&prompt, 4)).await.unwrap();
-        assert_eq!(stream_text(&response.body), (right_text(&prompt, 4), true));
+        let response = fleet.fetch(entry, fleet.chat_request(&prompt, 4)).await.unwrap();
+        assert_eq!(stream_text(&response.body), (expected_text(&prompt, 4), true));
         if started.elapsed() >= DEPARTURE_TIMEOUT && starts_at_timeout.is_none() {
             starts_at_timeout = Some(engine.starts());
         }
@@ -55,20 +55,20 @@
     smol::block_on(async {
         let fleet = Fleet::start(100_000).await;
         let (engines, mut agents, entry) = start(&fleet).await;
-        let call = fleet.chat("running", 150);
-        let mut response = fleet.pool.open(entry.address, call, BOUND).await.unwrap();
-        let mut body = response.read_chunk(BOUND).await.unwrap();
+        let call = fleet.chat_request("running", 150);
+        let mut response = fleet.pool.open(entry.address, call, TIMEOUT).await.unwrap();
+        let mut body = response.read_chunk(TIMEOUT).await.unwrap();
         let at = engines.iter().position(|engine| engine.running() > 0).unwrap();
         agents[at].signal("TERM");
         check_no_new_work(&fleet, &entry, &engines[at]).await;
         loop {
-            let chunk = response.read_chunk(BOUND).await.unwrap();
+            let chunk = response.read_chunk(TIMEOUT).await.unwrap();
             if chunk.is_empty() {
                 break;
             }
             body.extend(chunk);
         }
-        assert_eq!(stream_text(&body), (right_text("running", 150), true));
+        assert_eq!(stream_text(&body), (expected_text("running", 150), true));
         assert!(agents[at].wait_end().await);
     });
 }
@@ -116,7 +116,7 @@
     smol::block_on(async {
         let fleet = Fleet::start(100_000).await;
         let (engines, agents, entry) = start(&fleet).await;
-        fleet.fetch(&entry, fleet.chat("first", 4)).await.unwrap();
+        fleet.fetch(&entry, fleet.chat_request("first", 4)).await.unwrap();
         let platform: &PlatformStandin = &fleet.platform;
         platform.faults.change(|plan| plan.down = true);
         agents[0].signal("TERM");
@@ -136,8 +136,8 @@
         }
         fleet
             .wait("the refusal", async || {
-                let response = fleet.fetch(&entry, fleet.chat("none", 4)).await.unwrap();
-                let refused = result_of(&response) == 3201;
+                let response = fleet.fetch(&entry, fleet.chat_request("none", 4)).await.unwrap();
+                let refused = result_code(&response) == 3201;
                 assert!(!refused || response.field("toucanrail-run") == Some("not-run"));
                 assert!(!refused || response.field("retry-after").is_some());
                 refused
