--- a/toucanrail-daemons/src/catalogue_commands.rs
+++ b/toucanrail-daemons/src/catalogue_commands.rs
@@ -281,12 +281,12 @@
     }
     let mut text = format!("{VERSION_PREFIX}{seen}\n");
     for item in &items {
-        let (table, fields) = match item {
+        let section = match item {
             CatalogueItem::Service(service) => ("service", toml::to_string(service)),
             CatalogueItem::Customer(customer) => ("customer", toml::to_string(customer)),
         };
-        let fields = fields.map_err(|error| OperatorError::Usage(error.to_string()))?;
-        text += &format!("\n[[{table}]]\n{fields}");
+        let fields = section.1.map_err(|error| OperatorError::Usage(error.to_string()))?;
+        text += &format!("\n[[{}]]\n{fields}", section.0);
     }
     Ok(text)
 }
--- a/toucanrail-daemons/tests/configuration.rs
+++ b/toucanrail-daemons/tests/configuration.rs
@@ -1,6 +1,6 @@
-//! The catalogue: in force everywhere within seconds, never going back.
+//! Catalogue changes come into force at every process within seconds and are never reverted.
 
-// A test stops at the first thing that is not as it should be.
+// Tests fail at the first unexpected value.
 #![allow(clippy::unwrap_used)]
 
 mod fleet;
@@ -12,10 +12,10 @@
 use toucanrail_daemons::demos;
 use toucanrail_daemons::operators::OperatorError;
 
-/// The time within which an accepted change is in force everywhere.
-const FORCE_BOUND: Duration = Duration::from_secs(3);
+/// Time within which an accepted change must be in force everywhere.
+const PROPAGATION_LIMIT: Duration = Duration::from_secs(3);
 
-async fn start(fleet: &Fleet) -> (Process, Vec<Process>) {
+async fn start_processes(fleet: &Fleet) -> (Process, Vec<Process>) {
     let (_, backend) = fleet.start_engine();
     let agent = fleet.start_agent("agent-1", "levy-llm", backend);
     let entries: Vec<Process> =
@@ -32,22 +32,22 @@
     text.replace("max-output = 256", &format!("max-output = {max_output}"))
 }
 
-async fn output_at(fleet: &Fleet, process: &Process) -> u64 {
+async fn max_output_at(fleet: &Fleet, process: &Process) -> u64 {
     let state = fleet.state(process).await;
     let item = &state["catalogue"]["items"]["service.levy-llm"][1]["service"];
     item["max-output"].as_u64().unwrap_or(0)
 }
 
-async fn wait_output(fleet: &Fleet, processes: &[&Process], wanted: u64) -> Duration {
-    let begun = Instant::now();
+async fn wait_for_max_output(fleet: &Fleet, processes: &[&Process], expected: u64) -> Duration {
+    let started = Instant::now();
     for process in processes {
         fleet
-            .wait(&format!("{wanted} at {}", process.address), async || {
-                output_at(fleet, process).await == wanted
+            .wait(&format!("{expected} at {}", process.address), async || {
+                max_output_at(fleet, process).await == expected
             })
             .await;
     }
-    begun.elapsed()
+    started.elapsed()
 }
 
 /// An operator applies a change and waits for it; it is in force at every process.
@@ -55,98 +55,99 @@
 fn applied_change() {
     smol::block_on(async {
         let mut fleet = Fleet::start(10_000).await;
-        let (agent, entries) = start(&fleet).await;
+        let (agent, entries) = start_processes(&fleet).await;
         fleet.tools.wait = true;
-        let said = fleet.apply(&catalogue(99)).await.unwrap();
-        assert!(said.contains("in force everywhere"), "{said}");
+        let output = fleet.apply(&catalogue(99)).await.unwrap();
+        assert!(output.contains("in force everywhere"), "{output}");
         for process in entries.iter().chain([&agent]) {
-            assert_eq!(output_at(&fleet, process).await, 99);
+            assert_eq!(max_output_at(&fleet, process).await, 99);
         }
     });
 }
 
-/// The platform's watches never wake. The change must come into force within the bound.
+/// The platform's watches report no events. A change must still come into force within the limit.
 #[test]
 fn watch_gap() {
     smol::block_on(async {
         let fleet = Fleet::start(10_000).await;
-        let (agent, entries) = start(&fleet).await;
+        let (agent, entries) = start_processes(&fleet).await;
         fleet.platform.faults.change(|plan| plan.watch_gap = true);
         fleet.apply(&catalogue(98)).await.unwrap();
         let all: Vec<&Process> = entries.iter().chain([&agent]).collect();
-        let time = wait_output(&fleet, &all, 98).await;
-        assert!(time < FORCE_BOUND, "it took {time:?}");
+        let time = wait_for_max_output(&fleet, &all, 98).await;
+        assert!(time < PROPAGATION_LIMIT, "it took {time:?}");
     });
 }
 
-/// A process starts while the platform is down: it must take the newest catalogue from a peer,
-/// and a peer that was frozen since before the change must not bring the old one back.
+/// A process starts while the platform is down: it must fetch the newest catalogue from a peer, and a
+/// peer that was frozen since before the change must not bring back the old one.
 #[test]
 fn outage_restart() {
     smol::block_on(async {
         let fleet = Fleet::start(10_000).await;
-        let (_agent, mut entries) = start(&fleet).await;
+        let (_agent, mut entries) = start_processes(&fleet).await;
         entries[2].signal("STOP");
         fleet.apply(&catalogue(97)).await.unwrap();
-        wait_output(&fleet, &[&entries[0], &entries[1]], 97).await;
+        wait_for_max_output(&fleet, &[&entries[0], &entries[1]], 97).await;
         fleet.platform.faults.change(|plan| plan.down = true);
         entries[2].signal("CONT");
         entries[1].kill();
         let seed = entries[0].internal.unwrap().to_string();
-        let late = fleet.start_entry("entry-late", &[("peers", &seed)]);
-        wait_output(&fleet, &[&late, &entries[2]], 97).await;
+        let new_entry = fleet.start_entry("entry-late", &[("peers", &seed)]);
+        wait_for_max_output(&fleet, &[&new_entry, &entries[2]], 97).await;
         for _ in 0..20 {
-            assert_eq!(output_at(&fleet, &entries[0]).await, 97);
+            assert_eq!(max_output_at(&fleet, &entries[0]).await, 97);
             smol::Timer::after(Duration::from_millis(20)).await;
         }
     });
 }
 
-/// A process of another deployment listens where a killed entry did, and its store is further on. Its
-/// versions must not pass for this deployment's: what is new here would never be asked for again.
+/// A process of another deployment, whose store has higher versions, listens at the address of a killed
+/// entry. Its versions must not be taken for those of this deployment, or newer objects of this one
+/// would never be requested.
 #[test]
 fn foreign_peer() {
     smol::block_on(async {
         let fleet = Fleet::start(10_000).await;
-        let (_agent, mut entries) = start(&fleet).await;
+        let (_agent, mut entries) = start_processes(&fleet).await;
         let other = Fleet::start(10_000).await;
         for output in 100..110 {
             other.apply(&catalogue(output)).await.unwrap();
         }
         entries[2].signal("STOP");
         fleet.apply(&catalogue(97)).await.unwrap();
-        wait_output(&fleet, &[&entries[0], &entries[1]], 97).await;
+        wait_for_max_output(&fleet, &[&entries[0], &entries[1]], 97).await;
         fleet.platform.faults.change(|plan| plan.down = true);
         entries[1].kill();
-        let taken = entries[1].internal.unwrap().to_string();
-        let _foreign = other.start_entry("entry-0", &[("inner", &taken)]);
+        let reused = entries[1].internal.unwrap().to_string();
+        let _foreign = other.start_entry("entry-0", &[("inner", &reused)]);
         entries[0].signal("STOP");
         entries[2].signal("CONT");
-        smol::Timer::after(FORCE_BOUND).await;
+        smol::Timer::after(PROPAGATION_LIMIT).await;
         entries[0].signal("CONT");
-        wait_output(&fleet, &[&entries[2]], 97).await;
+        wait_for_max_output(&fleet, &[&entries[2]], 97).await;
     });
 }
 
-/// Somebody writes a broken entry past the command line: it is refused, the last good one stays,
-/// and the state says why.
+/// An invalid entry is written to the store without the operator's program. It is rejected, the last
+/// valid one stays in force, and the state dump shows the error.
 #[test]
-fn bad_entry() {
+fn invalid_entry() {
     smol::block_on(async {
         let fleet = Fleet::start(10_000).await;
-        let (_agent, entries) = start(&fleet).await;
+        let (_agent, entries) = start_processes(&fleet).await;
         let path = "/v1/objects/catalogue/service.levy-llm";
-        let mut call = authorized(path, &json!({"service": {"name": "levy-llm"}}));
-        call.method = toucanrail_wire::clients::Method::Put;
-        let answer = fleet.pool.fetch(fleet.store, call, FORCE_BOUND).await.unwrap();
-        assert_eq!(answer.status, 200);
+        let mut request = authorized(path, &json!({"service": {"name": "levy-llm"}}));
+        request.method = toucanrail_wire::clients::Method::Put;
+        let response = fleet.pool.fetch(fleet.store, request, PROPAGATION_LIMIT).await.unwrap();
+        assert_eq!(response.status, 200);
         fleet
-            .wait("the fault", async || {
+            .wait("the error in the state dump", async || {
                 let state = fleet.state(&entries[0]).await;
                 state["catalogue"]["faults"]["service.levy-llm"].is_string()
             })
             .await;
-        assert_eq!(output_at(&fleet, &entries[0]).await, 256);
+        assert_eq!(max_output_at(&fleet, &entries[0]).await, 256);
         assert_eq!(
             fleet.fetch(&entries[0], fleet.chat_request("on", 2)).await.unwrap().status,
             200
@@ -154,67 +155,68 @@
     });
 }
 
-/// A customer's key is removed: callers with it are refused everywhere within the bound.
+/// A customer is removed: callers with its key are refused everywhere within the limit.
 #[test]
 fn removed_key() {
     smol::block_on(async {
         let fleet = Fleet::start(10_000).await;
-        let (_agent, entries) = start(&fleet).await;
+        let (_agent, entries) = start_processes(&fleet).await;
         assert_eq!(
             fleet.fetch(&entries[0], fleet.chat_request("on", 2)).await.unwrap().status,
             200
         );
         fleet.run_command(&["remove", "customer.acme"]).await.unwrap();
-        let begun = Instant::now();
+        let started = Instant::now();
         for entry in &entries {
             fleet
-                .wait("the refusal", async || {
-                    let answer = fleet.fetch(entry, fleet.chat_request("off", 2)).await.unwrap();
-                    result_code(&answer) == 2101
+                .wait("the key to be refused", async || {
+                    let response = fleet.fetch(entry, fleet.chat_request("off", 2)).await.unwrap();
+                    result_code(&response) == 2101
                 })
                 .await;
         }
-        assert!(begun.elapsed() < FORCE_BOUND, "it took {:?}", begun.elapsed());
+        assert!(started.elapsed() < PROPAGATION_LIMIT, "it took {:?}", started.elapsed());
     });
 }
 
-/// Two operators edit what they got before: the second is told what changed meanwhile, and
-/// nothing of its edit takes effect. A faulty file is refused with line and field.
+/// Two operators edit the same version: the second is told what the first one changed, and nothing of
+/// its edit takes effect. An invalid file is rejected with line and field.
 #[test]
-fn racing_edits() {
+fn concurrent_edits() {
     smol::block_on(async {
         let fleet = Fleet::start(10_000).await;
-        let got = fleet.run_command(&["get"]).await.unwrap();
-        let first = got.replace("max-output = 256", "max-output = 100");
-        let second = got.replace("max-output = 256", "max-output = 200");
+        let file = fleet.run_command(&["get"]).await.unwrap();
+        let first = file.replace("max-output = 256", "max-output = 100");
+        let second = file.replace("max-output = 256", "max-output = 200");
         fleet.apply(&first).await.unwrap();
         match fleet.apply(&second).await.unwrap_err() {
-            OperatorError::Conflict(what) => {
-                assert!(what.contains("max-output: 200 -> 100"), "{what}");
+            OperatorError::Conflict(changes) => {
+                assert!(changes.contains("max-output: 200 -> 100"), "{changes}");
             }
             other => panic!("{other}"),
         }
         assert!(fleet.run_command(&["get"]).await.unwrap().contains("max-output = 100"));
-        let faulty = got.replace("price = 5", "price = 0").replace("kind = \"engine\"", "kind = 7");
-        let said = fleet.apply(&faulty).await.unwrap_err().to_string();
-        assert!(said.contains("price: ") && said.contains("line "), "{said}");
+        let invalid =
+            file.replace("price = 5", "price = 0").replace("kind = \"engine\"", "kind = 7");
+        let output = fleet.apply(&invalid).await.unwrap_err().to_string();
+        assert!(output.contains("price: ") && output.contains("line "), "{output}");
     });
 }
 
-/// The answer to an operator's edit is lost after its effect: the command must find that it took
-/// effect instead of reporting a conflict with itself.
+/// The reply to an operator's write is lost after the write took effect: the command must detect this
+/// instead of reporting a conflict with its own edit.
 #[test]
-fn lost_answer() {
+fn lost_reply() {
     smol::block_on(async {
         let fleet = Fleet::start(10_000).await;
         fleet.platform.faults.change(|plan| plan.lose_answers = 1);
-        let said = fleet.apply(&catalogue(96)).await.unwrap();
-        assert!(said.contains("service.levy-llm: in the catalogue"), "{said}");
+        let output = fleet.apply(&catalogue(96)).await.unwrap();
+        assert!(output.contains("service.levy-llm: in the catalogue"), "{output}");
     });
 }
 
-/// A new entry cannot read the catalogue yet. A caller with a good key must hear that the entry is
-/// starting, not that its key is unknown, and the balancer that it is not ready.
+/// A new entry cannot read the catalogue yet. It must respond to a valid key that it is starting, not
+/// that the key is unknown, and tell the load balancer that it is not ready.
 #[test]
 fn starting_entry() {
     smol::block_on(async {
@@ -223,9 +225,9 @@
         let _agent = fleet.start_agent("agent-1", "levy-llm", backend);
         fleet.platform.faults.change(|plan| plan.down = true);
         let entry = fleet.start_entry("entry-1", &[]);
-        let answer = fleet.fetch(&entry, fleet.chat_request("early", 2)).await.unwrap();
-        assert_eq!((answer.status, result_code(&answer)), (503, 3201));
-        assert_eq!(answer.field("toucanrail-run"), Some("not-run"));
+        let response = fleet.fetch(&entry, fleet.chat_request("early", 2)).await.unwrap();
+        assert_eq!((response.status, result_code(&response)), (503, 3201));
+        assert_eq!(response.field("toucanrail-run"), Some("not-run"));
         let health = || toucanrail_wire::clients::OutboundRequest::get("/health");
         assert_eq!(fleet.fetch(&entry, health()).await.unwrap().status, 503);
         fleet.platform.faults.change(|plan| plan.down = false);
--- a/toucanrail-daemons/tests/fleet/mod.rs
+++ b/toucanrail-daemons/tests/fleet/mod.rs
@@ -1,9 +1,9 @@
-//! A fleet for tests: entries and agents as processes of their own, the outside systems as
-//! stand-ins inside the test, so that it can look at the truth.
+//! A fleet for tests. Entries and agents run as separate processes; the platform and the backend
+//! servers are stand-ins inside the test process, so that tests can read what they recorded.
 
-// Each test file uses its own part of this.
+// Each test file uses only some of these helpers.
 #![allow(dead_code)]
-// The parts of a fleet read alike at their callers, whether they need the fleet or not.
+// Helpers are methods of `Fleet` and async throughout, also where they do not need it.
 #![allow(clippy::unused_self, clippy::unused_async)]
 
 use std::io::{BufRead, BufReader};
@@ -25,9 +25,9 @@
 
 /// The bearer key of the customer `acme`.
 pub const KEY: &str = "demo-key";
-/// Longest wait for anything that a test waits for; a failure, not a pace.
+/// Maximum wait for any condition. Generous, since reaching it fails the test.
 pub const TIMEOUT: Duration = Duration::from_secs(30);
-const LOOK_STEP: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// A process of the fleet; killed when dropped.
 #[derive(Debug)]
@@ -68,14 +68,14 @@
         self.child.wait().unwrap();
     }
 
-    /// Waits until the process has ended by itself.
-    pub async fn wait_end(&mut self) -> bool {
+    /// Waits until the process exits by itself; true if it succeeded.
+    pub async fn wait_exit(&mut self) -> bool {
         let start = Instant::now();
         while start.elapsed() < TIMEOUT {
             if let Some(status) = self.child.try_wait().unwrap() {
                 return status.success();
             }
-            smol::Timer::after(LOOK_STEP).await;
+            smol::Timer::after(POLL_INTERVAL).await;
         }
         false
     }
@@ -88,14 +88,15 @@
     }
 }
 
-/// The stand-ins, the operator's tools and the pool of a caller.
+/// The platform stand-in, the operator's tools and a caller's connections.
 #[derive(Debug)]
 pub struct Fleet {
     pub platform: PlatformStandin,
     pub store: SocketAddr,
     pub tools: OperatorTools,
     pub pool: ConnectionPool,
-    /// Its secret; fleets run side by side, and take over one another's ports.
+    /// Secret of the fleet. Each fleet has its own, since fleets of tests that run in parallel may reuse
+    /// one another's ports.
     key: String,
 }
 
@@ -118,14 +119,14 @@
     pub async fn apply(&self, text: &str) -> Result<String, OperatorError> {
         let path = std::env::temp_dir().join(format!("toucanrail-{:016x}.toml", fastrand::u64(..)));
         std::fs::write(&path, text).unwrap();
-        let ran = self.run_command(&["apply", path.to_str().unwrap()]).await;
+        let result = self.run_command(&["apply", path.to_str().unwrap()]).await;
         std::fs::remove_file(&path).unwrap();
-        ran
+        result
     }
 
-    pub async fn run_command(&self, words: &[&str]) -> Result<String, OperatorError> {
-        let words: Vec<String> = words.iter().map(ToString::to_string).collect();
-        operators::run_command(&self.tools, &words).await
+    pub async fn run_command(&self, args: &[&str]) -> Result<String, OperatorError> {
+        let args: Vec<String> = args.iter().map(ToString::to_string).collect();
+        operators::run_command(&self.tools, &args).await
     }
 
     fn args(&self, name: &str) -> Vec<(&'static str, String)> {
@@ -137,7 +138,8 @@
         ]
     }
 
-    /// Starts a fleet of one engine, its agent and an entry that can use it.
+    /// Starts a fleet with one model engine, its agent and an entry, and waits until the entry can use the
+    /// engine.
     pub async fn start_with_engine(budget: u64) -> (Self, EngineStandin, Process, Process) {
         let fleet = Self::start(budget).await;
         let (engine, backend) = fleet.start_engine();
@@ -157,7 +159,7 @@
         self.start_agent_at(name, service, backend, SocketAddr::from(([127, 0, 0, 1], 0)))
     }
 
-    /// Starts an agent at an address, as one that is replaced in its place.
+    /// Starts an agent that listens at a given address, for example to replace another one.
     pub fn start_agent_at(
         &self,
         name: &str,
@@ -183,7 +185,7 @@
         plains::start("127.0.0.1:0").unwrap()
     }
 
-    /// Waits until an entry can use so many backend servers.
+    /// Waits until an entry can use at least `count` backend servers.
     pub async fn wait_servers(&self, entry: &Process, count: usize) {
         self.wait("backend servers", async || {
             let state = self.state(entry).await;
@@ -196,16 +198,16 @@
 
     pub async fn state(&self, process: &Process) -> Value {
         let address = process.internal.unwrap_or(process.address);
-        let answer = self.pool.fetch(address, OutboundRequest::get("/state"), TIMEOUT).await;
-        answer.map_or(Value::Null, |answer| serde_json::from_slice(&answer.body).unwrap())
+        let response = self.pool.fetch(address, OutboundRequest::get("/state"), TIMEOUT).await;
+        response.map_or(Value::Null, |response| serde_json::from_slice(&response.body).unwrap())
     }
 
     /// Waits until a condition holds.
     pub async fn wait(&self, what: &str, mut holds: impl AsyncFnMut() -> bool) {
         let start = Instant::now();
         while !holds().await {
-            assert!(start.elapsed() < TIMEOUT, "waited in vain for {what}");
-            smol::Timer::after(LOOK_STEP).await;
+            assert!(start.elapsed() < TIMEOUT, "timed out waiting for {what}");
+            smol::Timer::after(POLL_INTERVAL).await;
         }
     }
 
@@ -220,9 +222,9 @@
     pub async fn fetch(
         &self,
         process: &Process,
-        call: OutboundRequest,
+        request: OutboundRequest,
     ) -> std::io::Result<CompleteResponse> {
-        self.pool.fetch(process.address, call, TIMEOUT).await
+        self.pool.fetch(process.address, request, TIMEOUT).await
     }
 
     pub async fn account(&self) -> BudgetAccount {
@@ -231,7 +233,7 @@
         shard.accounts[&Arc::from("acme")].clone()
     }
 
-    /// Checks that no request has two bills.
+    /// Checks that no request is billed twice.
     pub async fn check_single_bills(&mut self) {
         self.tools.json = true;
         self.tools.last = usize::MAX;
@@ -244,7 +246,7 @@
         }
     }
 
-    /// Waits until all that engines spent is billed, written off or frozen, and returns the account.
+    /// Waits until all usage recorded by the engines is billed, written off or frozen; returns the account.
     pub async fn wait_billed(&self, spent: impl Fn() -> u64) -> BudgetAccount {
         self.wait("the bills", async || {
             let account = self.account().await;
@@ -255,14 +257,14 @@
     }
 }
 
-/// Makes a call with the key of `acme`.
+/// Creates a request with the key of `acme`.
 pub fn authorized(path: &str, body: &Value) -> OutboundRequest {
     OutboundRequest::post(path, body.to_string().into_bytes())
         .field("content-type", "application/json")
         .field("authorization", format!("Bearer {KEY}"))
 }
 
-/// Returns the text that a stream's events carry, and whether it ended whole.
+/// Returns the text of a stream's events, and whether the stream is complete.
 pub fn stream_text(body: &[u8]) -> (String, bool) {
     let text = String::from_utf8_lossy(body);
     let events = text.lines().filter_map(|line| line.strip_prefix("data: "));
@@ -272,17 +274,17 @@
     (contents.collect(), text.ends_with("data: [DONE]\n\n"))
 }
 
-/// Returns the right text of a prompt's answer.
+/// Returns the text with which an engine responds to a prompt.
 pub fn expected_text(prompt: &str, tokens: u64) -> String {
     texts::answer_text(prompt, 0, tokens)
 }
 
-/// Returns the number in the result header.
-pub fn result_code(answer: &CompleteResponse) -> u16 {
-    answer.field("toucanrail-result").unwrap().parse().unwrap()
+/// Returns the result code of a response.
+pub fn result_code(response: &CompleteResponse) -> u16 {
+    response.field("toucanrail-result").unwrap().parse().unwrap()
 }
 
-/// Opens a connection that a test writes raw bytes to.
+/// Opens a connection for writing raw bytes.
 pub async fn connect(address: SocketAddr) -> TcpStream {
     TcpStream::connect(address).await.unwrap()
 }
--- a/toucanrail-daemons/tests/request_path.rs
+++ b/toucanrail-daemons/tests/request_path.rs
@@ -1,6 +1,6 @@
-//! The whole path as separate processes: interface, refusals, bills.
+//! The whole request path with separate processes: interface, error responses and bills.
 
-// A test stops at the first thing that is not as it should be.
+// Tests fail at the first unexpected value.
 #![allow(clippy::unwrap_used)]
 
 mod fleet;
@@ -10,14 +10,14 @@
 use toucanrail_wire::clients::OutboundRequest;
 
 #[test]
-fn streamed_answer() {
+fn streamed_response() {
     smol::block_on(async {
         let (fleet, engine, _agent, entry) = Fleet::start_with_engine(10_000).await;
 
-        let answer = fleet.fetch(&entry, fleet.chat_request("May return", 20)).await.unwrap();
-        assert_eq!(stream_text(&answer.body), (expected_text("May return", 20), true));
-        assert_eq!(answer.field("toucanrail-run"), Some("ran"));
-        let request = answer.field("toucanrail-request").unwrap().to_owned();
+        let response = fleet.fetch(&entry, fleet.chat_request("May return", 20)).await.unwrap();
+        assert_eq!(stream_text(&response.body), (expected_text("May return", 20), true));
+        assert_eq!(response.field("toucanrail-run"), Some("ran"));
+        let request = response.field("toucanrail-request").unwrap().to_owned();
 
         let account = fleet.wait_billed(|| engine.spent()["acme"]).await;
         assert_eq!(account.billed, engine.spent()["acme"]);
@@ -31,14 +31,14 @@
 }
 
 #[test]
-fn whole_answer() {
+fn complete_response() {
     smol::block_on(async {
         let (fleet, _engine, _agent, entry) = Fleet::start_with_engine(10_000).await;
         let body = json!({"model": "levy-llm", "prompt": "sugar", "standin_tokens": 5});
-        let answer = fleet.fetch(&entry, authorized("/v1/completions", &body)).await.unwrap();
-        let found: Value = serde_json::from_slice(&answer.body).unwrap();
-        assert_eq!(found["choices"][0]["text"], expected_text("sugar", 5));
-        assert_eq!(found["usage"]["completion_tokens"], 5);
+        let response = fleet.fetch(&entry, authorized("/v1/completions", &body)).await.unwrap();
+        let body: Value = serde_json::from_slice(&response.body).unwrap();
+        assert_eq!(body["choices"][0]["text"], expected_text("sugar", 5));
+        assert_eq!(body["usage"]["completion_tokens"], 5);
 
         let models = OutboundRequest::get("/v1/models").field("authorization", "Bearer demo-key");
         let models = fleet.fetch(&entry, models).await.unwrap();
@@ -55,42 +55,44 @@
         let _agent = fleet.start_agent("agent-1", "filing-app", backend);
         let entry = fleet.start_entry("entry-1", &[]);
         fleet.wait_servers(&entry, 1).await;
-        let call = authorized("/filing/balance?year=2026", &json!({})).field("plain-status", "418");
-        let answer = fleet.fetch(&entry, call).await.unwrap();
-        let found: Value = serde_json::from_slice(&answer.body).unwrap();
-        assert_eq!((answer.status, &found["path"]), (418, &json!("/balance")));
+        let request =
+            authorized("/filing/balance?year=2026", &json!({})).field("plain-status", "418");
+        let response = fleet.fetch(&entry, request).await.unwrap();
+        let body: Value = serde_json::from_slice(&response.body).unwrap();
+        assert_eq!((response.status, &body["path"]), (418, &json!("/balance")));
         let account = fleet.wait_billed(|| 5).await;
         assert_eq!(account.billed, 5);
     });
 }
 
 #[test]
-fn numbered_refusals() {
+fn result_codes() {
     smol::block_on(async {
         let (fleet, engine, _agent, entry) = Fleet::start_with_engine(150).await;
-        let nobody = OutboundRequest::get("/v1/models");
-        let unknown = authorized("/v1/chat/completions", &json!({"model": "none", "messages": []}));
+        let no_key = OutboundRequest::get("/v1/models");
+        let unknown_model =
+            authorized("/v1/chat/completions", &json!({"model": "none", "messages": []}));
         let no_route = authorized("/elsewhere", &json!({}));
-        let returns = authorized("/filing/returns", &json!({}));
-        let broken = authorized("/v1/completions", &json!([1]));
-        let costly = fleet.chat_request("too much for the budget", 10);
+        let unkeyed = authorized("/filing/returns", &json!({}));
+        let malformed = authorized("/v1/completions", &json!([1]));
+        let over_budget = fleet.chat_request("too much for the budget", 10);
         let cases = [
-            (nobody, 401, 2101),
-            (unknown, 404, 2103),
+            (no_key, 401, 2101),
+            (unknown_model, 404, 2103),
             (no_route, 404, 2102),
-            (returns, 400, 2201),
-            (broken, 400, 2001),
-            (costly, 402, 3001),
+            (unkeyed, 400, 2201),
+            (malformed, 400, 2001),
+            (over_budget, 402, 3001),
         ];
-        for (call, status, code) in cases {
-            let path = call.path.clone();
-            let answer = fleet.fetch(&entry, call).await.unwrap();
-            assert_eq!((answer.status, result_code(&answer)), (status, code), "{path}");
-            assert_eq!(answer.field("toucanrail-run"), Some("not-run"), "{path}");
-            let body: Value = serde_json::from_slice(&answer.body).unwrap();
+        for (request, status, code) in cases {
+            let path = request.path.clone();
+            let response = fleet.fetch(&entry, request).await.unwrap();
+            assert_eq!((response.status, result_code(&response)), (status, code), "{path}");
+            assert_eq!(response.field("toucanrail-run"), Some("not-run"), "{path}");
+            let body: Value = serde_json::from_slice(&response.body).unwrap();
             assert_eq!(body["error"]["result"], code, "{path}");
         }
-        assert!(engine.spent().is_empty(), "a refusal ran");
+        assert!(engine.spent().is_empty(), "a refused request was executed");
     });
 }
 
@@ -102,38 +104,38 @@
         let _agent = fleet.start_agent("agent-1", "levy-llm", backend);
         let mut entry = fleet.start_entry("entry-1", &[]);
         fleet.wait_servers(&entry, 1).await;
-        let call = fleet.chat_request("long", 150);
-        let mut answer = fleet.pool.open(entry.address, call, TIMEOUT).await.unwrap();
-        let mut body = answer.read_chunk(TIMEOUT).await.unwrap();
+        let request = fleet.chat_request("long", 150);
+        let mut response = fleet.pool.open(entry.address, request, TIMEOUT).await.unwrap();
+        let mut body = response.read_chunk(TIMEOUT).await.unwrap();
         entry.signal("TERM");
         loop {
-            let chunk = answer.read_chunk(TIMEOUT).await.unwrap();
+            let chunk = response.read_chunk(TIMEOUT).await.unwrap();
             if chunk.is_empty() {
                 break;
             }
             body.extend(chunk);
         }
         assert_eq!(stream_text(&body), (expected_text("long", 150), true));
-        assert!(entry.wait_end().await, "the entry did not stop well");
+        assert!(entry.wait_exit().await, "the entry did not exit successfully");
         let account = fleet.account().await;
         assert_eq!(account.billed, engine.spent()["acme"]);
-        assert!(account.grants.values().all(|grant| *grant == 0), "grants stayed behind");
+        assert!(account.grants.values().all(|grant| *grant == 0), "grants were not returned");
     });
 }
 
-/// A caller's program computes a negative limit, or one that overflowed, and is answered as if it had
-/// asked for something: each is refused, with the field's name.
+/// A caller sends an invalid output limit: negative, zero, too large or not a number. It must not be
+/// replaced by another value; the request is refused with the name of the field.
 #[test]
-fn wrong_limits() {
+fn invalid_limits() {
     smol::block_on(async {
         let (fleet, _engine, _agent, entry) = Fleet::start_with_engine(10_000).await;
         for limit in [json!(-4), json!(4_000_000_000_000_000_000_u64), json!(0), json!("x")] {
             let body = json!({"model": "levy-llm", "prompt": "sugar", "max_tokens": limit});
-            let answer = fleet.fetch(&entry, authorized("/v1/completions", &body)).await.unwrap();
-            assert_eq!(answer.status, 400, "{limit}");
-            let found: Value = serde_json::from_slice(&answer.body).unwrap();
-            assert_eq!(found["error"]["param"], "max_tokens");
-            assert_eq!(found["error"]["result"], 2001);
+            let response = fleet.fetch(&entry, authorized("/v1/completions", &body)).await.unwrap();
+            assert_eq!(response.status, 400, "{limit}");
+            let body: Value = serde_json::from_slice(&response.body).unwrap();
+            assert_eq!(body["error"]["param"], "max_tokens");
+            assert_eq!(body["error"]["result"], 2001);
         }
     });
 }
--- a/toucanrail-daemons/tests/server_departures.rs
+++ b/toucanrail-daemons/tests/server_departures.rs
@@ -69,7 +69,7 @@
             body.extend(chunk);
         }
         assert_eq!(stream_text(&body), (expected_text("running", 150), true));
-        assert!(agents[at].wait_end().await);
+        assert!(agents[at].wait_exit().await);
     });
 }
 
