--- a/toucanrail-daemons/src/agents.rs
+++ b/toucanrail-daemons/src/agents.rs
@@ -176,8 +176,8 @@
                 self.lock_ledger().acknowledge(&command.runs);
                 responses::msgpack(&AgentReply { agent: Arc::clone(&self.id), fate: None })
             }),
-            routes::ASK => self.handle_query(&call).await,
-            routes::ORDER => self.forward_engine_command(&call).await,
+            routes::RUN_QUERY => self.handle_query(&call).await,
+            routes::ENGINE_COMMAND => self.forward_engine_command(&call).await,
             _ => responses::error(&ErrorDetails::new(codetable::NO_SUCH_ROUTE)),
         }
     }
--- a/toucanrail-daemons/src/attempts.rs
+++ b/toucanrail-daemons/src/attempts.rs
@@ -255,7 +255,7 @@
     let query = RunQuery { run: Arc::clone(run), mode: QueryMode::Cancel };
     loop {
         let reply: io::Result<AgentReply> =
-            entry.client.send(target.address, routes::ASK, &query, QUERY_TIMEOUT).await;
+            entry.client.send(target.address, routes::RUN_QUERY, &query, QUERY_TIMEOUT).await;
         match reply {
             Ok(reply) if reply.agent != target.agent => return gone_result(hold),
             Ok(AgentReply { fate: Some(RunReport::NeverCame), .. }) => {
--- a/toucanrail-daemons/src/fleet_client.rs
+++ b/toucanrail-daemons/src/fleet_client.rs
@@ -23,11 +23,11 @@
     /// Acknowledges settled runs, which the agent then deletes.
     pub const ACK: &str = "/fleet/ack";
     /// Queries an agent for the outcome of an attempt.
-    pub const ASK: &str = "/fleet/ask";
+    pub const RUN_QUERY: &str = "/fleet/ask";
     /// Fetches an agent's load report.
     pub const LOAD: &str = "/fleet/load";
     /// Sends a command to an agent's model engine.
-    pub const ORDER: &str = "/fleet/order";
+    pub const ENGINE_COMMAND: &str = "/fleet/order";
     /// Fetches updates from a peer's local replicas.
     pub const MIRROR: &str = "/fleet/mirror";
     /// Recalls the unused part of a peer's grant.
@@ -60,7 +60,7 @@
 
     /// Sends a message and reads the whole reply within `timeout`.
     ///
-    /// A failure evicts the idle connections to the address, since they may be unresponsive too.
+    /// A failed call evicts the idle connections to the address, since they may be unresponsive too.
     ///
     /// # Errors
     /// Returns an error if the call fails or times out, if the status is not 200, and with kind
--- a/toucanrail-daemons/src/inspection_commands.rs
+++ b/toucanrail-daemons/src/inspection_commands.rs
@@ -191,7 +191,7 @@
     let command = EngineCommand { fence: tools.fence, action, subject };
     let address = parse_address(address)?;
     let reply: std::io::Result<bool> =
-        client.send(address, routes::ORDER, &command, CALL_TIMEOUT).await;
+        client.send(address, routes::ENGINE_COMMAND, &command, CALL_TIMEOUT).await;
     match reply {
         Ok(_) => Ok("done\n".to_owned()),
         Err(error) => {
--- a/toucanrail-daemons/src/recording.rs
+++ b/toucanrail-daemons/src/recording.rs
@@ -53,7 +53,7 @@
     };
     debug_assert_ne!(query.mode, QueryMode::Cancel);
     let reply: std::io::Result<AgentReply> =
-        entry.client.send(address, routes::ASK, &query, QUERY_TIMEOUT).await;
+        entry.client.send(address, routes::RUN_QUERY, &query, QUERY_TIMEOUT).await;
     match reply {
         Ok(reply) if reply.agent != *agent => RecordReply::Gone,
         Ok(AgentReply { fate: Some(report), .. }) => RecordReply::Report(report),
--- a/toucanrail-daemons/src/state.rs
+++ b/toucanrail-daemons/src/state.rs
@@ -259,8 +259,8 @@
         }
     }
 
-    /// Writes this entry's registration, or removes it if `present` is false; false if the store
-    /// call fails.
+    /// Writes this entry's registration, or removes it if `present` is false; returns false if
+    /// a store call fails.
     pub async fn register(&self, present: bool) -> bool {
         let value = if present { storecalls::encode_value(&self.node()) } else { Vec::new() };
         registration::write_registration(&self.store, &self.id, value).await
