--- a/toucanrail-daemons/src/recording.rs
+++ b/toucanrail-daemons/src/recording.rs
@@ -11,10 +11,10 @@
 use toucanrail::storecalls::{self, StoreCall, StoreReply, WriteExpectation};
 use toucanrail_wire::stores::ObjectStore;
 
-use crate::fleets::routes;
+use crate::fleet_client::routes;
 use crate::planning::RequestPlan;
 use crate::reclaiming;
-use crate::states::Entry;
+use crate::state::Entry;
 
 const QUERY_TIMEOUT: Duration = Duration::from_secs(1);
 const WRITE_RETRY_INTERVAL: Duration = Duration::from_millis(500);
@@ -53,7 +53,7 @@
     };
     debug_assert_ne!(query.mode, QueryMode::Cancel);
     let reply: std::io::Result<AgentReply> =
-        entry.client.send(address, routes::ASK, &query, QUERY_TIMEOUT).await;
+        entry.client.send(address, routes::RUN_QUERY, &query, QUERY_TIMEOUT).await;
     match reply {
         Ok(reply) if reply.agent != *agent => RecordReply::Gone,
         Ok(AgentReply { fate: Some(report), .. }) => RecordReply::Report(report),
@@ -88,7 +88,7 @@
     state: RecordState,
 ) {
     while !close_record(entry, record, version, state.clone()).await {
-        entry.board.count_event("records_delayed");
+        entry.metrics.count_event("records_delayed");
         smol::Timer::after(WRITE_RETRY_INTERVAL).await;
     }
 }
