--- a/toucanrail-standins/src/bin/toucanrail-load.rs
+++ b/toucanrail-standins/src/bin/toucanrail-load.rs
@@ -1,4 +1,4 @@
-//! Sends a declared load with declared faults and reports whether every promise held.
+//! Sends a load, injects faults and reports whether every guarantee was kept.
 
 use std::net::SocketAddr;
 use std::process::ExitCode;
@@ -6,15 +6,15 @@
 
 use toucanrail::settings::{self, SettingValues, StartAction};
 use toucanrail_standins::loads::{self, LoadFault, LoadPlan};
-use toucanrail_standins::reports::{self, TruthSources, TruthWatch};
+use toucanrail_standins::reports::{self, TruthSampler, TruthSources};
 use toucanrail_standins::senders;
 
-/// Seed of every load, so that runs compare.
+/// Fixed seed of the load, so that runs are comparable.
 const SEED: u64 = 7;
 const EXIT_USAGE: u8 = 2;
 
 fn main() -> ExitCode {
-    let about = "sends a load and checks the answers";
+    let about = "sends a load and checks the responses";
     let env = |name: &str| std::env::var(name).ok();
     let args = std::env::args_os().skip(1);
     let mut values = match settings::read("toucanrail-load", about, &loads::SETTINGS, args, env) {
@@ -24,11 +24,11 @@
         }
         StartAction::Run(values) => values,
     };
-    let plan = LoadPlan::read(&mut values);
-    let sources = read_sources(&mut values);
-    let faults = read_fault_file(&values);
-    for fault in &values.errors {
-        eprintln!("{fault}");
+    let plan = LoadPlan::from_settings(&mut values);
+    let sources = parse_sources(&mut values);
+    let faults = load_fault_file(&values);
+    for error in &values.errors {
+        eprintln!("{error}");
     }
     let faults = match faults {
         Ok(faults) if values.errors.is_empty() => faults,
@@ -42,23 +42,23 @@
     smol::future::block_on(smol::spawn(run(plan, sources, faults, json)))
 }
 
-fn read_sources(values: &mut SettingValues) -> TruthSources {
+fn parse_sources(values: &mut SettingValues) -> TruthSources {
     let address = |text: &str| text.parse().ok().map(Some);
     let store: Option<SocketAddr> = values.parse_with("store", "an address", address);
     TruthSources {
         store: store.unwrap_or(SocketAddr::from(([127, 0, 0, 1], 0))),
-        engines: loads::read_addresses(values, "engines"),
-        plains: loads::read_addresses(values, "plains"),
+        engines: loads::parse_addresses(values, "engines"),
+        plains: loads::parse_addresses(values, "plains"),
     }
 }
 
-fn read_fault_file(values: &SettingValues) -> Result<Vec<LoadFault>, String> {
+fn load_fault_file(values: &SettingValues) -> Result<Vec<LoadFault>, String> {
     let path = values.text("faults");
     if path.is_empty() {
         return Ok(Vec::new());
     }
     let text = std::fs::read_to_string(path).map_err(|error| format!("5003: {path}: {error}"))?;
-    loads::read_faults(&text).map_err(|line| format!("5003: {path}: line {line} is no fault"))
+    loads::parse_faults(&text).map_err(|line| format!("5003: {path}: invalid fault in line {line}"))
 }
 
 async fn run(
@@ -68,13 +68,13 @@
     json: String,
 ) -> ExitCode {
     let plan = Arc::new(plan);
-    let requests = plan.draw(SEED);
-    let before = reports::read_counts(sources.store).await;
-    let watch = TruthWatch::new(sources.clone());
-    let _sampling = smol::spawn(watch.clone().run());
+    let requests = plan.generate(SEED);
+    let before = reports::fetch_counts(sources.store).await;
+    let sampler = TruthSampler::new(sources.clone());
+    let _sampling = smol::spawn(sampler.clone().run());
     let _injecting = smol::spawn(senders::inject_faults(faults));
-    let tries = senders::send_load(Arc::clone(&plan), requests).await;
-    let report = reports::make_report(&plan, &tries, &sources, before, &watch).await;
+    let attempts = senders::send_load(Arc::clone(&plan), requests).await;
+    let report = reports::make_report(&plan, &attempts, &sources, before, &sampler).await;
     print!("{}", report.table());
     if !json.is_empty() {
         let text = serde_json::to_string_pretty(&report).unwrap_or_default();
@@ -82,5 +82,5 @@
             eprintln!("{json}: {error}");
         }
     }
-    if report.holds() { ExitCode::SUCCESS } else { ExitCode::FAILURE }
+    if report.has_passed() { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
--- a/toucanrail-standins/src/engines.rs
+++ b/toucanrail-standins/src/engines.rs
@@ -96,13 +96,16 @@
     usage: BTreeMap<String, EngineUsage>,
     /// Tokens used by account; the ground truth for budget checks.
     spent: BTreeMap<String, Tokens>,
+    /// Number of starts by engine request id.
     starts: BTreeMap<String, u64>,
+    /// Time of the last use of each cached block, by block hash, in ticks of `cache_clock`.
     cache: BTreeMap<u64, u64>,
     cache_clock: u64,
     cache_events: VecDeque<(Instant, u64)>,
-    loads: VecDeque<(Instant, EngineLoad)>,
+    load_samples: VecDeque<(Instant, EngineLoad)>,
     cached_tokens: u64,
     prompt_tokens: u64,
+    /// Fencing number of the last order carried out.
     fence: u64,
     orders: Vec<String>,
 }
@@ -249,11 +252,11 @@
             running: state.running.len() as u64,
             waiting: state.waiting.len() as u64,
         };
-        state.loads.push_back((now, load));
-        while state.loads.len() > 1 && now - state.loads[1].0 >= self.speed.load_lag {
-            state.loads.pop_front();
+        state.load_samples.push_back((now, load));
+        while state.load_samples.len() > 1 && now - state.load_samples[1].0 >= self.speed.load_lag {
+            state.load_samples.pop_front();
         }
-        state.loads.front().map_or(load, |(_, load)| *load)
+        state.load_samples.front().map_or(load, |(_, load)| *load)
     }
 
     /// Returns new cache blocks with a delay of 500 ms. Drops about one event in seven, to
@@ -312,12 +315,14 @@
             completion_tokens: 0,
         };
         let mut response = if body.stream {
-            let usage = body.stream_options.is_some();
+            let include_usage = body.stream_options.is_some();
             let (writer, pipe) = pipes::make_pipe();
             let engine = self.clone();
             let id = completion.id.clone();
-            smol::spawn(async move { engine.stream(completion, tokens, writer, usage).await })
-                .detach();
+            smol::spawn(
+                async move { engine.stream(completion, tokens, writer, include_usage).await },
+            )
+            .detach();
             let mut response = responses::stream(200, pipe);
             response.insert_header("content-type", "text/event-stream");
             response.insert_header("engine-request-id", id);
@@ -368,7 +373,7 @@
         mut completion: CompletionFormatter,
         tokens: async_channel::Receiver<Tokens>,
         writer: PipeWriter,
-        usage: bool,
+        include_usage: bool,
     ) {
         let truncate = self.faults.consume(|plan| &mut plan.cut_answers);
         let stall = !truncate && self.faults.consume(|plan| &mut plan.silent_answers);
@@ -392,7 +397,7 @@
         if self.request_usage(&completion.id).cancelled {
             return;
         }
-        if usage {
+        if include_usage {
             writer.send(completion.usage_event()).await;
         }
         writer.send(b"data: [DONE]\n\n".to_vec()).await;
@@ -455,7 +460,7 @@
             if sequence.position >= sequence.end {
                 state.finish_sequence(&sequence.id);
             }
-            // A client that disconnects without a cancellation does not stop the generation.
+            // A caller that disconnects without a cancellation does not stop the generation.
             sequence.tokens.try_send(position).ok();
             sequence.position < sequence.end
         });
--- a/toucanrail-standins/src/loads.rs
+++ b/toucanrail-standins/src/loads.rs
@@ -1,4 +1,4 @@
-//! The declared load: who asks for what, and when.
+//! The load plan: which requests are sent, by which customers and when, and the faults to inject.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,128 +9,152 @@
 
 use crate::texts;
 
-/// Settings of the load tool.
+/// Settings of the load generator.
 pub const SETTINGS: [SettingRow; 22] = [
-    SettingRow { name: "entries", default: None, help: "Entries, towards callers." },
+    SettingRow { name: "entries", default: None, help: "Addresses of the entries for callers." },
     SettingRow { name: "customers", default: None, help: "Customers as name:key:share." },
-    SettingRow { name: "model", default: Some("levy-llm"), help: "Model asked for." },
+    SettingRow { name: "model", default: Some("levy-llm"), help: "Requested model." },
     SettingRow {
         name: "route",
         default: Some(""),
-        help: "Plain service's call, like /filing/returns.",
+        help: "Path of plain service requests, such as /filing/returns.",
     },
     SettingRow {
         name: "plain-share",
         default: Some("0"),
-        help: "Share of calls to it, in percent.",
+        help: "Share of plain service requests, in percent.",
+    },
+    SettingRow {
+        name: "plain-price",
+        default: Some("5"),
+        help: "Price of a plain service request.",
     },
-    SettingRow { name: "plain-price", default: Some("5"), help: "Price of such a call." },
     SettingRow {
         name: "keyed-share",
         default: Some("0"),
-        help: "Share of keyed calls, in percent.",
+        help: "Share of completions with an idempotency key, in percent.",
+    },
+    SettingRow { name: "rate", default: Some("50"), help: "Requests per second." },
+    SettingRow { name: "spike", default: Some(""), help: "Spike as FROM:TO:RATE, in seconds." },
+    SettingRow { name: "duration", default: Some("10s"), help: "Duration of the load." },
+    SettingRow { name: "prefixes", default: Some("40"), help: "Number of shared prompt prefixes." },
+    SettingRow {
+        name: "prefix-bytes",
+        default: Some("1024"),
+        help: "Length of a prefix in bytes.",
     },
-    SettingRow { name: "rate", default: Some("50"), help: "Requests a second." },
-    SettingRow { name: "spike", default: Some(""), help: "A spike as FROM:TO:RATE, in seconds." },
-    SettingRow { name: "duration", default: Some("10s"), help: "How long requests are sent." },
-    SettingRow { name: "prefixes", default: Some("40"), help: "Shared prompt prefixes." },
-    SettingRow { name: "prefix-bytes", default: Some("1024"), help: "Length of a prefix." },
-    SettingRow { name: "suffix-bytes", default: Some("120"), help: "Mean length of the rest." },
-    SettingRow { name: "output", default: Some("32"), help: "Mean tokens of an answer." },
-    SettingRow { name: "max-output", default: Some("256"), help: "Limit that callers ask for." },
-    SettingRow { name: "retries", default: Some("0"), help: "Most retries of a caller." },
+    SettingRow {
+        name: "suffix-bytes",
+        default: Some("120"),
+        help: "Mean length of the rest of a prompt in bytes.",
+    },
+    SettingRow { name: "output", default: Some("32"), help: "Mean tokens of a completion." },
+    SettingRow { name: "max-output", default: Some("256"), help: "Requested token limit." },
+    SettingRow { name: "retries", default: Some("0"), help: "Maximum retries per request." },
     SettingRow {
         name: "patience",
         default: Some("20s"),
-        help: "Silence after which one gives up.",
+        help: "Time without data after which a caller gives up.",
+    },
+    SettingRow {
+        name: "store",
+        default: Some("127.0.0.1:7001"),
+        help: "Address of the simulated platform.",
+    },
+    SettingRow {
+        name: "engines",
+        default: Some(""),
+        help: "Addresses of the simulated engines, for the report.",
+    },
+    SettingRow {
+        name: "plains",
+        default: Some(""),
+        help: "Addresses of the simulated plain services, for the report.",
     },
-    SettingRow { name: "store", default: Some("127.0.0.1:7001"), help: "Platform's stand-in." },
-    SettingRow { name: "engines", default: Some(""), help: "Engines' stand-ins, for the truth." },
-    SettingRow { name: "plains", default: Some(""), help: "Plain stand-ins, for the truth." },
     SettingRow {
         name: "faults",
         default: Some(""),
-        help: "File of faults: TIME ACTION TARGET ...",
+        help: "Fault file with lines: TIME ACTION TARGET ...",
     },
-    SettingRow { name: "json", default: Some(""), help: "File to write the report to." },
+    SettingRow { name: "json", default: Some(""), help: "File to write the report to as JSON." },
 ];
 
-/// One customer of the load.
+/// A customer that sends part of the load.
 #[derive(Debug, Clone, PartialEq)]
 pub struct LoadCustomer {
-    /// Its name.
+    /// Name of the customer.
     pub name: String,
-    /// Its bearer key.
+    /// API key, sent as a bearer token.
     pub key: String,
-    /// Its part of the requests, as a weight.
+    /// Weight of its share of the requests.
     pub share: f64,
 }
 
-/// The declared load.
+/// Parameters of a load.
 #[derive(Debug, Clone, Default)]
 pub struct LoadPlan {
-    /// Entries, towards callers.
+    /// Addresses of the entries for callers.
     pub entries: Vec<SocketAddr>,
-    /// The customers.
+    /// Customers that send the requests.
     pub customers: Vec<LoadCustomer>,
-    /// The model asked for.
+    /// Requested model.
     pub model: String,
-    /// The plain service's call.
+    /// Path of plain service requests; empty if none are sent.
     pub route: String,
-    /// Share of calls to it.
+    /// Fraction of the requests that go to the plain service.
     pub plain_share: f64,
-    /// Price of such a call.
+    /// Price of a plain service request.
     pub plain_price: Tokens,
-    /// Share of calls with a key.
+    /// Fraction of the completion requests that carry an idempotency key.
     pub keyed_share: f64,
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
-    /// A time with another rate, in seconds.
+    /// Period with a different rate: start and end in seconds, requests per second.
     pub spike: Option<(f64, f64, f64)>,
-    /// How long requests are sent.
+    /// Period in which requests are sent.
     pub duration: Duration,
-    /// Shared prefixes.
+    /// Number of shared prompt prefixes.
     pub prefixes: usize,
-    /// Length of a prefix.
+    /// Length of a prefix, in bytes.
     pub prefix_bytes: usize,
-    /// Mean length of the rest of a prompt.
+    /// Mean length of the rest of a prompt, in bytes.
     pub suffix_bytes: usize,
-    /// Mean tokens of an answer.
+    /// Mean tokens of a completion.
     pub output: f64,
-    /// Limit that callers ask for.
+    /// Token limit that callers request.
     pub max_output: Tokens,
-    /// Most retries of a caller.
+    /// Maximum retries per request.
     pub retries: u32,
-    /// Silence after which a caller gives up.
-    pub patience: Duration,
+    /// Time without data after which a caller gives up.
+    pub idle_timeout: Duration,
 }
 
 /// One request to send.
 #[derive(Debug, Clone)]
 pub struct LoadRequest {
-    /// Its place in the load.
+    /// Index of the request in the load.
     pub number: usize,
-    /// When it is sent, since the start.
+    /// Send time, relative to the start of the load.
     pub at: Duration,
-    /// Its customer's place.
+    /// Index of its customer in the plan.
     pub customer: usize,
-    /// Its key.
+    /// Idempotency key.
     pub key: Option<String>,
-    /// What it asks.
-    pub ask: LoadAsk,
+    /// What the request asks for.
+    pub kind: RequestKind,
 }
 
-/// What a request asks.
+/// Kind of a request.
 #[derive(Debug, Clone)]
-pub enum LoadAsk {
+pub enum RequestKind {
     /// A streamed completion.
     Completion {
         /// The prompt.
         prompt: String,
-        /// Tokens of the whole answer.
+        /// Tokens of the complete response.
         tokens: Tokens,
     },
-    /// A call of the plain service that may not be repeated.
+    /// A request to the plain service that must not be executed twice.
     Plain,
 }
 
@@ -154,8 +178,8 @@
     rows.collect()
 }
 
-// Outer: whether it could be read; inner: whether there is one.
-#[expect(clippy::option_option, reason = "the reader of settings wants the outer one")]
+// The outer option is `None` if the text is invalid, the inner one if no spike is set.
+#[expect(clippy::option_option, reason = "`SettingValues::parse_with` needs the outer option")]
 fn parse_spike(text: &str) -> Option<Option<(f64, f64, f64)>> {
     if text.is_empty() {
         return Some(None);
@@ -167,14 +191,14 @@
     }
 }
 
-/// Reads a list of addresses.
-pub fn read_addresses(values: &mut SettingValues, name: &'static str) -> Vec<SocketAddr> {
-    values.parse_with(name, "addresses, with commas between", parse_list)
+/// Parses a setting that is a comma-separated list of addresses.
+pub fn parse_addresses(values: &mut SettingValues, name: &'static str) -> Vec<SocketAddr> {
+    values.parse_with(name, "addresses separated by commas", parse_list)
 }
 
 impl LoadPlan {
-    /// Reads the load's settings, noting faults.
-    pub fn read(values: &mut SettingValues) -> Self {
+    /// Builds a plan from the settings; errors are collected in `values.errors`.
+    pub fn from_settings(values: &mut SettingValues) -> Self {
         let percent = |values: &mut SettingValues, name| {
             values.parse_with(name, "a number from 0 to 100", |text| {
                 let share: f64 = text.parse().ok()?;
@@ -182,7 +206,7 @@
             })
         };
         Self {
-            entries: read_addresses(values, "entries"),
+            entries: parse_addresses(values, "entries"),
             customers: values.parse_with("customers", "name:key:share, ...", parse_customers),
             model: values.text("model").to_owned(),
             route: values.text("route").to_owned(),
@@ -198,7 +222,7 @@
             output: values.parse("output", "a number"),
             max_output: values.parse("max-output", "a number"),
             retries: values.parse("retries", "a number"),
-            patience: values.duration("patience"),
+            idle_timeout: values.duration("patience"),
         }
     }
 
@@ -209,7 +233,7 @@
         }
     }
 
-    /// Draws all requests; the same seed gives the same load.
+    /// Generates all requests; the same seed gives the same load.
     ///
     /// # Examples
     /// ```
@@ -220,69 +244,69 @@
     ///     customers: vec![customer], rate: 100.0, output: 8.0, max_output: 64, prefixes: 2,
     ///     duration: Duration::from_secs(1), ..LoadPlan::default()
     /// };
-    /// assert_eq!(plan.draw(1).len(), plan.draw(1).len());
+    /// assert_eq!(plan.generate(1).len(), plan.generate(1).len());
     /// ```
-    pub fn draw(&self, seed: u64) -> Vec<LoadRequest> {
-        let mut dice = fastrand::Rng::with_seed(seed);
+    pub fn generate(&self, seed: u64) -> Vec<LoadRequest> {
+        let mut rng = fastrand::Rng::with_seed(seed);
         let mut requests = Vec::new();
         let mut at = 0.0;
         loop {
-            // Arrivals of independent callers: exponential gaps.
-            at += -dice.f64().max(1e-12).ln() / self.rate_at(at).max(0.001);
+            // Poisson arrivals: exponentially distributed gaps.
+            at += -rng.f64().max(1e-12).ln() / self.rate_at(at).max(0.001);
             if at > self.duration.as_secs_f64() {
                 return requests;
             }
-            requests.push(self.draw_request(&mut dice, requests.len(), at));
+            requests.push(self.generate_request(&mut rng, requests.len(), at));
         }
     }
 
-    fn draw_request(&self, dice: &mut fastrand::Rng, number: usize, at: f64) -> LoadRequest {
-        let customer = self.draw_customer(dice);
-        let plain = !self.route.is_empty() && dice.f64() < self.plain_share;
-        let keyed = plain || dice.f64() < self.keyed_share;
-        let ask = if plain { LoadAsk::Plain } else { self.draw_completion(dice, number) };
+    fn generate_request(&self, rng: &mut fastrand::Rng, number: usize, at: f64) -> LoadRequest {
+        let customer = self.pick_customer(rng);
+        let plain = !self.route.is_empty() && rng.f64() < self.plain_share;
+        let keyed = plain || rng.f64() < self.keyed_share;
+        let kind = if plain { RequestKind::Plain } else { self.generate_completion(rng, number) };
         LoadRequest {
             number,
             at: Duration::from_secs_f64(at),
             customer,
-            key: keyed.then(|| format!("load-{number}-{:08x}", dice.u32(..))),
-            ask,
+            key: keyed.then(|| format!("load-{number}-{:08x}", rng.u32(..))),
+            kind,
         }
     }
 
-    fn draw_customer(&self, dice: &mut fastrand::Rng) -> usize {
+    fn pick_customer(&self, rng: &mut fastrand::Rng) -> usize {
         let total: f64 = self.customers.iter().map(|customer| customer.share).sum();
-        let mut left = dice.f64() * total;
+        let mut remaining = rng.f64() * total;
         for (index, customer) in self.customers.iter().enumerate() {
-            left -= customer.share;
-            if left <= 0.0 {
+            remaining -= customer.share;
+            if remaining <= 0.0 {
                 return index;
             }
         }
         self.customers.len().saturating_sub(1)
     }
 
-    fn draw_completion(&self, dice: &mut fastrand::Rng, number: usize) -> LoadAsk {
-        // Skewed prefixes: the square of a uniform draw favours the first.
-        let prefix = (dice.f64().powi(2) * self.prefixes as f64) as u64;
+    fn generate_completion(&self, rng: &mut fastrand::Rng, number: usize) -> RequestKind {
+        // Skews the prefix popularity: the square of a uniform draw favours low indices.
+        let prefix = (rng.f64().powi(2) * self.prefixes as f64) as u64;
         let mut prompt =
             texts::answer_text(&format!("prefix {prefix}"), 0, self.prefix_bytes as u64 / 5);
-        let rest = heavy_tailed(dice, self.suffix_bytes as f64);
+        let suffix_bytes = sample_pareto(rng, self.suffix_bytes as f64);
         prompt += &format!("{number} ");
-        prompt += &texts::answer_text(&format!("suffix {number}"), 0, rest as u64 / 5);
-        let tokens = (heavy_tailed(dice, self.output) as Tokens).clamp(1, self.max_output);
-        LoadAsk::Completion { prompt, tokens }
+        prompt += &texts::answer_text(&format!("suffix {number}"), 0, suffix_bytes as u64 / 5);
+        let tokens = (sample_pareto(rng, self.output) as Tokens).clamp(1, self.max_output);
+        RequestKind::Completion { prompt, tokens }
     }
 }
 
-/// Draws from a Pareto distribution of index 2 with the given mean.
-fn heavy_tailed(dice: &mut fastrand::Rng, mean: f64) -> f64 {
-    let least = mean / 2.0;
-    least / (1.0 - dice.f64()).max(1e-6).sqrt()
+/// Samples a Pareto distribution with shape 2 and the given mean.
+fn sample_pareto(rng: &mut fastrand::Rng, mean: f64) -> f64 {
+    let scale = mean / 2.0;
+    scale / (1.0 - rng.f64()).max(1e-6).sqrt()
 }
 
-impl LoadAsk {
-    /// Returns the body to send.
+impl RequestKind {
+    /// Returns the request body.
     pub fn body(&self, plan: &LoadPlan) -> Value {
         match self {
             Self::Completion { prompt, tokens } => json!({
@@ -294,8 +318,8 @@
         }
     }
 
-    /// Returns the right text of the answer; none where it is not known beforehand.
-    pub fn right_text(&self) -> Option<String> {
+    /// Returns the expected text of the response, or `None` if it is not known in advance.
+    pub fn expected_text(&self) -> Option<String> {
         match self {
             Self::Completion { prompt, tokens } => Some(texts::answer_text(prompt, 0, *tokens)),
             Self::Plain => None,
@@ -303,52 +327,55 @@
     }
 }
 
-/// One declared fault.
+/// A fault to inject during the load.
 #[derive(Debug, Clone, PartialEq)]
 pub struct LoadFault {
-    /// When, since the start.
+    /// Injection time, relative to the start of the load.
     pub at: Duration,
-    /// What.
+    /// What the fault does.
     pub action: FaultAction,
 }
 
-/// What a fault does.
+/// Action of a fault.
 #[derive(Debug, Clone, PartialEq)]
 pub enum FaultAction {
-    /// Changes a stand-in's faults by its control port.
+    /// Changes the faults of a simulated system through its control port.
     Control {
-        /// The stand-in.
+        /// Address of the simulated system.
         address: SocketAddr,
-        /// The control path.
+        /// Path of the control request.
         path: String,
-        /// The body.
+        /// Body of the control request.
         body: String,
     },
-    /// Sends a signal to a process of the test.
+    /// Sends a signal to a process.
     Signal {
         /// `kill`, `term`, `stop` or `cont`.
         name: String,
-        /// The process.
+        /// Process id.
         pid: i32,
     },
 }
 
-/// Reads a file of faults, one a line: `TIME control ADDRESS PATH BODY` or
-/// `TIME kill|term|stop|cont PID`; the number of the first wrong line otherwise.
+/// Parses the text of a fault file with one fault per line: `TIME control ADDRESS PATH BODY` or
+/// `TIME kill|term|stop|cont PID`. Empty lines and lines that start with `#` are ignored.
+///
+/// # Errors
+/// Returns the number of the first invalid line.
 ///
 /// # Examples
 /// ```
 /// use toucanrail_standins::loads;
-/// assert_eq!(loads::read_faults("5s kill 12\n").unwrap().len(), 1);
-/// assert_eq!(loads::read_faults("5s kill\n"), Err(1));
+/// assert_eq!(loads::parse_faults("5s kill 12\n").unwrap().len(), 1);
+/// assert_eq!(loads::parse_faults("5s kill\n"), Err(1));
 /// ```
-pub fn read_faults(text: &str) -> Result<Vec<LoadFault>, usize> {
+pub fn parse_faults(text: &str) -> Result<Vec<LoadFault>, usize> {
     let lines = text.lines().enumerate();
     let lines = lines.filter(|(_, line)| !line.trim().is_empty() && !line.starts_with('#'));
-    lines.map(|(index, line)| read_fault(line).ok_or(index + 1)).collect()
+    lines.map(|(index, line)| parse_fault(line).ok_or(index + 1)).collect()
 }
 
-fn read_fault(line: &str) -> Option<LoadFault> {
+fn parse_fault(line: &str) -> Option<LoadFault> {
     let mut words = line.splitn(5, ' ');
     let at = settings::parse_duration(words.next()?)?;
     let action = match words.next()? {
--- a/toucanrail-standins/src/reports.rs
+++ b/toucanrail-standins/src/reports.rs
@@ -1,4 +1,4 @@
-//! Compares what callers saw with what truly ran and what was billed.
+//! Compares the responses that callers received with what was executed and what was billed.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -14,15 +14,15 @@
 
 use crate::loads::LoadPlan;
 use crate::platforms::CallCounts;
-use crate::senders::{TryEnd, TryReport};
+use crate::senders::{CallerAttempt, CallerOutcome};
 
-const TRUTH_BOUND: Duration = Duration::from_secs(3);
-const SETTLE_LIMIT: Duration = Duration::from_secs(30);
-const SAMPLE_STEP: Duration = Duration::from_millis(200);
-/// Largest latency told apart, in microseconds.
-const LONGEST_MICROS: u64 = 120_000_000;
+const FETCH_TIMEOUT: Duration = Duration::from_secs(3);
+const SETTLE_TIMEOUT: Duration = Duration::from_secs(30);
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(200);
+/// Upper bound of the latency histograms, in microseconds.
+const MAX_LATENCY_MICROS: u64 = 120_000_000;
 
-/// What an engine's stand-in truly did.
+/// Ground truth reported by a simulated engine.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
 struct EngineTruth {
@@ -32,136 +32,136 @@
     prompt_tokens: u64,
 }
 
-/// Latencies of one kind, in milliseconds.
+/// Latency percentiles, in milliseconds.
 #[derive(Debug, Default, Serialize)]
 pub struct LatencyRow {
-    /// Half of all.
+    /// Median.
     pub p50: f64,
-    /// 95 in 100.
+    /// 95th percentile.
     pub p95: f64,
-    /// 99 in 100.
+    /// 99th percentile.
     pub p99: f64,
 }
 
-/// The report of one load.
+/// Report of one load.
 #[derive(Debug, Default, Serialize)]
 pub struct LoadReport {
-    /// Requests sent, retries not counted.
+    /// Requests sent, excluding retries.
     pub requests: usize,
-    /// Tries, retries counted.
+    /// Attempts, including retries.
     pub tries: usize,
-    /// Tries that brought the whole right answer.
+    /// Attempts with a complete and correct response.
     pub right: usize,
     /// Refusals by result code.
     pub refusals: BTreeMap<u16, usize>,
-    /// Answers cut visibly.
+    /// Responses truncated with an error visible to the caller.
     pub cut: usize,
-    /// Tries without an answer.
+    /// Attempts without a response, or with a truncated error response.
     pub lost: usize,
-    /// Requests that no try of their caller brought to a right answer.
+    /// Requests without a correct response in any attempt.
     pub unanswered: usize,
-    /// Tokens spent over the prepaid budgets; must be 0.
+    /// Tokens spent in excess of the prepaid budgets; must be 0.
     pub overspend: u64,
-    /// Whole answers that were not the right one; must be 0.
+    /// Responses that ended normally but were incorrect; must be 0.
     pub foreign: usize,
-    /// Keys whose call ran more than once though it may not; must be 0.
+    /// Idempotency keys whose request was executed more than once by plain services; must be 0.
     pub duplicate_runs: usize,
-    /// Requests with more than one bill; must be 0.
+    /// Requests billed more than once; must be 0.
     pub duplicate_bills: usize,
-    /// Requests said not to have run that ran; must be 0.
+    /// Requests whose reported execution status is contradicted by what ran; must be 0.
     pub false_not_run: usize,
-    /// Keyed calls whose retries got another answer; must be 0.
+    /// Idempotency keys whose attempts got different responses; must be 0.
     pub changed_answers: usize,
-    /// Requests answered without a bill once all is settled; must be none.
+    /// Requests with a correct response but no bill after settlement; must be empty.
     pub unbilled: Vec<String>,
-    /// Refusals for budget though the money was there at the end.
+    /// Budget refusals although the remaining budget would have covered the request.
     pub false_refusals: usize,
-    /// All refusals for budget.
+    /// All budget refusals.
     pub budget_refusals: usize,
-    /// Tokens that engines spent.
+    /// Tokens spent by the engines.
     pub spent: u64,
-    /// Tokens billed.
+    /// Billed tokens.
     pub billed: u64,
     /// Tokens written off.
     pub written_off: u64,
-    /// Tokens frozen at the end.
+    /// Frozen tokens at the end.
     pub frozen: u64,
-    /// Most tokens of revoked tenures and frozen at once, and for how many seconds any were.
+    /// Maximum of the tokens that were frozen or held by revoked tenures at the same time.
     pub stuck_peak: u64,
-    /// Seconds during which any were.
+    /// Seconds during which any tokens were frozen or held by revoked tenures.
     pub stuck_seconds: f64,
-    /// Prompt tokens found cached, as a share.
+    /// Fraction of the prompt tokens that were found in a prefix cache.
     pub prefix_hits: f64,
-    /// Store calls by kind.
+    /// Store requests by kind.
     pub store: CallCounts,
-    /// Store writes a request.
+    /// Store writes per request.
     pub writes_per_request: f64,
-    /// Times to the first byte.
+    /// Time to the first byte of the body.
     pub first_token: LatencyRow,
-    /// Times between tokens.
+    /// Time between consecutive tokens.
     pub between_tokens: LatencyRow,
-    /// Right answers by the second in which they ended.
+    /// Correct responses by the second in which they ended.
     pub goodput: Vec<usize>,
 }
 
-/// Where the truth is read.
+/// Addresses from which the ground truth is fetched.
 #[derive(Debug, Clone)]
 pub struct TruthSources {
-    /// The platform's stand-in.
+    /// Simulated platform.
     pub store: SocketAddr,
-    /// The engines' stand-ins.
+    /// Simulated engines.
     pub engines: Vec<SocketAddr>,
-    /// The plain services' stand-ins.
+    /// Simulated plain services.
     pub plains: Vec<SocketAddr>,
 }
 
-/// The truth at one moment.
+/// Ground truth at one point in time.
 #[derive(Debug, Clone, Default)]
 struct TruthSample {
     at: Duration,
-    /// Left of each customer's prepaid budget by what engines have spent.
-    left: BTreeMap<String, u64>,
-    /// Held by revoked tenures, or frozen.
+    /// Remaining prepaid budget by customer, according to what the engines have spent.
+    remaining: BTreeMap<String, u64>,
+    /// Tokens that are frozen or held by revoked tenures.
     stuck: u64,
 }
 
-/// Samples the truth over time.
+/// Samples the ground truth at regular intervals.
 #[derive(Debug, Clone)]
-pub struct TruthWatch {
+pub struct TruthSampler {
     sources: TruthSources,
     start: Instant,
     samples: Arc<Mutex<Vec<TruthSample>>>,
 }
 
-impl TruthWatch {
-    /// Makes a watch whose time begins now.
+impl TruthSampler {
+    /// Creates a sampler; sample times are relative to this call.
     pub fn new(sources: TruthSources) -> Self {
         Self { sources, start: Instant::now(), samples: Arc::default() }
     }
 
-    /// Samples until dropped.
+    /// Samples until the future is dropped.
     pub async fn run(self) {
         let store = HttpStore::new(self.sources.store);
         let pool = ConnectionPool::new(ClientLimits::default());
         loop {
             let shards = list_shards(&store).await;
-            let engines = read_engines(&pool, &self.sources).await;
+            let engines = fetch_engines(&pool, &self.sources).await;
             let accounts = shards.values().flat_map(|shard| &shard.accounts);
-            let left = accounts.map(|(name, account)| {
+            let remaining = accounts.map(|(name, account)| {
                 let spent: u64 =
                     engines.iter().filter_map(|engine| engine.spent.get(&**name)).sum();
                 (name.to_string(), account.prepaid.saturating_sub(spent))
             });
             let sample = TruthSample {
                 at: self.start.elapsed(),
-                left: left.collect(),
+                remaining: remaining.collect(),
                 stuck: shards.values().map(stuck_tokens).sum(),
             };
-            // A sample without shards says nothing: the platform did not answer.
+            // Without shards, the platform did not respond and the sample carries no information.
             if !shards.is_empty() {
                 self.lock().push(sample);
             }
-            smol::Timer::after(SAMPLE_STEP).await;
+            smol::Timer::after(SAMPLE_INTERVAL).await;
         }
     }
 
@@ -169,15 +169,15 @@
         self.samples.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Returns what was surely left of a customer's budget at a time: by the next sample, so that
-    /// what was spent meanwhile counts as gone.
-    fn left_at(&self, customer: &str, at: Duration) -> Option<u64> {
+    /// Returns a lower bound of a customer's remaining budget at a time. Uses the next sample, so
+    /// that tokens spent in between count as spent.
+    fn remaining_at(&self, customer: &str, at: Duration) -> Option<u64> {
         let samples = self.lock();
         let sample = samples.iter().find(|sample| sample.at >= at)?;
-        sample.left.get(customer).copied()
+        sample.remaining.get(customer).copied()
     }
 
-    /// Returns the most tokens stuck at once, and for how many seconds any were.
+    /// Returns the maximum of the stuck tokens, and the seconds during which any were stuck.
     fn stuck(&self) -> (u64, f64) {
         let samples = self.lock();
         let peak = samples.iter().map(|sample| sample.stuck).max().unwrap_or(0);
@@ -187,7 +187,7 @@
     }
 }
 
-async fn read_engines(pool: &ConnectionPool, sources: &TruthSources) -> Vec<EngineTruth> {
+async fn fetch_engines(pool: &ConnectionPool, sources: &TruthSources) -> Vec<EngineTruth> {
     let mut engines = Vec::new();
     for address in &sources.engines {
         engines.extend(fetch(pool, *address, "/control/truth").await);
@@ -223,31 +223,31 @@
 where
     Body: for<'body> Deserialize<'body>,
 {
-    let answer = pool.fetch(address, OutboundRequest::get(path), TRUTH_BOUND).await.ok()?;
-    serde_json::from_slice(&answer.body).ok()
+    let response = pool.fetch(address, OutboundRequest::get(path), FETCH_TIMEOUT).await.ok()?;
+    serde_json::from_slice(&response.body).ok()
 }
 
-/// Reads the store's calls so far.
-pub async fn read_counts(store: SocketAddr) -> CallCounts {
+/// Fetches the number of requests that the store has received; all zero if it does not respond.
+pub async fn fetch_counts(store: SocketAddr) -> CallCounts {
     let pool = ConnectionPool::new(ClientLimits::default());
     fetch(&pool, store, "/control/counts").await.unwrap_or_default()
 }
 
-/// Waits until all that ran is billed, or it takes too long, then makes the report.
+/// Waits until every correct response is billed, for at most `SETTLE_TIMEOUT`, then creates the report.
 pub async fn make_report(
     plan: &LoadPlan,
-    tries: &[TryReport],
+    attempts: &[CallerAttempt],
     sources: &TruthSources,
     before: CallCounts,
-    watch: &TruthWatch,
+    sampler: &TruthSampler,
 ) -> LoadReport {
     let pool = ConnectionPool::new(ClientLimits::default());
-    let after = read_counts(sources.store).await;
-    let engines = read_engines(&pool, sources).await;
+    let after = fetch_counts(sources.store).await;
+    let engines = fetch_engines(&pool, sources).await;
     let mut runs: BTreeMap<String, u64> = BTreeMap::new();
     for address in &sources.plains {
-        let found: Option<BTreeMap<String, u64>> = fetch(&pool, *address, "/control/runs").await;
-        for (key, count) in found.unwrap_or_default() {
+        let counts: Option<BTreeMap<String, u64>> = fetch(&pool, *address, "/control/runs").await;
+        for (key, count) in counts.unwrap_or_default() {
             *runs.entry(key).or_default() += count;
         }
     }
@@ -257,38 +257,38 @@
     loop {
         shards = list_shards(&store).await;
         bills = list_bills(&store, &shards).await;
-        let open = list_unbilled(tries, &bills);
-        if open.is_empty() || start.elapsed() > SETTLE_LIMIT {
+        let unbilled = list_unbilled(attempts, &bills);
+        if unbilled.is_empty() || start.elapsed() > SETTLE_TIMEOUT {
             break;
         }
-        smol::Timer::after(SAMPLE_STEP).await;
+        smol::Timer::after(SAMPLE_INTERVAL).await;
     }
-    let mut report = summarize(tries);
-    report.unbilled = list_unbilled(tries, &bills);
-    compare_money(&mut report, &engines, &shards);
-    compare_runs(&mut report, tries, &engines, &runs, &bills);
+    let mut report = summarize(attempts);
+    report.unbilled = list_unbilled(attempts, &bills);
+    check_budgets(&mut report, &engines, &shards);
+    check_runs(&mut report, attempts, &engines, &runs, &bills);
     report.store = CallCounts {
         reads: after.reads - before.reads,
         writes: after.writes - before.writes,
         watches: after.watches - before.watches,
     };
     report.writes_per_request = report.store.writes as f64 / report.requests.max(1) as f64;
-    (report.stuck_peak, report.stuck_seconds) = watch.stuck();
-    count_refusals(&mut report, plan, tries, watch);
+    (report.stuck_peak, report.stuck_seconds) = sampler.stuck();
+    count_budget_refusals(&mut report, plan, attempts, sampler);
     report
 }
 
-/// Returns the requests that were answered and have no bill.
-fn list_unbilled(tries: &[TryReport], bills: &[BillRow]) -> Vec<String> {
+/// Returns the requests that got a correct response and have no bill.
+fn list_unbilled(attempts: &[CallerAttempt], bills: &[BillRow]) -> Vec<String> {
     let billed: BTreeSet<&str> =
         bills.iter().filter(|row| row.billed > 0).map(|row| &*row.request).collect();
-    let right = tries.iter().filter(|report| report.end == TryEnd::Right);
-    let ids: BTreeSet<&str> = right.filter_map(|report| report.request.as_deref()).collect();
+    let correct = attempts.iter().filter(|attempt| attempt.outcome == CallerOutcome::Correct);
+    let ids: BTreeSet<&str> = correct.filter_map(|attempt| attempt.request.as_deref()).collect();
     ids.difference(&billed).map(ToString::to_string).collect()
 }
 
 fn latency_row(times: impl Iterator<Item = Duration>) -> LatencyRow {
-    let Ok(mut histogram) = Histogram::<u64>::new_with_bounds(1, LONGEST_MICROS, 3) else {
+    let Ok(mut histogram) = Histogram::<u64>::new_with_bounds(1, MAX_LATENCY_MICROS, 3) else {
         return LatencyRow::default();
     };
     times.for_each(|time| histogram.saturating_record((time.as_micros() as u64).max(1)));
@@ -296,36 +296,37 @@
     LatencyRow { p50: millis(0.5), p95: millis(0.95), p99: millis(0.99) }
 }
 
-fn summarize(tries: &[TryReport]) -> LoadReport {
-    let mut report = LoadReport { tries: tries.len(), ..LoadReport::default() };
-    let numbers: BTreeSet<usize> = tries.iter().map(|report| report.number).collect();
+fn summarize(attempts: &[CallerAttempt]) -> LoadReport {
+    let mut report = LoadReport { tries: attempts.len(), ..LoadReport::default() };
+    let numbers: BTreeSet<usize> = attempts.iter().map(|attempt| attempt.number).collect();
     report.requests = numbers.len();
-    let right = tries.iter().filter(|report| report.end == TryEnd::Right);
-    let answered: BTreeSet<usize> = right.map(|report| report.number).collect();
+    let correct = attempts.iter().filter(|attempt| attempt.outcome == CallerOutcome::Correct);
+    let answered: BTreeSet<usize> = correct.map(|attempt| attempt.number).collect();
     report.unanswered = numbers.len() - answered.len();
-    for row in tries {
-        match &row.end {
-            TryEnd::Right => {
+    for attempt in attempts {
+        match &attempt.outcome {
+            CallerOutcome::Correct => {
                 report.right += 1;
-                let second = (row.sent + row.total).as_secs() as usize;
+                let second = (attempt.sent + attempt.duration).as_secs() as usize;
                 if report.goodput.len() <= second {
                     report.goodput.resize(second + 1, 0);
                 }
                 report.goodput[second] += 1;
             }
-            TryEnd::Foreign => report.foreign += 1,
-            TryEnd::Cut => report.cut += 1,
-            TryEnd::Lost => report.lost += 1,
-            TryEnd::Refused { code, .. } => *report.refusals.entry(*code).or_default() += 1,
+            CallerOutcome::Incorrect => report.foreign += 1,
+            CallerOutcome::Truncated => report.cut += 1,
+            CallerOutcome::NoResponse => report.lost += 1,
+            CallerOutcome::Refused { code, .. } => *report.refusals.entry(*code).or_default() += 1,
         }
     }
-    let right = || tries.iter().filter(|row| row.end == TryEnd::Right);
-    report.first_token = latency_row(right().filter_map(|row| row.first));
-    report.between_tokens = latency_row(right().flat_map(|row| row.gaps.iter().copied()));
+    let correct = || attempts.iter().filter(|attempt| attempt.outcome == CallerOutcome::Correct);
+    report.first_token = latency_row(correct().filter_map(|attempt| attempt.first_byte));
+    report.between_tokens =
+        latency_row(correct().flat_map(|attempt| attempt.chunk_gaps.iter().copied()));
     report
 }
 
-fn compare_money(
+fn check_budgets(
     report: &mut LoadReport,
     engines: &[EngineTruth],
     shards: &BTreeMap<Arc<str>, BudgetShard>,
@@ -343,40 +344,44 @@
     report.prefix_hits = cached as f64 / prompts.max(1) as f64;
 }
 
-/// Counts the refusals for budget, and among them those that were false: what was left then would
-/// have covered the request besides the worst case of all others that the customer had in flight.
-fn count_refusals(
+/// Counts the budget refusals and those among them that were wrongful. A refusal is wrongful if the
+/// remaining budget would have covered the request in addition to the maximum usage of all other
+/// requests that the customer had in flight.
+fn count_budget_refusals(
     report: &mut LoadReport,
     plan: &LoadPlan,
-    tries: &[TryReport],
-    watch: &TruthWatch,
+    attempts: &[CallerAttempt],
+    sampler: &TruthSampler,
 ) {
-    for row in tries {
-        let TryEnd::Refused { code: 3001 | 3002, .. } = row.end else {
+    for attempt in attempts {
+        let CallerOutcome::Refused { code: 3001 | 3002, .. } = attempt.outcome else {
             continue;
         };
         report.budget_refusals += 1;
-        let at = row.sent + row.total;
-        let others = tries.iter().filter(|other| {
-            let running = other.sent <= at && other.sent + other.total >= row.sent;
-            let holds = !matches!(other.end, TryEnd::Refused { .. });
-            other.customer == row.customer && running && holds
+        let at = attempt.sent + attempt.duration;
+        let others = attempts.iter().filter(|other| {
+            let overlaps = other.sent <= at && other.sent + other.duration >= attempt.sent;
+            let is_admitted = !matches!(other.outcome, CallerOutcome::Refused { .. });
+            other.customer == attempt.customer && overlaps && is_admitted
         });
-        let busy: u64 = others.map(|other| other.worst).sum();
-        let name = plan.customers[row.customer].name.as_str();
-        // Engines count what they spend; what plain calls cost is known from the calls.
-        let plains = tries.iter().filter(|other| {
-            other.customer == row.customer && other.body.is_some() && other.sent <= at
+        let in_flight: u64 = others.map(|other| other.max_tokens).sum();
+        let name = plan.customers[attempt.customer].name.as_str();
+        // Engines do not count plain service requests; their price is known from the plan.
+        let plains = attempts.iter().filter(|other| {
+            other.customer == attempt.customer && other.body.is_some() && other.sent <= at
         });
         let plains = plains.count() as u64 * plan.plain_price;
-        let left = watch.left_at(name, at).map(|left| left.saturating_sub(plains));
-        report.false_refusals += usize::from(left.is_some_and(|left| left >= busy + row.worst));
+        let remaining =
+            sampler.remaining_at(name, at).map(|remaining| remaining.saturating_sub(plains));
+        report.false_refusals += usize::from(
+            remaining.is_some_and(|remaining| remaining >= in_flight + attempt.max_tokens),
+        );
     }
 }
 
-fn compare_runs(
+fn check_runs(
     report: &mut LoadReport,
-    tries: &[TryReport],
+    attempts: &[CallerAttempt],
     engines: &[EngineTruth],
     runs: &BTreeMap<String, u64>,
     bills: &[BillRow],
@@ -386,26 +391,27 @@
         .flat_map(|engine| engine.starts.keys())
         .filter_map(|run| run.split('.').next())
         .collect();
-    let mut answers: BTreeMap<&str, BTreeSet<&str>> = BTreeMap::new();
-    for row in tries {
-        if let (Some(key), Some(body)) = (&row.key, &row.body) {
-            answers.entry(key).or_default().insert(body);
+    let mut responses_by_key: BTreeMap<&str, BTreeSet<&str>> = BTreeMap::new();
+    for attempt in attempts {
+        if let (Some(key), Some(body)) = (&attempt.key, &attempt.body) {
+            responses_by_key.entry(key).or_default().insert(body);
         }
-        let TryEnd::Refused { run, .. } = &row.end else {
+        let CallerOutcome::Refused { run, .. } = &attempt.outcome else {
             continue;
         };
-        // A keyed request may have run in another try; the plain service counts those.
-        let single = row.key.is_none() && run == "not-run";
-        let ran = row.request.as_deref().is_some_and(|id| started.contains(id));
-        report.false_not_run += usize::from(single && ran);
+        // A request with an idempotency key may have run in another attempt; the counts of the plain
+        // services cover those.
+        let claims_not_run = attempt.key.is_none() && run == "not-run";
+        let ran = attempt.request.as_deref().is_some_and(|id| started.contains(id));
+        report.false_not_run += usize::from(claims_not_run && ran);
     }
-    let plain_keys: BTreeSet<&str> = answers.keys().copied().collect();
-    let doubled = runs.iter().filter(|(key, count)| key.starts_with("load-") && **count > 1);
-    report.duplicate_runs = doubled.count();
-    report.changed_answers = answers.values().filter(|bodies| bodies.len() > 1).count();
+    let plain_keys: BTreeSet<&str> = responses_by_key.keys().copied().collect();
+    let repeated = runs.iter().filter(|(key, count)| key.starts_with("load-") && **count > 1);
+    report.duplicate_runs = repeated.count();
+    report.changed_answers = responses_by_key.values().filter(|bodies| bodies.len() > 1).count();
     for key in plain_keys {
-        let only_refused = !runs.contains_key(key);
-        report.false_not_run += usize::from(only_refused);
+        let has_no_run = !runs.contains_key(key);
+        report.false_not_run += usize::from(has_no_run);
     }
     let mut billed: BTreeMap<&str, usize> = BTreeMap::new();
     for row in bills.iter().filter(|row| row.billed > 0) {
@@ -415,51 +421,48 @@
 }
 
 impl LoadReport {
-    /// Tells whether every promise held.
-    pub fn holds(&self) -> bool {
-        let broken = self.foreign
+    /// Returns whether every guarantee was kept.
+    pub fn has_passed(&self) -> bool {
+        let violations = self.foreign
             + self.duplicate_runs
             + self.duplicate_bills
             + self.false_not_run
             + self.changed_answers
             + self.unbilled.len();
-        self.overspend == 0 && broken == 0
+        self.overspend == 0 && violations == 0
     }
 
-    /// Returns the report as a table for people.
+    /// Returns the report as a human-readable table.
     pub fn table(&self) -> String {
         let mut text = String::new();
         let mut row = |name: &str, value: String| text += &format!("{name:<28}{value}\n");
-        row("requests / tries", format!("{} / {}", self.requests, self.tries));
-        row("right answers", self.right.to_string());
+        row("requests / attempts", format!("{} / {}", self.requests, self.tries));
+        row("correct responses", self.right.to_string());
         row("unanswered requests", self.unanswered.to_string());
         row("refusals by code", format!("{:?}", self.refusals));
-        row("cut / lost", format!("{} / {}", self.cut, self.lost));
+        row("truncated / no response", format!("{} / {}", self.cut, self.lost));
         row("overspend", self.overspend.to_string());
-        row("foreign answers", self.foreign.to_string());
+        row("incorrect responses", self.foreign.to_string());
         row(
             "duplicate runs / bills",
             format!("{} / {}", self.duplicate_runs, self.duplicate_bills),
         );
-        row("'not run' that ran", self.false_not_run.to_string());
-        row(
-            "changed / unbilled answers",
-            format!("{} / {}", self.changed_answers, self.unbilled.len()),
-        );
+        row("executed despite not-run", self.false_not_run.to_string());
+        row("changed / unbilled", format!("{} / {}", self.changed_answers, self.unbilled.len()));
         if !self.unbilled.is_empty() {
             row("unbilled requests", self.unbilled.join(" "));
         }
-        let (wrong, all) = (self.false_refusals, self.budget_refusals);
-        row("false / budget refusals", format!("{wrong} / {all}"));
+        let (wrongful, all) = (self.false_refusals, self.budget_refusals);
+        row("false / budget refusals", format!("{wrongful} / {all}"));
         row(
-            "spent / billed / off",
+            "spent / billed / written off",
             format!("{} / {} / {}", self.spent, self.billed, self.written_off),
         );
         row("frozen at the end", self.frozen.to_string());
         row("stuck peak / seconds", format!("{} / {:.1}", self.stuck_peak, self.stuck_seconds));
         row("prefix hits", format!("{:.1} %", self.prefix_hits * 100.0));
         row("store reads / writes", format!("{} / {}", self.store.reads, self.store.writes));
-        row("writes a request", format!("{:.4}", self.writes_per_request));
+        row("writes per request", format!("{:.4}", self.writes_per_request));
         for (name, times) in
             [("first token ms", &self.first_token), ("between tokens ms", &self.between_tokens)]
         {
@@ -467,7 +470,7 @@
             row(name, shown);
         }
         row("goodput by second", format!("{:?}", self.goodput));
-        row("promises", if self.holds() { "held".to_owned() } else { "BROKEN".to_owned() });
+        row("promises", if self.has_passed() { "held".to_owned() } else { "BROKEN".to_owned() });
         text
     }
 }
--- a/toucanrail-standins/src/senders.rs
+++ b/toucanrail-standins/src/senders.rs
@@ -1,4 +1,4 @@
-//! Sends a load, checks each answer against the one known to be right, and injects faults.
+//! Sends a load, checks each response against the expected one, and injects faults.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -8,66 +8,67 @@
 use toucanrail_wire::clients::{ClientLimits, ConnectionPool, OutboundRequest};
 use toucanrail_wire::responses;
 
-use crate::loads::{FaultAction, LoadAsk, LoadFault, LoadPlan, LoadRequest};
+use crate::loads::{FaultAction, LoadFault, LoadPlan, LoadRequest, RequestKind};
 
-const CONTROL_BOUND: Duration = Duration::from_secs(2);
-/// Bytes that the entry adds to a completion, and tokens it allows for the chat template: what
-/// a request holds at most.
-const ADDED_BYTES: u64 = 40;
+const CONTROL_TIMEOUT: Duration = Duration::from_secs(2);
+/// Bytes that the entry adds to the body of a completion request. With [`TEMPLATE_TOKENS`], this
+/// gives the maximum tokens held for a request.
+const ENTRY_ADDED_BYTES: u64 = 40;
+/// Tokens that the entry allows for the chat template.
 const TEMPLATE_TOKENS: u64 = 8;
-const RETRY_PAUSE: Duration = Duration::from_millis(200);
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// How one try of a caller ended.
+/// Outcome of one attempt as seen by the caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum TryEnd {
-    /// The whole right answer came.
-    Right,
-    /// A whole answer came that is not the right one.
-    Foreign,
-    /// The answer was cut, visibly.
-    Cut,
-    /// It was refused.
+pub enum CallerOutcome {
+    /// The complete and correct response was received.
+    Correct,
+    /// A response ended normally but is not the expected one.
+    Incorrect,
+    /// A response with status 200 ended prematurely, which the caller could detect.
+    Truncated,
+    /// The request was refused.
     Refused {
-        /// The result code.
+        /// Result code.
         code: u16,
-        /// What it says about the run.
+        /// What the response says about execution, such as `not-run`.
         run: String,
-        /// Whether it says when to come back.
-        comes_back: bool,
+        /// Whether the response has a `Retry-After` header.
+        has_retry_after: bool,
     },
-    /// No answer came.
-    Lost,
+    /// No response was received, or an error response was truncated.
+    NoResponse,
 }
 
-/// One try of a caller, as it saw it.
+/// One attempt of a request, as seen by the caller.
 #[derive(Debug, Clone)]
-pub struct TryReport {
-    /// The request's place in the load.
+pub struct CallerAttempt {
+    /// Index of the request in the load.
     pub number: usize,
-    /// Its customer's place.
+    /// Index of its customer in the plan.
     pub customer: usize,
-    /// Its key.
+    /// Idempotency key.
     pub key: Option<String>,
-    /// The id that the entry gave it.
+    /// Request id assigned by the entry.
     pub request: Option<String>,
-    /// How it ended.
-    pub end: TryEnd,
-    /// When it was sent.
+    /// Outcome of the attempt.
+    pub outcome: CallerOutcome,
+    /// Send time, relative to the start of the load.
     pub sent: Duration,
-    /// Time to the first byte.
-    pub first: Option<Duration>,
-    /// Times between tokens.
-    pub gaps: Vec<Duration>,
-    /// Time to the end.
-    pub total: Duration,
-    /// The most that it could have used.
-    pub worst: u64,
-    /// The answer's body, for a keyed call of the plain service.
+    /// Time from sending to the first byte of the body.
+    pub first_byte: Option<Duration>,
+    /// Times between consecutive chunks of the body.
+    pub chunk_gaps: Vec<Duration>,
+    /// Time from sending to the end of the attempt.
+    pub duration: Duration,
+    /// Maximum tokens that the request could have used.
+    pub max_tokens: u64,
+    /// Response body of a plain service request.
     pub body: Option<String>,
 }
 
-/// Sends all requests at their times and returns what callers saw.
-pub async fn send_load(plan: Arc<LoadPlan>, requests: Vec<LoadRequest>) -> Vec<TryReport> {
+/// Sends all requests at their scheduled times and returns the attempts as seen by the callers.
+pub async fn send_load(plan: Arc<LoadPlan>, requests: Vec<LoadRequest>) -> Vec<CallerAttempt> {
     let pool = ConnectionPool::new(ClientLimits { max_idle: 512, ..ClientLimits::default() });
     let start = Instant::now();
     let mut tasks = Vec::new();
@@ -79,11 +80,11 @@
         let (plan, pool) = (Arc::clone(&plan), pool.clone());
         tasks.push(smol::spawn(send_request(plan, pool, request, start)));
     }
-    let mut reports = Vec::new();
+    let mut attempts = Vec::new();
     for task in tasks {
-        reports.extend(task.await);
+        attempts.extend(task.await);
     }
-    reports
+    attempts
 }
 
 async fn send_request(
@@ -91,130 +92,143 @@
     pool: ConnectionPool,
     request: LoadRequest,
     start: Instant,
-) -> Vec<TryReport> {
-    let mut reports = Vec::new();
-    for attempt in 0..=plan.retries {
-        let entry = plan.entries[(request.number + attempt as usize) % plan.entries.len()];
-        let report = send_try(&plan, &pool, &request, entry, start).await;
-        let again = match &report.end {
-            TryEnd::Right | TryEnd::Foreign => false,
-            TryEnd::Cut | TryEnd::Lost => true,
-            TryEnd::Refused { code, .. } => !matches!(code, 2000..=2202 | 3001),
+) -> Vec<CallerAttempt> {
+    let mut attempts = Vec::new();
+    for retry in 0..=plan.retries {
+        let entry = plan.entries[(request.number + retry as usize) % plan.entries.len()];
+        let attempt = send_attempt(&plan, &pool, &request, entry, start).await;
+        let should_retry = match &attempt.outcome {
+            CallerOutcome::Correct | CallerOutcome::Incorrect => false,
+            CallerOutcome::Truncated | CallerOutcome::NoResponse => true,
+            CallerOutcome::Refused { code, .. } => !matches!(code, 2000..=2202 | 3001),
         };
-        reports.push(report);
-        if !again {
+        attempts.push(attempt);
+        if !should_retry {
             break;
         }
-        smol::Timer::after(RETRY_PAUSE * (attempt + 1)).await;
+        smol::Timer::after(RETRY_DELAY * (retry + 1)).await;
     }
-    reports
+    attempts
 }
 
-async fn send_try(
+async fn send_attempt(
     plan: &LoadPlan,
     pool: &ConnectionPool,
     request: &LoadRequest,
     entry: std::net::SocketAddr,
     start: Instant,
-) -> TryReport {
+) -> CallerAttempt {
     let customer = &plan.customers[request.customer];
-    let body = request.ask.body(plan).to_string();
-    let worst = (body.len() as u64 + ADDED_BYTES) / 4 + TEMPLATE_TOKENS + plan.max_output;
-    let path = match request.ask {
-        LoadAsk::Plain => plan.route.as_str(),
-        LoadAsk::Completion { .. } => "/v1/chat/completions",
+    let body = request.kind.body(plan).to_string();
+    let max_tokens =
+        (body.len() as u64 + ENTRY_ADDED_BYTES) / 4 + TEMPLATE_TOKENS + plan.max_output;
+    let path = match request.kind {
+        RequestKind::Plain => plan.route.as_str(),
+        RequestKind::Completion { .. } => "/v1/chat/completions",
     };
-    let mut call = OutboundRequest::post(path, body.into_bytes())
+    let mut outbound = OutboundRequest::post(path, body.into_bytes())
         .field("content-type", "application/json")
         .field("authorization", format!("Bearer {}", customer.key));
     if let Some(key) = &request.key {
-        call = call.field("idempotency-key", key.as_str());
+        outbound = outbound.field("idempotency-key", key.as_str());
     }
-    let mut report = TryReport {
+    let mut attempt = CallerAttempt {
         number: request.number,
         customer: request.customer,
         key: request.key.clone(),
         request: None,
-        end: TryEnd::Lost,
+        outcome: CallerOutcome::NoResponse,
         sent: start.elapsed(),
-        first: None,
-        gaps: Vec::new(),
-        total: Duration::ZERO,
-        worst,
+        first_byte: None,
+        chunk_gaps: Vec::new(),
+        duration: Duration::ZERO,
+        max_tokens,
         body: None,
     };
-    let sent = Instant::now();
-    read_answer(plan, pool, request, entry, call, &mut report, sent).await;
-    report.total = sent.elapsed();
-    report
+    let sent_at = Instant::now();
+    read_response(plan, pool, request, entry, outbound, &mut attempt, sent_at).await;
+    attempt.duration = sent_at.elapsed();
+    attempt
 }
 
-async fn read_answer(
+async fn read_response(
     plan: &LoadPlan,
     pool: &ConnectionPool,
     request: &LoadRequest,
     entry: std::net::SocketAddr,
-    call: OutboundRequest,
-    report: &mut TryReport,
-    sent: Instant,
+    outbound: OutboundRequest,
+    attempt: &mut CallerAttempt,
+    sent_at: Instant,
 ) {
-    let Ok(mut answer) = pool.open(entry, call, plan.patience).await else {
+    let Ok(mut response) = pool.open(entry, outbound, plan.idle_timeout).await else {
         return;
     };
     let field = |name: &str| {
-        let values = answer.response.header(name)?;
+        let values = response.response.header(name)?;
         Some(values.last().as_str().to_owned())
     };
-    report.request = field(responses::REQUEST_HEADER);
+    attempt.request = field(responses::REQUEST_HEADER);
     let code = field(responses::RESULT_HEADER).and_then(|text| text.parse().ok()).unwrap_or(0);
     let run = field(responses::RUN_HEADER).unwrap_or_default();
-    let comes_back = field("retry-after").is_some();
-    let status = answer.status();
+    let has_retry_after = field("retry-after").is_some();
+    let status = response.status();
     let mut body = Vec::new();
-    let mut last = sent;
+    let mut last_chunk = sent_at;
     loop {
-        match answer.read_chunk(plan.patience).await {
+        match response.read_chunk(plan.idle_timeout).await {
             Ok(chunk) if chunk.is_empty() => break,
             Ok(chunk) => {
-                note_time(report, sent, &mut last);
+                record_chunk_time(attempt, sent_at, &mut last_chunk);
                 body.extend_from_slice(&chunk);
             }
             Err(_) => {
-                report.end = if status == 200 { TryEnd::Cut } else { TryEnd::Lost };
+                attempt.outcome = if status == 200 {
+                    CallerOutcome::Truncated
+                } else {
+                    CallerOutcome::NoResponse
+                };
                 return;
             }
         }
     }
-    answer.release();
-    report.end = if status == 200 {
-        judge(request, &body, report)
+    response.release();
+    attempt.outcome = if status == 200 {
+        check_response(request, &body, attempt)
     } else {
-        TryEnd::Refused { code, run, comes_back }
+        CallerOutcome::Refused { code, run, has_retry_after }
     };
 }
 
-fn note_time(report: &mut TryReport, sent: Instant, last: &mut Instant) {
+fn record_chunk_time(attempt: &mut CallerAttempt, sent_at: Instant, last_chunk: &mut Instant) {
     let now = Instant::now();
-    if report.first.is_none() {
-        report.first = Some(now - sent);
+    if attempt.first_byte.is_none() {
+        attempt.first_byte = Some(now - sent_at);
     } else {
-        report.gaps.push(now - *last);
+        attempt.chunk_gaps.push(now - *last_chunk);
     }
-    *last = now;
+    *last_chunk = now;
 }
 
-fn judge(request: &LoadRequest, body: &[u8], report: &mut TryReport) -> TryEnd {
+fn check_response(
+    request: &LoadRequest,
+    body: &[u8],
+    attempt: &mut CallerAttempt,
+) -> CallerOutcome {
     let text = String::from_utf8_lossy(body);
-    let Some(right) = request.ask.right_text() else {
-        let own = request.key.as_ref().is_some_and(|key| text.contains(key.as_str()));
-        report.body = Some(text.into_owned());
-        return if own { TryEnd::Right } else { TryEnd::Foreign };
+    let Some(expected) = request.kind.expected_text() else {
+        let has_key = request.key.as_ref().is_some_and(|key| text.contains(key.as_str()));
+        attempt.body = Some(text.into_owned());
+        return if has_key { CallerOutcome::Correct } else { CallerOutcome::Incorrect };
     };
-    let ended = text.ends_with("data: [DONE]\n\n");
-    if ended && stream_text(&text) == right { TryEnd::Right } else { TryEnd::Foreign }
+    let is_complete = text.ends_with("data: [DONE]\n\n");
+    if is_complete && stream_text(&text) == expected {
+        CallerOutcome::Correct
+    } else {
+        CallerOutcome::Incorrect
+    }
 }
 
-/// Joins the contents of a stream's events.
+/// Concatenates the contents of the events of a stream.
 fn stream_text(text: &str) -> String {
     let events = text.lines().filter_map(|line| line.strip_prefix("data: "));
     let bodies = events.filter_map(|data| serde_json::from_str::<Value>(data).ok());
@@ -223,7 +237,7 @@
     contents.collect()
 }
 
-/// Injects the faults at their times.
+/// Injects the faults at their scheduled times.
 pub async fn inject_faults(faults: Vec<LoadFault>) {
     let pool = ConnectionPool::new(ClientLimits::default());
     let start = Instant::now();
@@ -231,9 +245,9 @@
         smol::Timer::after(fault.at.saturating_sub(start.elapsed())).await;
         match fault.action {
             FaultAction::Control { address, path, body } => {
-                let call = OutboundRequest::post(path, body.into_bytes());
-                if pool.fetch(address, call, CONTROL_BOUND).await.is_err() {
-                    eprintln!("a fault could not be injected at {address}");
+                let outbound = OutboundRequest::post(path, body.into_bytes());
+                if pool.fetch(address, outbound, CONTROL_TIMEOUT).await.is_err() {
+                    eprintln!("failed to inject a fault at {address}");
                 }
             }
             FaultAction::Signal { name, pid } => send_signal(&name, pid),
@@ -250,6 +264,6 @@
     };
     let sent = Pid::from_raw(pid).map(|pid| rustix::process::kill_process(pid, signal));
     if !matches!(sent, Some(Ok(()))) {
-        eprintln!("no signal {name} could be sent to process {pid}");
+        eprintln!("failed to send signal {name} to process {pid}");
     }
 }
