--- a/toucanrail-daemons/src/agents.rs
+++ b/toucanrail-daemons/src/agents.rs
@@ -1,4 +1,4 @@
-//! The agent: the only way to its backend server.
+//! The agent, through which all requests to its backend server pass.
 
 use std::io;
 use std::net::SocketAddr;
@@ -25,52 +25,52 @@
 use toucanrail_wire::responses::{self, ErrorDetails};
 use toucanrail_wire::stores::HttpStore;
 
+use crate::execution;
 use crate::fleets::{FleetClient, routes};
 use crate::mirroring::{self, MirrorSet};
 use crate::observing::MetricBoard;
 use crate::registering;
-use crate::running;
 use crate::starting::{self, CommonSettings};
 
-/// Largest order, in bytes.
-const ORDER_LIMIT: usize = 4 * 1024 * 1024;
-/// Time between two looks at the backend server.
+/// Maximum size of a command, in bytes.
+const MAX_COMMAND_BYTES: usize = 4 * 1024 * 1024;
+/// Interval between health probes of the backend server.
 const PROBE_INTERVAL: Duration = Duration::from_millis(250);
-const PROBE_BOUND: Duration = Duration::from_millis(800);
-/// Failed looks in a row that mark the backend server as not answering.
-const PROBE_FAILURES: u32 = 3;
-/// How long a stopping agent waits for its last runs to be settled.
-const SETTLE_WAIT: Duration = Duration::from_secs(5);
-/// Time in which every entry has asked for a report and heard that the agent is leaving.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(800);
+/// Number of consecutive failed probes after which the backend server counts as unhealthy.
+const UNHEALTHY_PROBE_FAILURES: u32 = 3;
+/// Longest wait of a stopping agent for its last runs to be settled.
+const SETTLE_TIMEOUT: Duration = Duration::from_secs(5);
+/// Time within which every entry has fetched a load report that says that the agent is stopping.
 const STOP_NOTICE: Duration = Duration::from_secs(1);
-const STOP_STEP: Duration = Duration::from_millis(50);
-const REGISTER_PAUSE: Duration = Duration::from_millis(500);
+const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(50);
+const REGISTER_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Settings of the agent alone.
+/// Settings that only agents have.
 pub const SETTINGS: [SettingRow; 4] = [
     SettingRow { name: "backend", default: None, help: "Address of the backend server." },
     SettingRow { name: "service", default: None, help: "Service of the backend server." },
-    SettingRow { name: "probe-path", default: Some("/engine/load"), help: "Path to look at." },
-    SettingRow { name: "slots", default: Some("8"), help: "Calls at once, if it does not say." },
+    SettingRow { name: "probe-path", default: Some("/engine/load"), help: "Path to probe." },
+    SettingRow { name: "slots", default: Some("8"), help: "Concurrent calls, if not reported." },
 ];
 
-/// The agent's settings.
+/// Settings of an agent.
 #[derive(Debug, Clone)]
 pub struct AgentSettings {
-    /// Those that entries have too.
+    /// Settings shared with entries.
     pub common: CommonSettings,
-    /// The backend server.
+    /// Address of the backend server.
     pub backend: SocketAddr,
-    /// Its service.
+    /// Service of the backend server.
     pub service: ServiceName,
-    /// Calls that it takes at once, where it does not report it.
+    /// Number of concurrent calls of the backend server, if it does not report it.
     pub slots: u64,
-    /// Path on which the backend server is looked at; a model engine reports its load there.
+    /// Path that is probed at the backend server; a model engine reports its load there.
     pub probe_path: String,
 }
 
 impl AgentSettings {
-    /// Reads the settings, noting faults.
+    /// Reads the settings; errors are recorded in `values`.
     pub fn read(values: &mut SettingValues) -> Self {
         let address = |text: &str| text.parse().ok().map(Some);
         Self {
@@ -85,51 +85,51 @@
     }
 }
 
-/// Load as a model engine reports it.
+/// Load report of a model engine.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BackendLoad {
-    /// Requests that it runs at once.
+    /// Number of requests that it runs concurrently.
     pub slots: u64,
-    /// Requests that run.
+    /// Number of running requests.
     pub running: u64,
-    /// Requests that wait.
+    /// Number of queued requests.
     pub waiting: u64,
 }
 
 #[derive(Debug, Default)]
-struct BackendView {
+struct BackendStatus {
     load: Option<BackendLoad>,
     failures: u32,
     fence: u64,
 }
 
-/// One run of the agent.
+/// One incarnation of an agent.
 #[derive(Debug)]
 pub struct Agent {
-    /// Its incarnation.
+    /// Id of this incarnation.
     pub id: AgentId,
-    /// Its settings.
+    /// Settings.
     pub settings: AgentSettings,
-    /// Connections to its backend server.
+    /// Connections to the backend server.
     pub pool: ConnectionPool,
-    /// Its metrics.
+    /// Metrics.
     pub board: MetricBoard,
     address: SocketAddr,
     client: FleetClient,
     store: HttpStore,
     mirrors: MirrorSet,
     ledger: Mutex<UsageLedger>,
-    view: Mutex<BackendView>,
+    status: Mutex<BackendStatus>,
 }
 
 impl Agent {
-    /// Makes an agent that listens at `address`.
+    /// Creates an agent that listens at `address`.
     ///
     /// # Errors
-    /// If its metrics cannot be set up.
+    /// If its metrics cannot be registered.
     pub fn new(settings: AgentSettings, address: SocketAddr) -> io::Result<Self> {
         let id = starting::new_incarnation(&settings.common.name);
-        let limits = ClientLimits { connect_timeout: PROBE_BOUND, ..ClientLimits::default() };
+        let limits = ClientLimits { connect_timeout: PROBE_TIMEOUT, ..ClientLimits::default() };
         Ok(Self {
             ledger: Mutex::new(UsageLedger::new(Arc::clone(&id))),
             id,
@@ -139,61 +139,61 @@
             client: FleetClient::new(&settings.common.fleet_key),
             store: HttpStore::new(settings.common.store),
             mirrors: MirrorSet::new(),
-            view: Mutex::default(),
+            status: Mutex::default(),
             settings,
         })
     }
 
-    /// Locks the ledger.
+    /// Locks the ledger of runs.
     pub fn lock_ledger(&self) -> MutexGuard<'_, UsageLedger> {
         self.ledger.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn lock_view(&self) -> MutexGuard<'_, BackendView> {
-        self.view.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock_status(&self) -> MutexGuard<'_, BackendStatus> {
+        self.status.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Tells whether the backend server answered lately.
+    /// Tells whether the backend server responds to probes.
     pub fn is_backend_healthy(&self) -> bool {
-        self.lock_view().failures < PROBE_FAILURES
+        self.lock_status().failures < UNHEALTHY_PROBE_FAILURES
     }
 
-    async fn answer(self: Arc<Self>, call: ReceivedRequest) -> Response {
+    async fn respond(self: Arc<Self>, call: ReceivedRequest) -> Response {
         match call.path() {
-            "/health" => self.answer_health(),
+            "/health" => self.health_response(),
             "/metrics" => self.board.answer(),
-            "/state" => self.answer_state(),
-            routes::RUN => self.take_run(&call),
-            routes::LOAD => self.sealed(&call, |order: MirrorQuery| {
-                self.mirrors.note_asker(&order);
+            "/state" => self.state_response(),
+            routes::RUN => self.handle_run(&call),
+            routes::LOAD => self.handle_signed(&call, |query: MirrorQuery| {
+                self.mirrors.note_asker(&query);
                 responses::msgpack(&self.report())
             }),
-            routes::FENCE => self.sealed(&call, |order: FenceCommand| {
+            routes::FENCE => self.handle_signed(&call, |command: FenceCommand| {
                 self.board.count_event("fences");
-                responses::msgpack(&self.lock_ledger().fence(&order.shard, order.epoch))
+                responses::msgpack(&self.lock_ledger().fence(&command.shard, command.epoch))
             }),
-            routes::ACK => self.sealed(&call, |order: AckCommand| {
-                self.lock_ledger().acknowledge(&order.runs);
+            routes::ACK => self.handle_signed(&call, |command: AckCommand| {
+                self.lock_ledger().acknowledge(&command.runs);
                 responses::msgpack(&AgentReply { agent: Arc::clone(&self.id), fate: None })
             }),
-            routes::ASK => self.answer_ask(&call).await,
-            routes::ORDER => self.answer_order(&call).await,
+            routes::ASK => self.handle_query(&call).await,
+            routes::ORDER => self.forward_engine_command(&call).await,
             _ => responses::error(&ErrorDetails::new(codetable::NO_SUCH_ROUTE)),
         }
     }
 
-    fn sealed<Message, Answer>(&self, call: &ReceivedRequest, answer: Answer) -> Response
+    fn handle_signed<Message, Handler>(&self, call: &ReceivedRequest, handler: Handler) -> Response
     where
         Message: serde::de::DeserializeOwned,
-        Answer: FnOnce(Message) -> Response,
+        Handler: FnOnce(Message) -> Response,
     {
         match self.client.read(call) {
-            Ok(message) => answer(message),
+            Ok(message) => handler(message),
             Err(refusal) => *refusal,
         }
     }
 
-    fn answer_health(&self) -> Response {
+    fn health_response(&self) -> Response {
         if self.lock_ledger().leaving || !self.is_backend_healthy() {
             responses::text(503, "not taking work\n")
         } else {
@@ -201,7 +201,7 @@
         }
     }
 
-    fn answer_state(&self) -> Response {
+    fn state_response(&self) -> Response {
         let mirrors = self.mirrors.lock();
         let dump = serde_json::json!({
             "role": "agent",
@@ -223,85 +223,86 @@
 
     fn report_with(&self, in_force: u64) -> LoadReport {
         let ledger = self.lock_ledger();
-        let view = self.lock_view();
+        let status = self.lock_status();
         let counted = BackendLoad {
             slots: self.settings.slots,
             running: ledger.running() as u64,
             waiting: 0,
         };
-        let load = view.load.unwrap_or(counted);
+        let load = status.load.unwrap_or(counted);
         LoadReport {
             agent: Arc::clone(&self.id),
             service: Arc::clone(&self.settings.service),
             slots: load.slots,
             running: load.running,
             waiting: load.waiting,
-            healthy: view.failures < PROBE_FAILURES,
+            healthy: status.failures < UNHEALTHY_PROBE_FAILURES,
             leaving: ledger.leaving,
             in_force,
         }
     }
 
-    fn take_run(self: &Arc<Self>, call: &ReceivedRequest) -> Response {
-        let order: RunCommand = match self.client.read(call) {
-            Ok(order) => order,
+    fn handle_run(self: &Arc<Self>, call: &ReceivedRequest) -> Response {
+        let command: RunCommand = match self.client.read(call) {
+            Ok(command) => command,
             Err(refusal) => return *refusal,
         };
-        if let Err(code) = self.lock_ledger().admit(&order) {
+        if let Err(code) = self.lock_ledger().admit(&command) {
             self.board.count_result(code);
-            let request = Arc::clone(&order.request);
+            let request = Arc::clone(&command.request);
             let frame = RunFrame::Refused { request, code, retry_after: 1_000 };
             return responses::bytes(200, frames::encode_frame(&frame));
         }
         self.board.count_result(codetable::OK);
         self.board.in_flight.inc();
         let (writer, body) = pipes::make_pipe();
-        smol::spawn(running::run_order(Arc::clone(self), order, writer)).detach();
+        smol::spawn(execution::run_command(Arc::clone(self), command, writer)).detach();
         responses::stream(200, body)
     }
 
-    async fn answer_ask(&self, call: &ReceivedRequest) -> Response {
-        let order: RunQuery = match self.client.read(call) {
-            Ok(order) => order,
+    async fn handle_query(&self, call: &ReceivedRequest) -> Response {
+        let query: RunQuery = match self.client.read(call) {
+            Ok(query) => query,
             Err(refusal) => return *refusal,
         };
-        let fate = self.lock_ledger().query(&order.run, order.mode);
-        if fate == toucanrail::messages::RunReport::Running && order.mode == QueryMode::Cancel {
+        let report = self.lock_ledger().query(&query.run, query.mode);
+        if report == toucanrail::messages::RunReport::Running && query.mode == QueryMode::Cancel {
             let call =
-                OutboundRequest::get(format!("/engine/cancel/{}", order.run)).on_new_connection();
-            // The run's own task sees its stream end and notes what was used.
-            self.pool.fetch(self.settings.backend, call, PROBE_BOUND).await.ok();
+                OutboundRequest::get(format!("/engine/cancel/{}", query.run)).on_new_connection();
+            // The task of the run sees the stream end and records the usage.
+            self.pool.fetch(self.settings.backend, call, PROBE_TIMEOUT).await.ok();
         }
-        responses::msgpack(&AgentReply { agent: Arc::clone(&self.id), fate: Some(fate) })
+        responses::msgpack(&AgentReply { agent: Arc::clone(&self.id), fate: Some(report) })
     }
 
-    /// Passes an order on to the model engine unless its fencing number is old.
+    /// Forwards a command to the model engine unless its fencing number is outdated.
     ///
-    /// Guards against an order of a holder that was replaced while paused: some engines take any
-    /// order, so the agent, their only way in, refuses numbers lower than it has seen.
-    async fn answer_order(&self, call: &ReceivedRequest) -> Response {
-        let order: EngineCommand = match self.client.read(call) {
-            Ok(order) => order,
+    /// Guards against a command from a holder that was replaced while it was paused. Some engines
+    /// accept any command, so the agent, through which all of them pass, refuses fencing numbers
+    /// lower than the highest it has seen.
+    async fn forward_engine_command(&self, call: &ReceivedRequest) -> Response {
+        let command: EngineCommand = match self.client.read(call) {
+            Ok(command) => command,
             Err(refusal) => return *refusal,
         };
         {
-            let mut view = self.lock_view();
-            if order.fence < view.fence {
+            let mut status = self.lock_status();
+            if command.fence < status.fence {
                 return responses::error(&ErrorDetails::new(codetable::STALE_ORDER));
             }
-            view.fence = order.fence;
+            status.fence = command.fence;
         }
-        let body = serde_json::json!({ "action": order.action, "subject": order.subject });
+        let body = serde_json::json!({ "action": command.action, "subject": command.subject });
         let call = OutboundRequest::post("/engine/order", body.to_string().into_bytes())
-            .field("engine-fence", order.fence.to_string());
-        match self.pool.fetch(self.settings.backend, call, PROBE_BOUND).await {
-            Ok(answer) if answer.status == 200 => responses::msgpack(&true),
+            .field("engine-fence", command.fence.to_string());
+        match self.pool.fetch(self.settings.backend, call, PROBE_TIMEOUT).await {
+            Ok(response) if response.status == 200 => responses::msgpack(&true),
             Ok(_) => responses::error(&ErrorDetails::new(codetable::STALE_ORDER)),
             Err(_) => responses::error(&ErrorDetails::new(codetable::BACKEND_FAILED)),
         }
     }
 
-    /// Looks at the backend server again and again.
+    /// Probes the backend server periodically.
     async fn probe(self: Arc<Self>) {
         loop {
             self.probe_once().await;
@@ -311,28 +312,28 @@
 
     async fn probe_once(&self) {
         let call = OutboundRequest::get(self.settings.probe_path.as_str());
-        let answer = self.pool.fetch(self.settings.backend, call, PROBE_BOUND).await;
-        let mut view = self.lock_view();
-        let was_healthy = view.failures < PROBE_FAILURES;
-        match answer {
-            Ok(answer) if answer.status < 500 => {
-                view.load =
-                    serde_json::from_slice(&answer.body).ok().filter(|_| answer.status == 200);
-                view.failures = 0;
+        let response = self.pool.fetch(self.settings.backend, call, PROBE_TIMEOUT).await;
+        let mut status = self.lock_status();
+        let was_healthy = status.failures < UNHEALTHY_PROBE_FAILURES;
+        match response {
+            Ok(response) if response.status < 500 => {
+                status.load =
+                    serde_json::from_slice(&response.body).ok().filter(|_| response.status == 200);
+                status.failures = 0;
             }
             _ => {
-                view.failures += 1;
+                status.failures += 1;
                 self.pool.evict(self.settings.backend);
             }
         }
-        let healthy = view.failures < PROBE_FAILURES;
+        let healthy = status.failures < UNHEALTHY_PROBE_FAILURES;
         if healthy != was_healthy {
-            tracing::info!(healthy, backend = %self.settings.backend, "backend server changed");
+            tracing::info!(healthy, backend = %self.settings.backend, "backend health changed");
         }
     }
 
-    /// Keeps the catalogue in force: from entries, or from the platform if no entry answers.
-    async fn mirror(self: Arc<Self>) {
+    /// Keeps the catalogue up to date: from entries, or from the store if no entry answers.
+    async fn sync_catalogue(self: Arc<Self>) {
         loop {
             let common = &self.settings.common;
             let entries = self.mirrors.entries_to_ask(&common.data_centre, &common.peers);
@@ -344,7 +345,7 @@
         }
     }
 
-    /// Writes the registration; empty to end it.
+    /// Writes the registration, or ends it if `present` is false.
     async fn register(&self, present: bool) -> bool {
         let common = &self.settings.common;
         let node = NodeEntry {
@@ -359,19 +360,21 @@
         registering::write_node(&self.store, &self.id, value).await
     }
 
-    /// Takes no new work, lets what runs finish and be settled, then ends the registration.
+    /// Stops accepting work, waits until running requests have ended and are settled, then ends the
+    /// registration.
     async fn drain(&self) {
         self.lock_ledger().leaving = true;
         tracing::info!(id = %self.id, "stopping");
-        // An order on its way to a process that ends has an unknown end: entries hear first.
+        // The outcome of a command in transit to a process that ends would be unknown, so entries
+        // are told before.
         smol::Timer::after(STOP_NOTICE).await;
         let start = Instant::now();
         while self.lock_ledger().running() > 0 && start.elapsed() < self.settings.common.drain {
-            smol::Timer::after(STOP_STEP).await;
+            smol::Timer::after(STOP_CHECK_INTERVAL).await;
         }
         let settling = Instant::now();
-        while self.lock_ledger().unsettled() > 0 && settling.elapsed() < SETTLE_WAIT {
-            smol::Timer::after(STOP_STEP).await;
+        while self.lock_ledger().unsettled() > 0 && settling.elapsed() < SETTLE_TIMEOUT {
+            smol::Timer::after(STOP_CHECK_INTERVAL).await;
         }
         self.register(false).await;
         tracing::info!(id = %self.id, left = self.lock_ledger().running(), "stopped");
@@ -382,34 +385,34 @@
 #[derive(Debug)]
 pub struct AgentHandle {
     agent: Arc<Agent>,
-    /// Where it listens.
+    /// Address that it listens at.
     pub address: SocketAddr,
 }
 
 impl AgentHandle {
-    /// Returns the incarnation.
+    /// Returns the id of the incarnation.
     pub fn id(&self) -> &AgentId {
         &self.agent.id
     }
 
-    /// Stops gracefully.
+    /// Stops the agent gracefully.
     pub async fn stop(self) {
         self.agent.drain().await;
     }
 }
 
-/// Starts an agent on the present executor.
+/// Starts an agent on the current executor.
 pub fn start(settings: AgentSettings) -> io::Result<AgentHandle> {
     let listener = listeners::bind(&settings.common.listen)?;
     let address = listener.local_addr()?;
     let agent = Arc::new(Agent::new(settings, address)?);
     smol::spawn(serve(Arc::clone(&agent), listener)).detach();
     smol::spawn(Arc::clone(&agent).probe()).detach();
-    smol::spawn(Arc::clone(&agent).mirror()).detach();
+    smol::spawn(Arc::clone(&agent).sync_catalogue()).detach();
     let registering = Arc::clone(&agent);
     smol::spawn(async move {
         while !registering.register(true).await {
-            smol::Timer::after(REGISTER_PAUSE).await;
+            smol::Timer::after(REGISTER_RETRY_INTERVAL).await;
         }
     })
     .detach();
@@ -418,7 +421,7 @@
 }
 
 async fn serve(agent: Arc<Agent>, listener: TcpListener) {
-    let limits = ServerLimits { max_body: ORDER_LIMIT, ..ServerLimits::default() };
-    let handler = move |call| Arc::clone(&agent).answer(call);
+    let limits = ServerLimits { max_body: MAX_COMMAND_BYTES, ..ServerLimits::default() };
+    let handler = move |call| Arc::clone(&agent).respond(call);
     listeners::serve(listener, limits, handler).await;
 }
