--- a/toucanrail-standins/src/reports.rs
+++ b/toucanrail-standins/src/reports.rs
@@ -98,7 +98,7 @@
     pub writes_per_request: f64,
     /// Time to the first byte of the body.
     pub first_token: LatencyRow,
-    /// Time between consecutive tokens.
+    /// Time between consecutive chunks of the body.
     pub between_tokens: LatencyRow,
     /// Correct responses by the second in which they ended.
     pub goodput: Vec<usize>,
@@ -233,7 +233,8 @@
     fetch(&pool, store, "/control/counts").await.unwrap_or_default()
 }
 
-/// Waits until every correct response is billed, for at most `SETTLE_TIMEOUT`, then creates the report.
+/// Waits until every correct response is billed, for at most `SETTLE_TIMEOUT`, then creates the
+/// report.
 pub async fn make_report(
     plan: &LoadPlan,
     attempts: &[CallerAttempt],
@@ -391,24 +392,24 @@
         .flat_map(|engine| engine.starts.keys())
         .filter_map(|run| run.split('.').next())
         .collect();
-    let mut responses_by_key: BTreeMap<&str, BTreeSet<&str>> = BTreeMap::new();
+    let mut bodies_by_key: BTreeMap<&str, BTreeSet<&str>> = BTreeMap::new();
     for attempt in attempts {
         if let (Some(key), Some(body)) = (&attempt.key, &attempt.body) {
-            responses_by_key.entry(key).or_default().insert(body);
+            bodies_by_key.entry(key).or_default().insert(body);
         }
         let CallerOutcome::Refused { run, .. } = &attempt.outcome else {
             continue;
         };
-        // A request with an idempotency key may have run in another attempt; the counts of the plain
-        // services cover those.
+        // A request with an idempotency key may have run in another attempt; the counts of the
+        // plain services cover those.
         let claims_not_run = attempt.key.is_none() && run == "not-run";
         let ran = attempt.request.as_deref().is_some_and(|id| started.contains(id));
         report.false_not_run += usize::from(claims_not_run && ran);
     }
-    let plain_keys: BTreeSet<&str> = responses_by_key.keys().copied().collect();
+    let plain_keys: BTreeSet<&str> = bodies_by_key.keys().copied().collect();
     let repeated = runs.iter().filter(|(key, count)| key.starts_with("load-") && **count > 1);
     report.duplicate_runs = repeated.count();
-    report.changed_answers = responses_by_key.values().filter(|bodies| bodies.len() > 1).count();
+    report.changed_answers = bodies_by_key.values().filter(|bodies| bodies.len() > 1).count();
     for key in plain_keys {
         let has_no_run = !runs.contains_key(key);
         report.false_not_run += usize::from(has_no_run);
@@ -455,7 +456,7 @@
         let (wrongful, all) = (self.false_refusals, self.budget_refusals);
         row("false / budget refusals", format!("{wrongful} / {all}"));
         row(
-            "spent / billed / written off",
+            "spent/billed/written off",
             format!("{} / {} / {}", self.spent, self.billed, self.written_off),
         );
         row("frozen at the end", self.frozen.to_string());
