--- a/toucanrail-daemons/tests/engine_commands.rs
+++ b/toucanrail-daemons/tests/engine_commands.rs
@@ -24,6 +24,6 @@
         fleet.tools.fence = 6;
         fleet.tools.fleet_key = "guessed".to_owned();
         assert!(fleet.run_command(&args).await.is_err(), "a command with a wrong key was accepted");
-        assert_eq!(engine.orders().len(), 1);
+        assert_eq!(engine.commands().len(), 1);
     });
 }
--- a/toucanrail-daemons/tests/fleet/mod.rs
+++ b/toucanrail-daemons/tests/fleet/mod.rs
@@ -276,7 +276,7 @@
 
 /// Returns the text with which an engine responds to a prompt.
 pub fn expected_text(prompt: &str, tokens: u64) -> String {
-    texts::answer_text(prompt, 0, tokens)
+    texts::generated_text(prompt, 0, tokens)
 }
 
 /// Returns the result code of a response.
--- a/toucanrail-standins/src/bin/toucanrail-standin.rs
+++ b/toucanrail-standins/src/bin/toucanrail-standin.rs
@@ -30,7 +30,7 @@
     SettingRow {
         name: "honours-fencing",
         default: Some("true"),
-        help: "Reject orders with a lower fencing number.",
+        help: "Reject commands with a lower fencing number.",
     },
 ];
 
--- a/toucanrail-standins/src/engines.rs
+++ b/toucanrail-standins/src/engines.rs
@@ -78,6 +78,7 @@
     pub generated: Tokens,
 }
 
+/// A request that is queued or in the batch.
 #[derive(Debug)]
 struct Sequence {
     id: String,
@@ -105,9 +106,9 @@
     load_samples: VecDeque<(Instant, EngineLoad)>,
     cached_tokens: u64,
     prompt_tokens: u64,
-    /// Fencing number of the last order carried out.
+    /// Fencing number of the last command carried out.
     fence: u64,
-    orders: Vec<String>,
+    commands: Vec<String>,
 }
 
 /// A simulated model engine; clones share its state.
@@ -117,7 +118,7 @@
     speed: Arc<EngineSpeed>,
     /// Faults injected into this engine.
     pub faults: FaultInjector,
-    /// Whether orders with a lower fencing number than the last accepted one are rejected.
+    /// Whether commands with a lower fencing number than the last accepted one are rejected.
     honours_fencing: bool,
 }
 
@@ -166,9 +167,9 @@
         self.lock().spent.clone()
     }
 
-    /// Returns the orders carried out, in order of arrival.
-    pub fn orders(&self) -> Vec<String> {
-        self.lock().orders.clone()
+    /// Returns the commands carried out, oldest first.
+    pub fn commands(&self) -> Vec<String> {
+        self.lock().commands.clone()
     }
 
     /// Returns the number of running and queued sequences.
@@ -204,7 +205,7 @@
             "/v1/models" => responses::json(200, &json!({"object": "list", "data": []})),
             "/engine/load" => responses::json(200, &self.delayed_load()),
             "/engine/cache-events" => self.cache_events_response(),
-            "/engine/order" => self.handle_order(&request),
+            "/engine/order" => self.handle_command(&request),
             _ => responses::text(404, "no such path"),
         }
     }
@@ -216,7 +217,7 @@
             "starts": state.starts,
             "cached_tokens": state.cached_tokens,
             "prompt_tokens": state.prompt_tokens,
-            "orders": state.orders,
+            "orders": state.commands,
         });
         responses::json(200, &truth)
     }
@@ -277,15 +278,15 @@
         responses::json(200, &visible)
     }
 
-    fn handle_order(&self, request: &ReceivedRequest) -> Response {
+    fn handle_command(&self, request: &ReceivedRequest) -> Response {
         let fence = request.field("engine-fence").and_then(|text| text.parse().ok()).unwrap_or(0);
         let mut state = self.lock();
         if self.honours_fencing && fence < state.fence {
             return responses::text(409, "old fencing number");
         }
         state.fence = fence;
-        let order = String::from_utf8_lossy(&request.body).into_owned();
-        state.orders.push(order);
+        let command = String::from_utf8_lossy(&request.body).into_owned();
+        state.commands.push(command);
         responses::text(200, "done")
     }
 
--- a/toucanrail-standins/src/lib.rs
+++ b/toucanrail-standins/src/lib.rs
@@ -3,7 +3,7 @@
 //!
 //! # Examples
 //! ```
-//! let text = toucanrail_standins::texts::answer_text("hello", 0, 3);
+//! let text = toucanrail_standins::texts::generated_text("hello", 0, 3);
 //! assert_eq!(text.split_whitespace().count(), 3);
 //! ```
 
--- a/toucanrail-standins/src/loads.rs
+++ b/toucanrail-standins/src/loads.rs
@@ -290,10 +290,10 @@
         // Skews the prefix popularity: the square of a uniform draw favours low indices.
         let prefix = (rng.f64().powi(2) * self.prefixes as f64) as u64;
         let mut prompt =
-            texts::answer_text(&format!("prefix {prefix}"), 0, self.prefix_bytes as u64 / 5);
+            texts::generated_text(&format!("prefix {prefix}"), 0, self.prefix_bytes as u64 / 5);
         let suffix_bytes = sample_pareto(rng, self.suffix_bytes as f64);
         prompt += &format!("{number} ");
-        prompt += &texts::answer_text(&format!("suffix {number}"), 0, suffix_bytes as u64 / 5);
+        prompt += &texts::generated_text(&format!("suffix {number}"), 0, suffix_bytes as u64 / 5);
         let tokens = (sample_pareto(rng, self.output) as Tokens).clamp(1, self.max_output);
         RequestKind::Completion { prompt, tokens }
     }
@@ -321,7 +321,7 @@
     /// Returns the expected text of the response, or `None` if it is not known in advance.
     pub fn expected_text(&self) -> Option<String> {
         match self {
-            Self::Completion { prompt, tokens } => Some(texts::answer_text(prompt, 0, *tokens)),
+            Self::Completion { prompt, tokens } => Some(texts::generated_text(prompt, 0, *tokens)),
             Self::Plain => None,
         }
     }
--- a/toucanrail-standins/src/texts.rs
+++ b/toucanrail-standins/src/texts.rs
@@ -20,7 +20,7 @@
 }
 
 /// Returns the generated text of a prompt for the token positions `from..to`.
-pub fn answer_text(prompt: &str, from: Tokens, to: Tokens) -> String {
+pub fn generated_text(prompt: &str, from: Tokens, to: Tokens) -> String {
     let seed = prompt_seed(prompt);
     (from..to).map(|position| token_text(seed, position)).collect()
 }
