--- a/toucanrail/src/grants.rs
+++ b/toucanrail/src/grants.rs
@@ -190,8 +190,8 @@
         let (_, shard) = self.shards.get(self.homes.get(customer)?)?.cached.as_ref()?;
         let known = shard.accounts.get(customer)?;
         // The next sync adds a top-up that is configured but not yet in the shard.
-        let stated = self.accounts.get(customer).map_or(0, |account| account.prepaid);
-        Some(known.unallocated() + stated.saturating_sub(known.prepaid))
+        let configured = self.accounts.get(customer).map_or(0, |account| account.prepaid);
+        Some(known.unallocated() + configured.saturating_sub(known.prepaid))
     }
 
     /// Records that a request waits until `amount` more is granted.
@@ -255,8 +255,8 @@
     ///
     /// Tokens that local requests wait for are kept unless the peer's id is the lower one: of two
     /// entries that each need the other's tokens, exactly one must yield.
-    pub fn recall(&mut self, customer: &CustomerId, wanted: Tokens, asker: &EntryId) -> Tokens {
-        let must_yield = *asker < self.entry;
+    pub fn recall(&mut self, customer: &CustomerId, wanted: Tokens, requester: &EntryId) -> Tokens {
+        let must_yield = *requester < self.entry;
         let Some(account) = self.accounts.get_mut(customer) else {
             return 0;
         };
@@ -427,14 +427,14 @@
             // The plan is kept; the next sync reads from the shard whether it took effect.
             SyncOutcome::Unavailable => tenure.cached = None,
             SyncOutcome::Unchanged { shard: content, version } => {
-                tenure.looks += 1;
+                tenure.confirmed_syncs += 1;
                 tenure.plan = None;
                 tenure.cached = Some((version, content));
             }
             SyncOutcome::Revoked { applied } => self.drop_tenure(shard, applied),
             SyncOutcome::Applied { shard: content, version, epoch } => {
                 tenure.epoch = epoch;
-                tenure.looks += 1;
+                tenure.confirmed_syncs += 1;
                 if let Some(plan) = tenure.plan.take() {
                     if plan.leave {
                         return self.drop_tenure(shard, true);
@@ -535,7 +535,7 @@
 
     /// Returns the number of syncs that have seen the newest version of a shard.
     pub fn confirmed_syncs(&self, shard: &ShardName) -> u64 {
-        self.shards.get(shard).map_or(0, |tenure| tenure.looks)
+        self.shards.get(shard).map_or(0, |tenure| tenure.confirmed_syncs)
     }
 
     /// Returns whether an account of a shard has more recent keyed requests than the limit.
--- a/toucanrail/src/ledgers.rs
+++ b/toucanrail/src/ledgers.rs
@@ -2,8 +2,8 @@
 //!
 //! All requests reach a backend server through its agent, so an attempt that the ledger rejects
 //! did not run, and the ledger lists every attempt that did. The ledger is kept in memory only. A
-//! restarted agent has lost its fences; it therefore rejects orders for an earlier incarnation,
-//! which every order names.
+//! restarted agent has lost its fences; it therefore rejects commands for an earlier
+//! incarnation, which every command names.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -105,37 +105,37 @@
     /// [`codetable::WRONG_INCARNATION`], [`codetable::STOPPING`], [`codetable::FENCED`],
     /// [`codetable::VOIDED`] and [`codetable::DEADLINE_PASSED`] guarantee that the attempt did not
     /// run; [`codetable::ALREADY_SEEN`] means that it was received before.
-    pub fn admit(&mut self, order: &RunCommand) -> Result<(), ResultCode> {
-        if order.agent != self.agent {
+    pub fn admit(&mut self, command: &RunCommand) -> Result<(), ResultCode> {
+        if command.agent != self.agent {
             return Err(codetable::WRONG_INCARNATION);
         }
-        if self.runs.contains_key(&order.run) || self.dropped.contains(&order.run) {
+        if self.runs.contains_key(&command.run) || self.dropped.contains(&command.run) {
             return Err(codetable::ALREADY_SEEN);
         }
-        if self.voided.contains(&order.run) {
+        if self.voided.contains(&command.run) {
             return Err(codetable::VOIDED);
         }
-        if self.fences.contains(&(Arc::clone(&order.shard), order.epoch)) {
+        if self.fences.contains(&(Arc::clone(&command.shard), command.epoch)) {
             return Err(codetable::FENCED);
         }
         if self.leaving {
             return Err(codetable::STOPPING);
         }
-        if order.time_left == 0 {
+        if command.time_left == 0 {
             return Err(codetable::DEADLINE_PASSED);
         }
         let row = LedgerRow {
-            request: Arc::clone(&order.request),
-            customer: Arc::clone(&order.customer),
-            service: Arc::clone(&order.service),
-            shard: Arc::clone(&order.shard),
-            epoch: order.epoch,
-            keyed: order.keyed,
-            resumed: order.resume_from > 0,
-            hold: order.hold,
+            request: Arc::clone(&command.request),
+            customer: Arc::clone(&command.customer),
+            service: Arc::clone(&command.service),
+            shard: Arc::clone(&command.shard),
+            epoch: command.epoch,
+            keyed: command.keyed,
+            resumed: command.resume_from > 0,
+            hold: command.hold,
             state: RunPhase::Running,
         };
-        self.runs.insert(Arc::clone(&order.run), row);
+        self.runs.insert(Arc::clone(&command.run), row);
         Ok(())
     }
 
@@ -206,8 +206,8 @@
         }
     }
 
-    /// Returns the state of an attempt. Unless `mode` is [`QueryMode::Look`], an attempt that was not
-    /// received is voided, so that it never runs here.
+    /// Returns the state of an attempt. Unless `mode` is [`QueryMode::Look`], an attempt that was
+    /// not received is voided, so that it never runs here.
     pub fn query(&mut self, run: &RunId, mode: QueryMode) -> RunReport {
         let answer = self.responses.get(run).cloned();
         if let Some(row) = self.runs.get(run) {
--- a/toucanrail/src/policies.rs
+++ b/toucanrail/src/policies.rs
@@ -67,9 +67,9 @@
         /// Whether unused grants are recalled from other entries before a request is refused.
         recall: bool,
     },
-    /// The expected usage of a time horizon, up to fractions of the prepaid total and of the unspent
-    /// tokens. For a store that is unavailable for seconds at a time, and holders whose grants are
-    /// lost with their process.
+    /// The expected usage of a time horizon, up to fractions of the prepaid total and of the
+    /// unspent tokens. For a store that is unavailable for seconds at a time, and holders whose
+    /// grants are lost with their process.
     OutageTolerant {
         /// How long the grant should last.
         horizon: Duration,
--- a/toucanrail/src/reclaims.rs
+++ b/toucanrail/src/reclaims.rs
@@ -117,7 +117,8 @@
 impl ReclaimMachine {
     /// Creates a machine with which the entry `reclaimer` reclaims the tenure of `dead`.
     ///
-    /// With `takeover`, it also continues a reclaim that another entry has started and not finished.
+    /// With `takeover`, it also continues a reclaim that another entry has started and not
+    /// finished.
     pub fn new(shard: ShardName, dead: EntryId, reclaimer: EntryId, takeover: bool) -> Self {
         Self {
             shard_name: shard,
@@ -447,7 +448,7 @@
     let largest = rows.iter().map(|(_, row)| row.used).max();
     let resumed = rows.iter().any(|(_, row)| row.resumed);
     let billed = if resumed { total } else { whole.or(largest).unwrap_or_default() };
-    let notes = rows.iter().map(|(agent, row)| BilledRun {
+    let runs = rows.iter().map(|(agent, row)| BilledRun {
         run: Arc::clone(&row.run),
         agent: Arc::clone(agent),
         used: row.used,
@@ -461,6 +462,6 @@
         billed,
         written_off: total - billed,
         unproved: rows.iter().map(|(_, row)| row.unproved).sum(),
-        runs: notes.collect(),
+        runs: runs.collect(),
     })
 }
--- a/toucanrail/src/records.rs
+++ b/toucanrail/src/records.rs
@@ -277,7 +277,8 @@
         if record.digest != self.initial.digest {
             return self.refuse(codetable::KEY_REUSED);
         }
-        // This machine wrote the record and the reply was lost; nothing has been sent to an agent yet.
+        // This machine wrote the record and the reply was lost; nothing has been sent to an agent
+        // yet.
         if record.nonce == self.initial.nonce && record.state == RecordState::Started {
             self.written = record;
             return self.end_with_record(version);
@@ -303,7 +304,8 @@
             return self.refuse(codetable::END_UNKNOWN);
         };
         match reply {
-            // The only agent that the attempt may be sent to has voided it, so a new attempt may run.
+            // The only agent that the attempt may be sent to has voided it, so a new attempt may
+            // run.
             RecordReply::Report(RunReport::NeverCame) => self.start_attempt(&record),
             RecordReply::Report(RunReport::Ended { answer: Some(response), .. }) => {
                 self.rewrite(&record, finished_state(response));
--- a/toucanrail/src/scanners.rs
+++ b/toucanrail/src/scanners.rs
@@ -54,8 +54,8 @@
 /// # Examples
 /// ```
 /// use toucanrail::scanners;
-/// let facts = scanners::scan_head(b"GET / HTTP/1.1\r\nHost: a\r\nContent-Length: 4\r\n\r\n")?;
-/// assert_eq!(facts.length, scanners::BodyLength::Exact(4));
+/// let info = scanners::scan_head(b"GET / HTTP/1.1\r\nHost: a\r\nContent-Length: 4\r\n\r\n")?;
+/// assert_eq!(info.length, scanners::BodyLength::Exact(4));
 /// # Ok::<(), toucanrail::codes::ResultCode>(())
 /// ```
 pub fn scan_head(head: &[u8]) -> Result<HeadInfo, ResultCode> {
--- a/toucanrail/src/servers.rs
+++ b/toucanrail/src/servers.rs
@@ -137,14 +137,20 @@
         self.rows.retain(|agent, row| known.contains(agent) || row.own > 0);
     }
 
-    /// Processes a load report that was requested at `asked`, when `own` requests of this entry
-    /// were in flight. The report also serves as the agent's heartbeat.
-    pub fn apply_report(&mut self, report: &LoadReport, own: u64, asked: Duration, now: Duration) {
+    /// Processes a load report that was requested at `requested_at`, when `own` requests of this
+    /// entry were in flight. The report also serves as the agent's heartbeat.
+    pub fn apply_report(
+        &mut self,
+        report: &LoadReport,
+        own: u64,
+        requested_at: Duration,
+        now: Duration,
+    ) {
         let Some(row) = self.rows.get_mut(&report.agent) else {
             return;
         };
         row.heard_at = Some(now);
-        row.reported_at = asked;
+        row.reported_at = requested_at;
         row.slots = report.slots.max(1);
         row.reported = report.running + report.waiting;
         row.others = row.reported.saturating_sub(own) as f64;
--- a/toucanrail/src/syncs.rs
+++ b/toucanrail/src/syncs.rs
@@ -238,8 +238,8 @@
         self.plan.demands.values().any(|demand| demand.prepaid > 0)
     }
 
-    /// Continues with a shard that was read or taken from the cache. Ends the sync if it has already
-    /// taken effect or its tenure is revoked.
+    /// Continues with a shard that was read or taken from the cache. Ends the sync if it has
+    /// already taken effect or its tenure is revoked.
     fn use_shard(&mut self, version: Option<Version>, shard: BudgetShard) {
         self.version = version;
         self.shard = shard;
--- a/toucanrail/src/tenures.rs
+++ b/toucanrail/src/tenures.rs
@@ -23,7 +23,8 @@
     /// Settled runs that agents have not dropped yet, by sequence number and agent.
     pub unacked: BTreeMap<Sequence, BTreeMap<AgentId, Vec<RunId>>>,
     /// Number of syncs that have seen the newest version of the shard.
-    pub looks: u64,
+    #[serde(rename = "looks")]
+    pub confirmed_syncs: u64,
     /// The sync whose outcome is not yet known.
     #[serde(skip)]
     pub plan: Option<SyncPlan>,
