--- a/toucanrail-gateway/src/accepting.rs
+++ b/toucanrail-gateway/src/accepting.rs
@@ -71,31 +71,31 @@
 }
 
 async fn serve_connection(gateway: &Rc<Gateway>, socket: Async<TcpStream>) -> io::Result<()> {
-    let mut channel = BufferedConnection::new(socket)?;
+    let mut connection = BufferedConnection::new(socket)?;
     let mut served = false;
     loop {
-        let bounds = gateway.tables.borrow().routes.limits();
-        let is_idle = channel.buffer.is_empty();
-        if is_idle && !wait_for_request(gateway, &mut channel, bounds.idle, served).await? {
+        let limits = gateway.tables.borrow().routes.limits();
+        let is_idle = connection.buffer.is_empty();
+        if is_idle && !wait_for_request(gateway, &mut connection, limits.idle, served).await? {
             return Ok(());
         }
         served = true;
         let arrived = Instant::now();
         let guard = RequestGuard::new(gateway);
-        let (head, body) = match read_request(&mut channel, bounds).await {
+        let (head, body) = match read_request(&mut connection, limits).await {
             Ok(request) => request,
             Err(ReadError::Disconnected) => return Ok(()),
-            Err(ReadError::Refused(code)) => return refuse(gateway, channel, code).await,
+            Err(ReadError::Refused(code)) => return refuse(gateway, connection, code).await,
         };
         let close = head.close || gateway.stop_requested.get().is_some();
-        let mut writer = ResponseWriter::new(channel.writer(), close);
+        let mut writer = ResponseWriter::new(connection.writer(), close);
         let responding = async {
             admitting::handle_request(gateway, &head, &body, &mut writer, arrived).await;
             true
         };
         // Polled first: once the caller is known to have disconnected, no further step of its
         // request may run, because that step could forward the request to a server.
-        let completed = wait_for_disconnect(&mut channel).or(responding).await;
+        let completed = wait_for_disconnect(&mut connection).or(responding).await;
         drop(guard);
         if !completed {
             gateway.metrics.count_result(codetable::CANCELLED);
@@ -106,7 +106,7 @@
             return Ok(());
         }
         if writer.close || !writer.complete {
-            return close_connection(channel, writer.complete).await;
+            return close_connection(connection, writer.complete).await;
         }
     }
 }
@@ -118,13 +118,13 @@
 /// once, repeatedly, although the request could have been served here.
 async fn wait_for_request(
     gateway: &Gateway,
-    channel: &mut BufferedConnection,
+    connection: &mut BufferedConnection,
     idle: Duration,
     served: bool,
 ) -> io::Result<bool> {
     let close_idle = gateway.close_idle_event.listen();
     if !served && gateway.close_idle.get() {
-        return Ok(time_limits::io_timeout(FIRST_REQUEST_TIMEOUT, channel.fill()).await? > 0);
+        return Ok(time_limits::io_timeout(FIRST_REQUEST_TIMEOUT, connection.fill()).await? > 0);
     }
     if gateway.close_idle.get() {
         return Ok(false);
@@ -133,34 +133,34 @@
         close_idle.await;
         Ok(0)
     };
-    Ok(time_limits::io_timeout(idle, channel.fill().or(closed)).await? > 0)
+    Ok(time_limits::io_timeout(idle, connection.fill().or(closed)).await? > 0)
 }
 
 async fn read_request(
-    channel: &mut BufferedConnection,
-    bounds: CallerLimits,
+    connection: &mut BufferedConnection,
+    limits: CallerLimits,
 ) -> Result<(RequestHead, Vec<u8>), ReadError> {
-    let bytes = time_limits::io_timeout(bounds.arrival, channel.read_head(bounds.head)).await?;
+    let bytes = time_limits::io_timeout(limits.arrival, connection.read_head(limits.head)).await?;
     let head = RequestHead::parse(&bytes.ok_or(ReadError::Disconnected)?)?;
-    let mut framer = BodyDecoder::for_request(head.length);
+    let mut decoder = BodyDecoder::for_request(head.length);
     let mut body = Vec::new();
-    if !framer.is_done() && head.fields.get("expect").is_some() {
-        channel.writer().write_all(b"HTTP/1.1 100 Continue\r\n\r\n").await?;
+    if !decoder.is_done() && head.fields.get("expect").is_some() {
+        connection.writer().write_all(b"HTTP/1.1 100 Continue\r\n\r\n").await?;
     }
     let reading = async {
         loop {
-            let consumed = framer.feed(&channel.buffer, &mut body);
-            channel.buffer.drain(..consumed);
-            if framer.is_malformed() {
+            let consumed = decoder.feed(&connection.buffer, &mut body);
+            connection.buffer.drain(..consumed);
+            if decoder.is_malformed() {
                 return Err(ReadError::Refused(codetable::BAD_REQUEST));
             }
-            if body.len() > bounds.body {
+            if body.len() > limits.body {
                 return Err(ReadError::Refused(codetable::BODY_TOO_LARGE));
             }
-            if framer.is_done() {
+            if decoder.is_done() {
                 return Ok(());
             }
-            if channel.fill().await? == 0 {
+            if connection.fill().await? == 0 {
                 return Err(ReadError::Refused(codetable::CUT_REQUEST));
             }
         }
@@ -173,26 +173,26 @@
 
 async fn refuse(
     gateway: &Gateway,
-    channel: BufferedConnection,
+    connection: BufferedConnection,
     code: ResultCode,
 ) -> io::Result<()> {
     gateway.metrics.count_result(code);
     tracing::info!(event = "refused_unread", code = code.number());
-    let note = responding::make_refusal(code, RunState::NotRun, None);
-    channel.writer().write_all(&responding::encode_refusal(&note, true)).await?;
-    close_connection(channel, true).await
+    let details = responding::make_refusal(code, RunState::NotRun, None);
+    connection.writer().write_all(&responding::encode_refusal(&details, true)).await?;
+    close_connection(connection, true).await
 }
 
 /// Closes a connection. After a complete response, closes it gracefully so that the caller receives
 /// all of it.
-async fn close_connection(mut channel: BufferedConnection, complete: bool) -> io::Result<()> {
+async fn close_connection(mut connection: BufferedConnection, complete: bool) -> io::Result<()> {
     if !complete {
         return Ok(());
     }
-    channel.writer().finish()?;
+    connection.writer().finish()?;
     let reading = async {
-        while channel.fill().await? > 0 {
-            channel.buffer.clear();
+        while connection.fill().await? > 0 {
+            connection.buffer.clear();
         }
         Ok(())
     };
@@ -201,9 +201,9 @@
 
 /// Returns false when the caller closes its side, so that work for a disconnected caller stops even
 /// while there is nothing to write. Stops watching once a pipelined request fills the buffer.
-async fn wait_for_disconnect(channel: &mut BufferedConnection) -> bool {
-    while channel.buffer.len() < MAX_PIPELINED_BYTES {
-        if !matches!(channel.fill().await, Ok(count) if count > 0) {
+async fn wait_for_disconnect(connection: &mut BufferedConnection) -> bool {
+    while connection.buffer.len() < MAX_PIPELINED_BYTES {
+        if !matches!(connection.fill().await, Ok(count) if count > 0) {
             return false;
         }
     }
--- a/toucanrail-gateway/src/admin.rs
+++ b/toucanrail-gateway/src/admin.rs
@@ -48,9 +48,9 @@
 }
 
 async fn serve_connection(gateway: &Gateway, socket: Async<TcpStream>) -> io::Result<()> {
-    let mut channel = BufferedConnection::new(socket)?;
+    let mut connection = BufferedConnection::new(socket)?;
     while let Some(bytes) =
-        time_limits::io_timeout(IDLE_TIMEOUT, channel.read_head(MAX_HEAD_BYTES)).await?
+        time_limits::io_timeout(IDLE_TIMEOUT, connection.read_head(MAX_HEAD_BYTES)).await?
     {
         let head = RequestHead::parse(&bytes).map_err(|_| io::ErrorKind::InvalidData)?;
         let (status, body) = respond(gateway, head.path());
@@ -58,7 +58,7 @@
         let mut response =
             format!("HTTP/1.1 {status}\r\nContent-Length: {length}\r\n\r\n").into_bytes();
         response.extend_from_slice(&body);
-        channel.writer().write_all(&response).await?;
+        connection.writer().write_all(&response).await?;
         if head.close {
             break;
         }
@@ -85,7 +85,7 @@
         config_version: tables.routes.version(),
         stopping: gateway.stop_requested.get().is_some(),
         in_flight: gateway.in_flight.get(),
-        store_age_ms: gateway.store.time_since_answer().as_millis() as u64,
+        store_age_ms: gateway.store.time_since_response().as_millis() as u64,
         store_ways: gateway.store.endpoints(),
         backends: &tables.backends,
         limits: &tables.limits,
--- a/toucanrail-gateway/src/admitting.rs
+++ b/toucanrail-gateway/src/admitting.rs
@@ -65,43 +65,43 @@
     match admit(gateway, head, body, arrived).await {
         Ok(plan) => dispatching::dispatch(gateway, &plan, writer).await,
         Err(refusal) => {
-            let facts = requests::parse_request(head);
+            let info = requests::parse_request(head);
             let version = gateway.tables.borrow().routes.version();
-            let age = gateway.store.time_since_answer();
+            let age = gateway.store.time_since_response();
             tracing::info!(
-                event = "refused", request = %facts.id, code = refusal.code.number(),
+                event = "refused", request = %info.id, code = refusal.code.number(),
                 reason = refusal.code.row().name, path = head.path(), config = version,
                 store_age_ms = age.as_millis() as u64,
             );
             gateway.metrics.count_result(refusal.code);
             // The next request on this keep-alive connection would also reach an isolated entry.
             writer.close |= gateway.is_isolated();
-            let note =
+            let details =
                 responding::make_refusal(refusal.code, RunState::NotRun, refusal.retry_after);
             // The caller may have disconnected; then nobody needs the refusal.
-            writer.send_refusal(&note).await.ok();
+            writer.send_refusal(&details).await.ok();
         }
     }
 }
 
-async fn admit<'call>(
+async fn admit<'request>(
     gateway: &Rc<Gateway>,
-    head: &'call RequestHead,
-    body: &'call [u8],
+    head: &'request RequestHead,
+    body: &'request [u8],
     arrived: Instant,
-) -> Result<RequestPlan<'call>, AdmissionRefusal> {
-    let facts = requests::parse_request(head);
-    let (route, customer) = match_route(gateway, head, &facts)?;
+) -> Result<RequestPlan<'request>, AdmissionRefusal> {
+    let info = requests::parse_request(head);
+    let (route, customer) = match_route(gateway, head, &info)?;
     check_stopping(gateway, route.timeout)?;
     let service = route.pick_service(fastrand::f64()).map(Arc::clone);
     let service = service.ok_or(codetable::NO_BACKEND_SERVER)?;
-    let timeout = facts.timeout.map_or(route.timeout, |timeout| timeout.min(route.timeout));
+    let timeout = info.timeout.map_or(route.timeout, |timeout| timeout.min(route.timeout));
     let rank = customer.as_ref().and_then(|customer| customer.priority);
     let mut plan = RequestPlan {
         head,
         body,
         urgency: rank.unwrap_or(route.priority),
-        facts,
+        info,
         route,
         customer,
         service,
@@ -130,7 +130,7 @@
 
 /// Refuses a request at once if the servers cannot start it in time.
 fn check_load(gateway: &Gateway, plan: &RequestPlan<'_>) -> Result<(), AdmissionRefusal> {
-    let timeout = plan.facts.timeout.unwrap_or(plan.route.timeout);
+    let timeout = plan.info.timeout.unwrap_or(plan.route.timeout);
     let returned = timeout < plan.route.timeout.mul_f64(RETURNED_TIME_RATIO);
     let query = AdmissionQuery { rank: plan.urgency, returned };
     if gateway.admits(&plan.service, query) {
@@ -143,16 +143,16 @@
 fn match_route(
     gateway: &Gateway,
     head: &RequestHead,
-    facts: &RequestInfo,
+    info: &RequestInfo,
 ) -> Result<(Arc<RouteRule>, Option<Arc<CustomerProfile>>), AdmissionRefusal> {
     let tables = gateway.tables.borrow();
-    let left = facts.timeout.unwrap_or(Duration::MAX);
+    let left = info.timeout.unwrap_or(Duration::MAX);
     let wait = Some(retry_delays::pick_delay(RefusalCause::Uninformed, left, fastrand::f64()));
     if tables.routes.version() == 0 {
         return Err(AdmissionRefusal { code: codetable::STORE_UNAVAILABLE, retry_after: wait });
     }
     let unknown = |code: ResultCode| {
-        if gateway.store.time_since_answer() > STALE_STORE_AGE {
+        if gateway.store.time_since_response() > STALE_STORE_AGE {
             return AdmissionRefusal { code: codetable::STORE_UNAVAILABLE, retry_after: wait };
         }
         AdmissionRefusal::from(code)
@@ -162,7 +162,7 @@
     if route.public || !tables.routes.requires_keys() {
         return Ok((Arc::clone(route), None));
     }
-    let key = facts.key.as_deref().ok_or(codetable::UNKNOWN_KEY)?;
+    let key = info.key.as_deref().ok_or(codetable::UNKNOWN_KEY)?;
     let customer = tables.routes.find_customer(key);
     let customer = customer.ok_or_else(|| unknown(codetable::UNKNOWN_KEY))?;
     Ok((Arc::clone(route), Some(Arc::clone(customer))))
@@ -173,7 +173,7 @@
     gateway: &Rc<Gateway>,
     plan: &RequestPlan<'_>,
 ) -> Result<Option<BudgetGuard>, AdmissionRefusal> {
-    let (Some(customer), Some(prompt)) = (&plan.customer, &plan.facts.prompt) else {
+    let (Some(customer), Some(prompt)) = (&plan.customer, &plan.info.prompt) else {
         return Ok(None);
     };
     let Some(prepaid_total) = customer.prepaid else {
@@ -182,7 +182,7 @@
     let need = BudgetNeed {
         customer: &customer.name,
         prepaid_total,
-        request: &plan.facts.id,
+        request: &plan.info.id,
         service: &plan.service,
         prompt_tokens: prompt.prompt_tokens,
         max_output: prompt.max_output,
@@ -199,7 +199,7 @@
     reserved.map(Some).map_err(|failure| match failure {
         HoldFailure::Uncovered => codetable::BUDGET_EXHAUSTED.into(),
         HoldFailure::Short => {
-            let is_outage = gateway.store.time_since_answer() > OUTAGE_THRESHOLD
+            let is_outage = gateway.store.time_since_response() > OUTAGE_THRESHOLD
                 && !gateway.loan_client.lenders_unreachable.get();
             let cause = if is_outage { RefusalCause::Outage } else { RefusalCause::Unconfirmed };
             let wait = retry_delays::pick_delay(cause, plan.time_left(), fastrand::f64());
--- a/toucanrail-gateway/src/change_feed.rs
+++ b/toucanrail-gateway/src/change_feed.rs
@@ -23,7 +23,7 @@
 /// Long-poll wait of a watch on evacuations, which may take longer to come into force.
 const EVACUATION_WAIT: Duration = Duration::from_millis(1_500);
 /// Added to the wait before a watch counts as unanswered, and before the board counts as stale.
-const ANSWER_SLACK: Duration = Duration::from_millis(300);
+const RESPONSE_SLACK: Duration = Duration::from_millis(300);
 const STALE_SLACK: Duration = Duration::from_millis(400);
 /// Pause after a failed call.
 const FAILURE_PAUSE: Duration = Duration::from_millis(100);
@@ -86,8 +86,8 @@
         self.store.now()
     }
 
-    /// Answers one query: immediately if there are changes, else as soon as there are, or with an empty reply
-    /// when its wait is over.
+    /// Answers one query: immediately if there are changes, else as soon as there are, or with an
+    /// empty reply when its wait is over.
     pub async fn answer(&self, query: &ChangesQuery) -> ChangesReply {
         let Some((kind, board)) = self.boards.get_key_value(&*query.kind) else {
             return ChangesReply::Stale;
@@ -150,12 +150,12 @@
     let KindBoard { wait, table, .. } = board;
     let known = table.borrow().revision();
     let Some(revision) = known else {
-        let timeout = *wait + ANSWER_SLACK;
+        let timeout = *wait + RESPONSE_SLACK;
         let listing = store.list_kind(kind, ListFreshness::Latest, timeout).await?;
         table.borrow_mut().apply_listing(listing.objects, listing.revision, store.now());
         return Ok(true);
     };
-    let watched = store.watch_kind(kind, revision, *wait, ANSWER_SLACK).await?;
+    let watched = store.watch_kind(kind, revision, *wait, RESPONSE_SLACK).await?;
     let changed = !watched.changes.is_empty();
     table.borrow_mut().apply_changes(watched.changes, watched.revision, store.now());
     Ok(changed)
--- a/toucanrail-gateway/src/dispatching.rs
+++ b/toucanrail-gateway/src/dispatching.rs
@@ -49,9 +49,9 @@
     let mut dispatch = RequestDispatch {
         gateway,
         plan,
-        tally: AttemptHistory::new(plan.route.kind, plan.route.attempts),
+        history: AttemptHistory::new(plan.route.kind, plan.route.attempts),
         tried: Vec::new(),
-        stream: StreamState::new(plan.facts.last_event),
+        stream: StreamState::new(plan.info.last_event),
         failed_response: None,
         finished: false,
     };
@@ -61,10 +61,10 @@
     dispatch.log_end(end);
 }
 
-struct RequestDispatch<'run, 'call> {
+struct RequestDispatch<'run, 'request> {
     gateway: &'run Rc<Gateway>,
-    plan: &'run RequestPlan<'call>,
-    tally: AttemptHistory,
+    plan: &'run RequestPlan<'request>,
+    history: AttemptHistory,
     tried: Vec<BackendId>,
     stream: StreamState,
     failed_response: Option<FailedResponse>,
@@ -87,11 +87,11 @@
         loop {
             let probed = self.probe_servers().await;
             let Some((target, source)) = self.pick_target(&probed) else {
-                let step = self.tally.final_step(self.last_fate());
+                let step = self.history.final_step(self.last_outcome());
                 return self.finish(step, writer).await;
             };
             if !self.wait_for_permit(&target).await {
-                let step = self.tally.final_step(self.last_fate());
+                let step = self.history.final_step(self.last_outcome());
                 return self.finish(step, writer).await;
             }
             let permit = permits::request_permit(self.gateway, &target).await;
@@ -99,19 +99,19 @@
                 continue;
             }
             self.tried.push(Arc::clone(&target.id));
-            let fate = match self.attempt(&target, source, permit, writer).await {
+            let outcome = match self.attempt(&target, source, permit, writer).await {
                 AttemptResult::Complete => return RequestEnd::Whole,
                 AttemptResult::CallerGone => return RequestEnd::CallerGone,
                 AttemptResult::Failed(response) => {
                     self.failed_response = Some(response);
                     AttemptOutcome::Failed
                 }
-                AttemptResult::Incomplete(fate) => fate,
+                AttemptResult::Incomplete(outcome) => outcome,
             };
-            self.record_fate(&target, fate);
-            let step = match self.tally.next_step(fate, self.plan.time_left()) {
+            self.record_outcome(&target, outcome);
+            let step = match self.history.next_step(outcome, self.plan.time_left()) {
                 NextStep::Retry if self.may_retry() => continue,
-                NextStep::Retry => self.tally.final_step(fate),
+                NextStep::Retry => self.history.final_step(outcome),
                 step => step,
             };
             return self.finish(step, writer).await;
@@ -142,14 +142,14 @@
     /// Takes a retry from the service's retry budget. Only a request that has already been sent to
     /// a server counts as a retry.
     fn may_retry(&self) -> bool {
-        let allowed = self.tally.sent == 0 || self.gateway.try_spend_retry(&self.plan.service);
+        let allowed = self.history.sent == 0 || self.gateway.try_spend_retry(&self.plan.service);
         if !allowed {
             self.gateway.metrics.count_event("retries_refused");
         }
         allowed
     }
 
-    fn last_fate(&self) -> AttemptOutcome {
+    fn last_outcome(&self) -> AttemptOutcome {
         if self.failed_response.is_some() {
             AttemptOutcome::Failed
         } else {
@@ -158,7 +158,7 @@
     }
 
     fn placement_query(&self) -> PlacementQuery<'_> {
-        let prompt = self.plan.facts.prompt.as_ref();
+        let prompt = self.plan.info.prompt.as_ref();
         PlacementQuery {
             data_centre: &self.gateway.settings.data_centre,
             parts: prompt.map_or(&[], |prompt| &prompt.parts),
@@ -191,7 +191,7 @@
     /// Requests load reports from the relays beside some of the servers. Done for long prompts, and
     /// for others while requests wait too long for their first event and free slots may be scarce.
     async fn probe_servers(&self) -> Vec<ProbeRow> {
-        let Some(prompt) = &self.plan.facts.prompt else {
+        let Some(prompt) = &self.plan.info.prompt else {
             return Vec::new();
         };
         if !probes::is_long(prompt.prompt_tokens) && !self.gateway.should_probe(&self.plan.service)
@@ -228,7 +228,7 @@
             (&entry.id, load, entry.slots)
         });
         tracing::info!(
-            event = "servers_probed", request = %self.plan.facts.id,
+            event = "servers_probed", request = %self.plan.info.id,
             running_waiting_slots = ?loads.collect::<Vec<_>>(),
         );
     }
@@ -255,23 +255,24 @@
         writer: &mut ResponseWriter,
     ) -> AttemptResult {
         // Giving up on this attempt early only helps if another attempt may follow.
-        let next = AttemptHistory { sent: self.tally.sent + 1, may_have_run: true, ..self.tally };
+        let next =
+            AttemptHistory { sent: self.history.sent + 1, may_have_run: true, ..self.history };
         let may_fail_over = next.may_send(self.plan.time_left());
         let (gateway, plan) = (self.gateway, self.plan);
         let context = AttemptContext { gateway, plan, target, source, permit, may_fail_over };
-        let end = sending::run_attempt(&context, writer, &mut self.stream).await;
-        self.tally.begun = writer.started;
-        end
+        let result = sending::run_attempt(&context, writer, &mut self.stream).await;
+        self.history.begun = writer.started;
+        result
     }
 
-    fn record_fate(&mut self, target: &BackendEntry, fate: AttemptOutcome) {
+    fn record_outcome(&mut self, target: &BackendEntry, outcome: AttemptOutcome) {
         let now = self.gateway.now();
-        self.tally.record(fate);
+        self.history.record(outcome);
         if let Some(budget) = &self.plan.budget {
-            budget.set_may_have_run(self.tally.may_have_run);
+            budget.set_may_have_run(self.history.may_have_run);
         }
         let mut tables = self.gateway.tables.borrow_mut();
-        match fate {
+        match outcome {
             AttemptOutcome::NotSent => tables.backends.record_connect_failure(&target.id, now),
             AttemptOutcome::Declined | AttemptOutcome::Withheld => {}
             AttemptOutcome::Failed
@@ -279,7 +280,10 @@
             | AttemptOutcome::Broken
             | AttemptOutcome::TimedOut => tables.backends.record_failure(&target.id, now),
         }
-        if matches!(fate, AttemptOutcome::NotSent | AttemptOutcome::Lost | AttemptOutcome::Broken) {
+        if matches!(
+            outcome,
+            AttemptOutcome::NotSent | AttemptOutcome::Lost | AttemptOutcome::Broken
+        ) {
             // The server may have restarted, and be cold again, before its new registration is seen
             // here.
             if let Some(rule) = tables.routes.cold_rule(&target.service) {
@@ -288,8 +292,8 @@
         }
         drop(tables);
         tracing::info!(
-            event = "attempt_failed", request = %self.plan.facts.id, server = %target.id,
-            fate = ?fate, sent = self.tally.sent, limit = self.tally.limit,
+            event = "attempt_failed", request = %self.plan.info.id, server = %target.id,
+            fate = ?outcome, sent = self.history.sent, limit = self.history.limit,
             left_ms = self.plan.time_left().as_millis() as u64, last_event = self.stream.last_event(),
         );
     }
@@ -310,16 +314,16 @@
     }
 
     async fn refuse(&self, code: ResultCode, writer: &mut ResponseWriter) -> RequestEnd {
-        let run = self.tally.run_state();
+        let run = self.history.run_state();
         let wait = retry_delays::pick_delay(
             RefusalCause::Declined,
             self.plan.time_left(),
             fastrand::f64(),
         );
         let wait = (run == RunState::NotRun).then_some(wait);
-        let note = responding::make_refusal(code, run, wait);
+        let details = responding::make_refusal(code, run, wait);
         // The caller may have disconnected; then nobody needs the refusal.
-        writer.send_refusal(&note).await.ok();
+        writer.send_refusal(&details).await.ok();
         RequestEnd::Refused(code)
     }
 
@@ -346,12 +350,12 @@
         let first = self.time_to_first_byte().unwrap_or_default();
         let customer = self.plan.customer.as_ref().map(|customer| Arc::clone(&customer.name));
         tracing::info!(
-            event = "request_ended", request = %self.plan.facts.id, route = %self.plan.route.name,
+            event = "request_ended", request = %self.plan.info.id, route = %self.plan.route.name,
             service = %self.plan.service, customer = customer.as_deref(), end = ?end,
-            run = self.tally.run_state().as_str(), sent = self.tally.sent, tried = ?self.tried,
+            run = self.history.run_state().as_str(), sent = self.history.sent, tried = ?self.tried,
             first_ms = first.as_millis() as u64,
             pause_ms = self.stream.longest_pause.as_millis() as u64,
-            prompt = self.plan.facts.prompt.as_ref().map(|prompt| prompt.prompt_tokens),
+            prompt = self.plan.info.prompt.as_ref().map(|prompt| prompt.prompt_tokens),
             took_ms = Instant::now().duration_since(self.plan.arrived).as_millis() as u64,
             used = self.plan.budget.as_ref().map(BudgetGuard::used),
         );
--- a/toucanrail-gateway/src/forwarding.rs
+++ b/toucanrail-gateway/src/forwarding.rs
@@ -30,17 +30,17 @@
 /// Reads a body to its end.
 pub async fn read_body(exchange: &mut OpenExchange, body: &mut Vec<u8>) -> io::Result<()> {
     loop {
-        let buffer = &mut exchange.channel.buffer;
-        let consumed = exchange.framer.feed(buffer, body);
+        let buffer = &mut exchange.connection.buffer;
+        let consumed = exchange.decoder.feed(buffer, body);
         buffer.drain(..consumed);
-        if exchange.framer.is_done() {
+        if exchange.decoder.is_done() {
             return Ok(());
         }
-        if exchange.framer.is_malformed() || body.len() > MAX_BUFFERED_BODY {
+        if exchange.decoder.is_malformed() || body.len() > MAX_BUFFERED_BODY {
             return Err(io::ErrorKind::InvalidData.into());
         }
-        if exchange.channel.fill().await? == 0 {
-            let ended = exchange.framer.ends_with_connection();
+        if exchange.connection.fill().await? == 0 {
+            let ended = exchange.decoder.ends_with_connection();
             return if ended { Ok(()) } else { Err(io::ErrorKind::UnexpectedEof.into()) };
         }
     }
@@ -65,7 +65,7 @@
         Err(_) => return AttemptResult::Incomplete(AttemptOutcome::Lost),
     }
     let head = exchange.head.clone();
-    exchange.release_channel(context.gateway, &context.target.id);
+    exchange.release_connection(context.gateway, &context.target.id);
     if head.status >= 500 {
         return AttemptResult::Failed(FailedResponse { head, body });
     }
@@ -93,8 +93,8 @@
     let mut detector = SilenceDetector::default();
     let events_before = stream.scanner.count;
     loop {
-        let consumed = exchange.framer.feed(&exchange.channel.buffer, &mut pending);
-        exchange.channel.buffer.drain(..consumed);
+        let consumed = exchange.decoder.feed(&exchange.connection.buffer, &mut pending);
+        exchange.connection.buffer.drain(..consumed);
         let events_known = stream.scanner.count;
         let complete_len = stream.scanner.scan(&pending);
         if complete_len > 0 {
@@ -107,7 +107,7 @@
                 budget.add_output_tokens((stream.scanner.count - events_known) * tokens_per_event);
             }
         }
-        if exchange.framer.is_done() {
+        if exchange.decoder.is_done() {
             return finish_stream(context, exchange, writer, stream, &pending).await;
         }
         if complete_len > 0
@@ -116,8 +116,8 @@
             return AttemptResult::CallerGone;
         }
         pending.drain(..complete_len);
-        if exchange.framer.is_malformed() {
-            return AttemptResult::Incomplete(truncation_fate(writer));
+        if exchange.decoder.is_malformed() {
+            return AttemptResult::Incomplete(truncation_outcome(writer));
         }
         match read_more(&mut exchange, &mut tick).await {
             ReadOutcome::Bytes => {}
@@ -128,13 +128,13 @@
                 let received = stream.scanner.count - events_before;
                 let stalled = context.may_fail_over && last_event_at.elapsed() > stall;
                 if stalled && liveness::check_lost(context, &mut detector, received).await {
-                    return AttemptResult::Incomplete(truncation_fate(writer));
+                    return AttemptResult::Incomplete(truncation_outcome(writer));
                 }
             }
-            ReadOutcome::End if exchange.framer.ends_with_connection() => {
+            ReadOutcome::End if exchange.decoder.ends_with_connection() => {
                 return finish_stream(context, exchange, writer, stream, &pending).await;
             }
-            ReadOutcome::End => return AttemptResult::Incomplete(truncation_fate(writer)),
+            ReadOutcome::End => return AttemptResult::Incomplete(truncation_outcome(writer)),
         }
     }
 }
@@ -147,13 +147,13 @@
 
 async fn read_more(exchange: &mut OpenExchange, tick: &mut Timer) -> ReadOutcome {
     let reading = async {
-        match exchange.channel.fill().await {
+        match exchange.connection.fill().await {
             Ok(count) if count > 0 => ReadOutcome::Bytes,
             Ok(_) => ReadOutcome::End,
             Err(_) => {
                 // A reset never ends a body properly, not even one that is delimited by the end of
                 // its connection.
-                exchange.framer = BodyDecoder::Exact(u64::MAX);
+                exchange.decoder = BodyDecoder::Exact(u64::MAX);
                 ReadOutcome::End
             }
         }
@@ -165,7 +165,7 @@
     reading.or(ticking).await
 }
 
-fn truncation_fate(writer: &ResponseWriter) -> AttemptOutcome {
+fn truncation_outcome(writer: &ResponseWriter) -> AttemptOutcome {
     if writer.started { AttemptOutcome::Broken } else { AttemptOutcome::Lost }
 }
 
@@ -196,6 +196,6 @@
         return AttemptResult::CallerGone;
     }
     let sent = writer.finish_stream(remaining).await;
-    exchange.release_channel(context.gateway, &context.target.id);
+    exchange.release_connection(context.gateway, &context.target.id);
     if sent.is_ok() { AttemptResult::Complete } else { AttemptResult::CallerGone }
 }
--- a/toucanrail-gateway/src/grant_manager.rs
+++ b/toucanrail-gateway/src/grant_manager.rs
@@ -1,6 +1,8 @@
-//! The budget grants of one process: holds for requests, and the syncs with the store that bill their use.
+//! The budget grants of one process: holds for requests, and the syncs with the store that bill
+//! their use.
 //!
-//! Lenders hold grants on behalf of the entries around them; an entry that reaches no lender uses its own.
+//! Lenders hold grants on behalf of the entries around them; an entry that reaches no lender uses
+//! its own.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -25,24 +27,27 @@
 
 /// Name of this use of the store, in logs.
 const USAGE: &str = "budgets";
-/// Pause between two syncs of a shard. Requests that arrive meanwhile share the next sync: each sync costs
-/// a store call, and a first event that is due within half a second leaves time for this pause.
+/// Pause between two syncs of a shard. Requests that arrive meanwhile share the next sync: each
+/// sync costs a store call, and a first event that is due within half a second leaves time for this
+/// pause.
 const SYNC_PAUSE: Duration = Duration::from_millis(50);
-/// Pause after a sync that the store did not answer.
+/// Pause after a sync to which the store did not respond.
 const FAILURE_PAUSE: Duration = Duration::from_millis(150);
-/// Time for which a customer whose grant could not be raised is refused without asking the store again. Each
-/// attempt costs two or three calls, and budget that other processes hold is released only when they settle.
+/// Time for which a customer whose grant could not be raised is refused without asking the store
+/// again. Each attempt costs two or three calls, and budget that other processes hold is released
+/// only when they settle.
 const REFUSAL_CACHE_TIME: Duration = Duration::from_millis(400);
-/// Time without an answer of the store after which the remaining grant is reserved for some requests. A slow
-/// or lost answer is followed by another one within this time, while an outage lasts for seconds.
+/// Time without a response from the store after which the remaining grant is reserved for some
+/// requests. A slow or lost response is followed by another one within this time, while an outage
+/// lasts for seconds.
 const OUTAGE_THRESHOLD: Duration = Duration::from_millis(800);
-/// Longest wait of a request for a grant. Most requests are covered by the current grant; the others need
-/// one sync.
+/// Longest wait of a request for a grant. Most requests are covered by the current grant; the
+/// others need one sync.
 const GRANT_WAIT: Duration = Duration::from_millis(400);
 /// Interval at which shards are checked for due syncs.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// Timeout of the last settlement of a stopping process.
-const LEAVE_TIMEOUT: Duration = Duration::from_millis(800);
+const SETTLE_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// Why a hold was refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -68,7 +73,7 @@
     pub grants: RefCell<GrantTable>,
     store: Rc<StoreAccess>,
     tuning: GatewayTuning,
-    board: MetricBoard,
+    metrics: MetricBoard,
     executor: Rc<LocalExecutor<'static>>,
     /// Recent refusals, by customer.
     refusals: RefCell<BTreeMap<CustomerId, CachedRefusal>>,
@@ -90,14 +95,14 @@
         id: &EntryId,
         store: Rc<StoreAccess>,
         tuning: GatewayTuning,
-        board: MetricBoard,
+        metrics: MetricBoard,
         executor: Rc<LocalExecutor<'static>>,
     ) -> Self {
         Self {
             grants: GrantTable::new(Arc::clone(id), tuning.policy).into(),
             store,
             tuning,
-            board,
+            metrics,
             executor,
             refusals: RefCell::default(),
             syncing: RefCell::default(),
@@ -108,7 +113,8 @@
         }
     }
 
-    /// Records a customer's prepaid total according to the configuration, adding the account if it is new.
+    /// Records a customer's prepaid total according to the configuration, adding the account if it
+    /// is new.
     pub fn raise_prepaid(&self, customer: &CustomerId, total: Tokens) {
         let mut grants = self.grants.borrow_mut();
         if grants.account(customer).is_none() {
@@ -122,7 +128,8 @@
         paths::shard_of(customer, self.tuning.shards)
     }
 
-    /// Acquires a hold on the customer's grant, waiting for a sync if the grant does not cover the amount.
+    /// Acquires a hold on the customer's grant, waiting for a sync if the grant does not cover the
+    /// amount.
     pub async fn acquire_hold(
         &self,
         customer: &CustomerId,
@@ -137,7 +144,8 @@
         if let Ok(hold) = self.grants.borrow_mut().hold(customer, amount) {
             return Ok(hold);
         }
-        // No sync could change this: totals come with the configuration, and the billed amount only grows.
+        // No sync could change this: totals come with the configuration, and the billed amount only
+        // grows.
         if self.grants.borrow().is_uncovered(customer, amount) {
             return Err(HoldFailure::Uncovered);
         }
@@ -163,8 +171,8 @@
         acquired
     }
 
-    /// Tells whether a request may use the grant. While the store does not answer, the remaining grant is
-    /// reserved for the most urgent rank and for small requests.
+    /// Returns whether a request may use the grant. While the store does not respond, the remaining
+    /// grant is reserved for the most urgent rank and for small requests.
     fn may_spend(&self, customer: &CustomerId, amount: Tokens, rank: u8) -> bool {
         let grants = self.grants.borrow();
         let available = grants.account(customer).map_or(0, GrantAccount::available);
@@ -177,8 +185,8 @@
         customer: &CustomerId,
         amount: Tokens,
     ) -> Result<GrantHold, HoldFailure> {
-        // Only a shard that was read after the request arrived may refuse it. A sync that is already in
-        // progress may have read the shard earlier.
+        // Only a shard that was read after the request arrived may refuse it. A sync that is
+        // already in progress may have read the shard earlier.
         let shard = self.shard_of(customer);
         let running = u64::from(self.syncing.borrow().contains(&shard));
         let needed = self.grants.borrow().confirmed_syncs(&shard) + 1 + running;
@@ -194,7 +202,8 @@
             if grants.confirmed_syncs(&shard) < needed {
                 continue;
             }
-            // The rest is granted to other processes; no further sync can obtain it until they settle.
+            // The rest is granted to other processes; no further sync can obtain it until they
+            // settle.
             let uncovered = grants.is_uncovered(customer, amount);
             let failure = if uncovered { HoldFailure::Uncovered } else { HoldFailure::Short };
             let refusal =
@@ -230,11 +239,11 @@
             burn = account.map(|account| account.burn as Tokens),
             stated = account.map(|account| account.prepaid),
             prepaid_unspent_unallocated = ?grants.cached_balance(customer),
-            store_age_ms = self.store.time_since_answer().as_millis() as u64,
+            store_age_ms = self.store.time_since_response().as_millis() as u64,
         );
     }
 
-    /// Tells whether a sync of the shard is due.
+    /// Returns whether a sync of the shard is due.
     fn is_due(&self, shard: &ShardName) -> bool {
         if self.syncing.borrow().contains(shard) {
             return false;
@@ -242,14 +251,15 @@
         self.needs_settlement(shard) || self.grants.borrow().needs_early_sync(shard)
     }
 
-    /// Tells whether a settlement of the shard is due.
+    /// Returns whether a settlement of the shard is due.
     fn needs_settlement(&self, shard: &ShardName) -> bool {
         let mut times = self.settled_at.borrow_mut();
         let settled = times.entry(Arc::clone(shard)).or_insert_with(|| self.store.now());
         self.store.now().saturating_sub(*settled) > self.tuning.flush
     }
 
-    /// Runs one sync of a shard if there is something to do. Returns false if the store did not answer.
+    /// Runs one sync of a shard if there is something to do. Returns false if the store did not
+    /// respond.
     async fn sync_shard(&self, shard: &ShardName, leave: bool) -> bool {
         let settles = leave || self.needs_settlement(shard);
         if settles {
@@ -271,17 +281,17 @@
             machine.handle_reply(self.store.call(&call).await);
         }
         let outcome = machine.into_outcome();
-        let answered = !matches!(outcome, SyncOutcome::Unavailable);
-        self.board.count_event(outcome_kind(&outcome));
-        self.board.add_events("sync_calls", u64::from(calls));
-        self.store.record_call(USAGE, answered);
+        let responded = !matches!(outcome, SyncOutcome::Unavailable);
+        self.metrics.count_event(outcome_kind(&outcome));
+        self.metrics.add_events("sync_calls", u64::from(calls));
+        self.store.record_call(USAGE, responded);
         let was_open = self.grants.borrow().has_tenure(shard);
         self.grants.borrow_mut().apply_sync(shard, outcome);
         if !was_open && !leave {
             self.log_accounts(shard);
         }
         self.synced.notify(usize::MAX);
-        answered
+        responded
     }
 
     /// Logs the accounts of a shard when this process becomes one of its holders.
@@ -312,8 +322,9 @@
 
 /// Runs due syncs, at most one at a time per shard, and immediately when a request waits.
 ///
-/// With one shard per customer (setting `shards` 0), entries that settle different customers never write the
-/// same object. Thirty entries that shared one object lost most of their calls to version conflicts.
+/// With one shard per customer (setting `shards` 0), entries that settle different customers never
+/// write the same object. Thirty entries that shared one object lost most of their calls to version
+/// conflicts.
 pub async fn run_syncs(manager: Rc<GrantManager>) {
     while !manager.closed.get() {
         let requested = manager.sync_requested.listen();
@@ -322,10 +333,11 @@
             manager.syncing.borrow_mut().insert(Arc::clone(&shard));
             let held = Rc::clone(&manager);
             let syncing = async move {
-                let answered = held.sync_shard(&shard, false).await;
-                smol::Timer::after(if answered { SYNC_PAUSE } else { FAILURE_PAUSE }).await;
+                let responded = held.sync_shard(&shard, false).await;
+                smol::Timer::after(if responded { SYNC_PAUSE } else { FAILURE_PAUSE }).await;
                 held.syncing.borrow_mut().remove(&shard);
-                // A request that began to wait during this sync found it in progress and needs another one.
+                // A request that began to wait during this sync found it in progress and needs
+                // another one.
                 held.sync_requested.notify(usize::MAX);
             };
             manager.executor.spawn(syncing).detach();
@@ -346,26 +358,26 @@
     }
 }
 
-/// Closes the manager, settles all shards and releases unused grants. What open holds may still use stays
-/// granted.
+/// Closes the manager, settles all shards and releases unused grants. What open holds may still use
+/// stays granted.
 pub async fn settle_all(manager: &Rc<GrantManager>) {
     manager.closed.set(true);
     let shards = manager.grants.borrow().shards();
     let tasks: Vec<_> = shards
         .into_iter()
-        .map(|shard| manager.executor.spawn(leave_shard(Rc::clone(manager), shard)))
+        .map(|shard| manager.executor.spawn(settle_shard(Rc::clone(manager), shard)))
         .collect();
-    let leaving = async {
+    let settling = async {
         for task in tasks {
             task.await;
         }
     };
-    if time_limits::timeout(LEAVE_TIMEOUT, leaving).await.is_none() {
+    if time_limits::timeout(SETTLE_TIMEOUT, settling).await.is_none() {
         tracing::warn!(event = "left_unsettled");
     }
 }
 
-async fn leave_shard(manager: Rc<GrantManager>, shard: ShardName) {
+async fn settle_shard(manager: Rc<GrantManager>, shard: ShardName) {
     while manager.grants.borrow().has_tenure(&shard) {
         if manager.syncing.borrow().contains(&shard) {
             smol::Timer::after(SYNC_PAUSE).await;
--- a/toucanrail-gateway/src/hosting.rs
+++ b/toucanrail-gateway/src/hosting.rs
@@ -1,8 +1,9 @@
 //! The relay that an entry hosts, in a fleet without VMs for relays.
 //!
-//! Without relays, each entry holds its own grants and watches the store itself. Some tens of such entries
-//! compete for the rest of a budget, lose most of their writes to its object to version conflicts, and have
-//! no budget left as soon as they are cut off. With hosted relays, one entry lends each budget.
+//! Without relays, each entry holds its own grants and watches the store itself. Some tens of such
+//! entries compete for the rest of a budget, lose most of their writes to its object to version
+//! conflicts, and have no budget left as soon as they are cut off. With hosted relays, one entry
+//! lends each budget.
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -39,8 +40,8 @@
     }
 }
 
-/// Tells whether this entry is to host a relay. An entry whose earlier run hosted one does not wait for
-/// others to register.
+/// Returns whether this entry should host a relay. An entry whose earlier run hosted one does not
+/// wait for others to register.
 fn should_host(gateway: &Gateway) -> bool {
     let store = &gateway.store;
     let waited = store.has_relay(&gateway.settings.vm) || gateway.now() > REGISTRATION_TIME;
@@ -60,7 +61,7 @@
     let api = Rc::new(RelayApi {
         grant_manager: Rc::clone(&gateway.grant_manager),
         loans: RefCell::default(),
-        leaving: Cell::new(false),
+        stopping: Cell::new(false),
         change_feed: ChangeFeed::new(Rc::clone(&gateway.store), Rc::clone(executor)),
         permits: PermitTable::new(gateway.now()).into(),
         report_client: None,
--- a/toucanrail-gateway/src/lib.rs
+++ b/toucanrail-gateway/src/lib.rs
@@ -5,14 +5,14 @@
 //! servers. A single thread runs everything. A request passes through [`accepting`] (callers'
 //! connections), [`admitting`] (route, customer, load and budget), [`dispatching`] (choice of
 //! servers and retries), [`sending`] (one attempt at one server) and [`forwarding`] (the response
-//! body). Background tasks follow the store ([`store_watch`]), through a relay ([`relay_client`]) or on
-//! the path found by [`store_access`], and manage budgets: [`loan_client`] takes loans from lenders,
-//! [`grant_manager`] uses the entry's own grants.
+//! body). Background tasks watch the store ([`store_watch`]), through a relay ([`relay_client`]) or
+//! through the endpoint chosen by [`store_access`], and manage budgets: [`loan_client`] takes loans
+//! from lenders, [`grant_manager`] uses the entry's own grants.
 //!
 //! A *relay* (program `toucanrail-relay`) runs beside a backend server: [`relay`] forwards
 //! connections to the store, [`relay_api`] lends entries budget from the same [`grant_manager`],
-//! [`change_feed`] tells them about changes in the store, and [`relay_registration`] reports how fast the
-//! server is. A server that has just started only receives requests that got a permit
+//! [`change_feed`] tells them about changes in the store, and [`relay_registration`] reports how
+//! fast the server is. A server that has just started only receives requests that got a permit
 //! ([`permits`]). If no VM runs a relay, entries host relays themselves ([`hosting`]).
 //!
 //! Decisions are made in the `toucanrail` library; this crate owns sockets and timers.
--- a/toucanrail-gateway/src/liveness.rs
+++ b/toucanrail-gateway/src/liveness.rs
@@ -70,8 +70,8 @@
 
 async fn request_report(gateway: &Gateway, server: &BackendEntry) -> Option<BackendReport> {
     let (relay, address) = gateway.store.relay_at(server.address.ip())?;
-    let bound = REPORT_TIMEOUT;
-    let reply = relay_client::call_relay(gateway, &relay, address, REPORT_PATH, &(), bound).await;
+    let timeout = REPORT_TIMEOUT;
+    let reply = relay_client::call_relay(gateway, &relay, address, REPORT_PATH, &(), timeout).await;
     reply.unwrap_or_else(|error| {
         tracing::debug!(event = "look_failed", server = %server.id, %error);
         None
@@ -96,7 +96,7 @@
 ) -> bool {
     let AttemptContext { gateway, plan, target, .. } = *context;
     let report = fetch_load(gateway, target).await;
-    let status = report.as_ref().map(|report| RunStatus::find(report, &plan.facts.id));
+    let status = report.as_ref().map(|report| RunStatus::find(report, &plan.info.id));
     let verdict = detector.judge(status, received);
     let lost = match verdict {
         SilenceVerdict::Works => false,
@@ -105,7 +105,7 @@
     };
     if lost {
         tracing::info!(
-            event = "silence_judged", request = %plan.facts.id, server = %target.id,
+            event = "silence_judged", request = %plan.info.id, server = %target.id,
             verdict = ?verdict, received, waiting = status.map(|status| status.waiting),
             events = status.and_then(|status| status.events),
         );
--- a/toucanrail-gateway/src/loan_client.rs
+++ b/toucanrail-gateway/src/loan_client.rs
@@ -1,7 +1,8 @@
 //! An entry's client of the lenders: it borrows the budget of each request from a relay.
 //!
-//! A lender holds grants of customers' budgets for the entries around it. An entry borrows the worst-case
-//! cost of a request before sending it, and ends the loan with the tokens that were used.
+//! A lender holds grants of customers' budgets for the entries around it. An entry borrows the
+//! worst-case cost of a request before sending it, and ends the loan with the tokens that were
+//! used.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -21,21 +22,22 @@
 use crate::relay_client::{self, RelayBackoff};
 use crate::state::Gateway;
 
-/// Timeout of a loan request. A lender that has to ask the store first answers within about half of it;
-/// one that is cut off or frozen does not answer at all.
+/// Timeout of a loan request. A lender that has to ask the store first responds within about half
+/// of it; one that is cut off or frozen does not respond at all.
 const LOAN_TIMEOUT: Duration = Duration::from_millis(650);
-/// Time without a reply after which the lender's liveness is probed, and the timeout of that probe. Most
-/// loan requests are answered within a few milliseconds.
+/// Time without a reply after which the lender's liveness is probed, and the timeout of that probe.
+/// Most loan requests are answered within a few milliseconds.
 const LIVENESS_DELAY: Duration = Duration::from_millis(150);
 const LIVENESS_TIMEOUT: Duration = Duration::from_millis(100);
 /// Maximum number of lenders tried for one request.
 const MAX_LENDERS: usize = 2;
-/// Interval at which loan ends are sent; the ends queued for a lender within one interval share a message.
+/// Interval at which loan ends are sent; the ends queued for a lender within one interval share a
+/// message.
 const END_INTERVAL: Duration = Duration::from_millis(100);
 /// Timeout of a message with loan ends.
 const END_TIMEOUT: Duration = Duration::from_secs(1);
-/// Time for which ends are queued for a lender that does not answer. After that the lender is considered
-/// gone, and the budget of its loans stays granted to it.
+/// Time for which ends are queued for a lender that does not respond. After that the lender is
+/// considered gone, and the budget of its loans stays granted to it.
 const END_RETENTION: Duration = Duration::from_secs(60);
 
 /// Where the budget of a request is reserved.
@@ -60,14 +62,14 @@
 pub struct LoanClient {
     /// Number in the id of the next loan.
     next_number: Cell<u64>,
-    /// Whether the lender that was last asked did not answer.
+    /// Whether the lender that was last asked did not respond.
     pub lenders_unreachable: Cell<bool>,
     backoff: RelayBackoff,
     ends: RefCell<BTreeMap<Arc<str>, EndQueue>>,
 }
 
-/// The budget reserved for one request. Dropping it bills the tokens that were used, however the request
-/// ends.
+/// The budget reserved for one request. Dropping it bills the tokens that were used, however the
+/// request ends.
 #[derive(Debug)]
 pub struct BudgetGuard {
     gateway: Rc<Gateway>,
@@ -80,17 +82,18 @@
     output: Cell<Tokens>,
 }
 
-/// The budget that a request needs at most, and the request's attributes that decide whether it gets it.
+/// The budget that a request needs at most, and the request's attributes that decide whether it
+/// gets it.
 #[derive(Debug, Clone, Copy)]
-pub struct BudgetNeed<'call> {
+pub struct BudgetNeed<'request> {
     /// The customer who pays.
-    pub customer: &'call CustomerId,
+    pub customer: &'request CustomerId,
     /// The customer's prepaid total according to the configuration.
     pub prepaid_total: Tokens,
     /// Id of the request.
-    pub request: &'call RequestId,
+    pub request: &'request RequestId,
     /// The service.
-    pub service: &'call ServiceName,
+    pub service: &'request ServiceName,
     /// Prompt tokens.
     pub prompt_tokens: Tokens,
     /// Maximum number of output tokens.
@@ -101,8 +104,8 @@
     pub time_left: Duration,
 }
 
-/// Reserves the worst-case cost of a request: on loan from a lender, or in the entry's own grant if no
-/// lender answers.
+/// Reserves the worst-case cost of a request: on loan from a lender, or in the entry's own grant if
+/// no lender responds.
 pub async fn reserve_budget(
     gateway: &Rc<Gateway>,
     need: &BudgetNeed<'_>,
@@ -130,7 +133,8 @@
     })
 }
 
-/// Requests a loan from the lenders in rank order. Returns `None` if no lender answers or all are stopping.
+/// Requests a loan from the lenders in rank order. Returns `None` if no lender responds or all are
+/// stopping.
 async fn request_loan(
     gateway: &Rc<Gateway>,
     need: &BudgetNeed<'_>,
@@ -152,8 +156,8 @@
             amount,
             rank: need.rank,
         };
-        // If this call is cancelled or fails, the loan is ended all the same: the lender may have granted it,
-        // and nobody else would return it.
+        // If this call is cancelled or fails, the loan is ended all the same: the lender may have
+        // granted it, and nobody else would return it.
         let mut pending =
             PendingLoan { gateway, lender: &lender, loan: &loan, need, settled: false };
         match request_watched(gateway, &lender, address, &request).await {
@@ -180,9 +184,9 @@
 
 /// Requests a loan from one lender, and gives up early if the lender fails a liveness probe.
 ///
-/// A lender that has to ask the store may take up to 400 ms to reply, which looks the same as a frozen one.
-/// Without the probe, a request waits for the full 650 ms before it tries the next lender, longer than
-/// callers accept.
+/// A lender that has to ask the store may take up to 400 ms to reply, which looks the same as a
+/// frozen one. Without the probe, a request waits for the full 650 ms before it tries the next
+/// lender, longer than callers accept.
 async fn request_watched(
     gateway: &Rc<Gateway>,
     lender: &Arc<str>,
@@ -201,7 +205,8 @@
     requesting.or(watching).await
 }
 
-/// Converts a lender's reply. Returns `None` if the lender is stopping and another one is to be asked.
+/// Converts a lender's reply. Returns `None` if the lender is stopping and another one is to be
+/// asked.
 fn read_reply(
     reply: LoanReply,
     lender: &Arc<str>,
@@ -218,11 +223,11 @@
 }
 
 /// A loan request whose outcome is not known yet; ends the loan when dropped unsettled.
-struct PendingLoan<'call> {
-    gateway: &'call Rc<Gateway>,
-    lender: &'call Arc<str>,
-    loan: &'call LoanId,
-    need: &'call BudgetNeed<'call>,
+struct PendingLoan<'request> {
+    gateway: &'request Rc<Gateway>,
+    lender: &'request Arc<str>,
+    loan: &'request LoanId,
+    need: &'request BudgetNeed<'request>,
     settled: bool,
 }
 
@@ -315,8 +320,8 @@
         self.output.set(self.output.get() + tokens);
     }
 
-    /// Returns the tokens to bill: the prompt if a server may have processed it, plus the output. The server
-    /// limits the output to what the caller asked for.
+    /// Returns the tokens to bill: the prompt if a server may have processed it, plus the output.
+    /// The server limits the output to what the caller asked for.
     pub fn used(&self) -> Tokens {
         let prompt = if self.may_have_run.get() { self.prompt } else { 0 };
         (prompt + self.output.get()).min(self.amount)
--- a/toucanrail-gateway/src/permits.rs
+++ b/toucanrail-gateway/src/permits.rs
@@ -15,7 +15,7 @@
 
 /// Timeout of a permit call.
 const PERMIT_TIMEOUT: Duration = Duration::from_millis(80);
-/// Time for which a server is not chosen after its relay did not answer.
+/// Time for which a server is not chosen after its relay did not respond.
 const UNANSWERED_DELAY: Duration = Duration::from_millis(300);
 
 /// Whether a request may be sent to a server.
@@ -30,7 +30,7 @@
 }
 
 impl SendPermit {
-    /// Tells whether a request may be sent now.
+    /// Returns whether a request may be sent now.
     pub fn is_valid(self) -> bool {
         match self {
             Self::Unneeded => true,
@@ -58,7 +58,8 @@
     SendPermit::Denied
 }
 
-/// Returns how many permits a server's relay may grant per window, or `None` if the server needs no permit.
+/// Returns how many permits a server's relay may grant per window, or `None` if the server needs no
+/// permit.
 fn permit_limit_of(gateway: &Gateway, target: &BackendEntry) -> Option<usize> {
     let slack = gateway.settings.cold_slack?;
     let tables = gateway.tables.borrow();
@@ -82,11 +83,11 @@
     })
 }
 
-/// Returns the relay that grants a server's permits: the one beside it, or the first by rank in a fleet with
-/// hosted relays only.
+/// Returns the relay that grants a server's permits: the one beside it, or the first by rank in a
+/// fleet with hosted relays only.
 ///
-/// Entries list the relays at different times. While the relay beside a server is not listed yet, no other
-/// relay stands in for it: two relays would together grant twice as many permits.
+/// Entries list the relays at different times. While the relay beside a server is not listed yet,
+/// no other relay stands in for it: two relays would together grant twice as many permits.
 fn find_relay(gateway: &Gateway, target: &BackendEntry) -> Option<(RelayName, SocketAddr)> {
     if gateway.store.has_only_hosted_relays() {
         return loans::rank_lenders(&gateway.store.lenders(), &target.id).into_iter().next();
--- a/toucanrail-gateway/src/relay.rs
+++ b/toucanrail-gateway/src/relay.rs
@@ -50,28 +50,28 @@
     tracing::info!(event = "start", role = "relay", vm = %settings.vm, inner = %settings.internal);
     let forwarding = forward_connections(Rc::clone(&executor), listener, settings.store, || true);
     executor.spawn(forwarding).detach();
-    let office = Rc::new(make_loan_office(settings, tuning, &executor)?);
+    let api = Rc::new(make_relay_api(settings, tuning, &executor)?);
     let entries = Async::<TcpListener>::bind(settings.lending)?;
-    let lending = relay_api::serve_entries(Rc::clone(&executor), Rc::clone(&office), entries);
+    let lending = relay_api::serve_entries(Rc::clone(&executor), Rc::clone(&api), entries);
     executor.spawn(lending).detach();
-    executor.spawn(grant_manager::run_syncs(Rc::clone(&office.grant_manager))).detach();
-    executor.spawn(measure_burn(Rc::clone(&office))).detach();
-    let report_client = office.report_client.as_ref().map(Rc::clone);
+    executor.spawn(grant_manager::run_syncs(Rc::clone(&api.grant_manager))).detach();
+    executor.spawn(measure_burn(Rc::clone(&api))).detach();
+    let report_client = api.report_client.as_ref().map(Rc::clone);
     let entry = relay_registration::new_entry(settings, settings.internal, false);
     executor
         .spawn(relay_registration::maintain_entry(settings.clone(), entry, report_client))
         .detach();
     smol::block_on(executor.run(async {
         wait_for_stop().await;
-        relay_api::drain(&office, settings.shutdown_grace.saturating_sub(GRACE_MARGIN)).await;
-        grant_manager::settle_all(&office.grant_manager).await;
+        relay_api::drain(&api, settings.shutdown_grace.saturating_sub(GRACE_MARGIN)).await;
+        grant_manager::settle_all(&api.grant_manager).await;
     }));
-    let loans = office.loans.borrow().len();
+    let loans = api.loans.borrow().len();
     tracing::info!(event = "stopped", role = "relay", loans);
     Ok(())
 }
 
-fn make_loan_office(
+fn make_relay_api(
     settings: &NodeSettings,
     tuning: GatewayTuning,
     executor: &Rc<LocalExecutor<'static>>,
@@ -79,9 +79,9 @@
     let id = starting::new_incarnation(&settings.vm);
     let metrics = MetricBoard::new("relay").map_err(io::Error::other)?;
     let data_centre = Arc::clone(&settings.data_centre);
-    let ways = EndpointTable::new(settings.store, data_centre, Arc::clone(&settings.region));
+    let endpoints = EndpointTable::new(settings.store, data_centre, Arc::clone(&settings.region));
     let client = StoreClient::new(CONNECT_TIMEOUT);
-    let store = Rc::new(StoreAccess::new(client, ways, ProcessClock::start()));
+    let store = Rc::new(StoreAccess::new(client, endpoints, ProcessClock::start()));
     let measuring =
         store_access::maintain_endpoint(Rc::clone(&store), settings.store, RELAY_LIST_INTERVAL);
     executor.spawn(measuring).detach();
@@ -92,14 +92,14 @@
     let server = settings.backend;
     let report_client =
         server.map(|server| Rc::new(ReportClient::new(StoreClient::new(CONNECT_TIMEOUT), server)));
-    let (loans, leaving) = (RefCell::default(), Cell::new(false));
-    Ok(RelayApi { grant_manager, loans, leaving, change_feed, permits, report_client })
+    let (loans, stopping) = (RefCell::default(), Cell::new(false));
+    Ok(RelayApi { grant_manager, loans, stopping, change_feed, permits, report_client })
 }
 
-async fn measure_burn(office: Rc<RelayApi>) {
+async fn measure_burn(api: Rc<RelayApi>) {
     loop {
         smol::Timer::after(BURN_INTERVAL).await;
-        office.grant_manager.grants.borrow_mut().update_burn_rates(BURN_INTERVAL);
+        api.grant_manager.grants.borrow_mut().update_burn_rates(BURN_INTERVAL);
     }
 }
 
--- a/toucanrail-gateway/src/relay_api.rs
+++ b/toucanrail-gateway/src/relay_api.rs
@@ -1,7 +1,7 @@
-//! The calls that a relay answers for entries.
+//! The calls that a relay serves for entries.
 //!
-//! A relay is a lender, which holds grants of customers' budgets and lends them to entries request by request.
-//! It also serves the change feed, load reports and permits for cold servers.
+//! A relay is a lender, which holds grants of customers' budgets and lends them to entries request
+//! by request. It also serves the change feed, load reports and permits for cold servers.
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -26,8 +26,9 @@
 /// Path of a call that takes a list of [`LoanEnd`]s and returns `true`.
 pub const LOAN_END_PATH: &str = "/loans/end";
 
-/// Path of a call without arguments that returns the [`BackendReport`](toucanrail::paces::BackendReport) of the
-/// backend server beside the relay, if there is one.
+/// Path of a call without arguments that returns the
+/// [`BackendReport`](toucanrail::paces::BackendReport) of the backend server beside the relay, if
+/// there is one.
 pub const REPORT_PATH: &str = "/report";
 
 /// Path of a call that takes a [`PermitRequest`] and returns a [`PermitReply`].
@@ -49,7 +50,7 @@
     /// The open loans.
     pub loans: RefCell<LoanTable>,
     /// Whether the relay is stopping and lends no more.
-    pub leaving: Cell<bool>,
+    pub stopping: Cell<bool>,
     /// Changes of store objects, for entries that query them.
     pub change_feed: ChangeFeed,
     /// The permits granted for cold servers.
@@ -58,7 +59,8 @@
     pub report_client: Option<Rc<ReportClient>>,
 }
 
-/// Serves the connections of entries. A connection that fails is dropped; the entry opens another one.
+/// Serves the connections of entries. A connection that fails is dropped; the entry opens another
+/// one.
 pub async fn serve_entries(
     executor: Rc<LocalExecutor<'static>>,
     api: Rc<RelayApi>,
@@ -72,32 +74,32 @@
 }
 
 async fn serve_entry(api: &RelayApi, socket: Async<TcpStream>) -> io::Result<()> {
-    let mut channel = BufferedConnection::new(socket)?;
-    while let Some((head, body)) = rpc::read_call(&mut channel).await? {
+    let mut connection = BufferedConnection::new(socket)?;
+    while let Some((head, body)) = rpc::read_call(&mut connection).await? {
         match head.path() {
             LOAN_PATH => {
                 let request = rpc::decode(&body)?;
-                rpc::reply(&channel, &open_loan(api, &request).await).await?;
+                rpc::reply(&connection, &open_loan(api, &request).await).await?;
             }
             LOAN_END_PATH => {
                 end_loans(api, rpc::decode(&body)?);
-                rpc::reply(&channel, &true).await?;
+                rpc::reply(&connection, &true).await?;
             }
             CHANGES_PATH => {
                 let query = rpc::decode(&body)?;
-                rpc::reply(&channel, &api.change_feed.answer(&query).await).await?;
+                rpc::reply(&connection, &api.change_feed.answer(&query).await).await?;
             }
-            ALIVE_PATH => rpc::reply(&channel, &true).await?,
+            ALIVE_PATH => rpc::reply(&connection, &true).await?,
             PERMIT_PATH => {
                 let request = rpc::decode(&body)?;
-                rpc::reply(&channel, &grant_permit(api, &request)).await?;
+                rpc::reply(&connection, &grant_permit(api, &request)).await?;
             }
             REPORT_PATH => {
                 let report = match &api.report_client {
                     Some(report_client) => report_client.try_fetch().await,
                     None => None,
                 };
-                rpc::reply(&channel, &report).await?;
+                rpc::reply(&connection, &report).await?;
             }
             _ => return Err(io::ErrorKind::InvalidData.into()),
         }
@@ -110,13 +112,13 @@
     if api.loans.borrow().is_open(&request.loan) {
         return LoanReply::Held;
     }
-    if api.leaving.get() {
+    if api.stopping.get() {
         return LoanReply::Leaving;
     }
     let LoanRequest { customer, amount, rank, .. } = request;
     api.grant_manager.raise_prepaid(customer, request.stated);
     match api.grant_manager.acquire_hold(customer, *amount, *rank, LOAN_TIME).await {
-        Ok(hold) if api.leaving.get() => {
+        Ok(hold) if api.stopping.get() => {
             api.grant_manager.grants.borrow_mut().end_hold(&hold, None);
             LoanReply::Leaving
         }
@@ -151,10 +153,10 @@
 
 /// Stops lending and waits until the open loans have ended, for at most `timeout`.
 ///
-/// The budget of loans that are open when the process exits is lost to their customers, since nobody can tell
-/// any more how much of it was used.
+/// The budget of loans that are open when the process exits is lost to their customers, since
+/// nobody can tell any more how much of it was used.
 pub async fn drain(api: &RelayApi, timeout: Duration) {
-    api.leaving.set(true);
+    api.stopping.set(true);
     tracing::info!(event = "stop", role = "relay", loans = api.loans.borrow().len());
     grant_manager::release_unused(&api.grant_manager).await;
     let ending = async {
--- a/toucanrail-gateway/src/relay_client.rs
+++ b/toucanrail-gateway/src/relay_client.rs
@@ -16,12 +16,12 @@
 use crate::relay_api::ALIVE_PATH;
 use crate::state::Gateway;
 
-/// Connect timeout. Relays are a few milliseconds away; a dead one does not answer at all.
+/// Connect timeout. Relays are a few milliseconds away; a dead one does not respond at all.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(120);
 /// Longest idle time of a pooled connection.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
-/// Backoff of a relay that did not answer or is stopping. It doubles with each consecutive failure, up to the
-/// maximum, since a relay whose VM was removed never answers again.
+/// Backoff of a relay that did not respond or is stopping. It doubles with each consecutive
+/// failure, up to the maximum, since a relay whose VM was removed never responds again.
 const INITIAL_BACKOFF: Duration = Duration::from_secs(3);
 const MAX_BACKOFF: Duration = Duration::from_secs(12);
 
@@ -38,7 +38,7 @@
 }
 
 impl RelayBackoff {
-    /// Tells whether a relay is in backoff and is not to be called now.
+    /// Returns whether a relay is in backoff and must not be called now.
     pub fn is_active(&self, relay: &Arc<str>, now: Duration) -> bool {
         self.rows.borrow().get(relay).is_some_and(|row| now < row.until)
     }
@@ -66,8 +66,8 @@
 /// Probes a relay on a new connection, independent of the state of the pooled ones.
 pub async fn is_alive(address: SocketAddr, timeout: Duration) -> bool {
     let probing = async {
-        let mut channel = BufferedConnection::connect(address).await?;
-        rpc::call::<_, bool>(&mut channel, ALIVE_PATH, &()).await
+        let mut connection = BufferedConnection::connect(address).await?;
+        rpc::call::<_, bool>(&mut connection, ALIVE_PATH, &()).await
     };
     time_limits::io_timeout(timeout, probing).await.unwrap_or(false)
 }
@@ -85,14 +85,14 @@
     Message: Serialize,
     Reply: DeserializeOwned,
 {
-    let pooled = gateway.channels.take(relay, IDLE_TIMEOUT);
-    let mut channel = match pooled {
-        Some(channel) => channel,
+    let pooled = gateway.connections.take(relay, IDLE_TIMEOUT);
+    let mut connection = match pooled {
+        Some(connection) => connection,
         None => {
             time_limits::io_timeout(CONNECT_TIMEOUT, BufferedConnection::connect(address)).await?
         }
     };
-    let reply = time_limits::io_timeout(timeout, rpc::call(&mut channel, path, message)).await?;
-    gateway.channels.put(relay, channel, Some(IDLE_TIMEOUT));
+    let reply = time_limits::io_timeout(timeout, rpc::call(&mut connection, path, message)).await?;
+    gateway.connections.put(relay, connection, Some(IDLE_TIMEOUT));
     Ok(reply)
 }
--- a/toucanrail-gateway/src/relay_registration.rs
+++ b/toucanrail-gateway/src/relay_registration.rs
@@ -1,4 +1,5 @@
-//! A relay's registration in the store: its addresses, and the pace of the backend server beside it.
+//! A relay's registration in the store: its addresses, and the pace of the backend server beside
+//! it.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -20,9 +21,9 @@
 /// Timeout of a call to the store, and the pause before the next attempt.
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 const RETRY_PAUSE: Duration = Duration::from_secs(1);
-/// Interval between load reports of the server on the same VM. While its pace is being measured, the interval
-/// is short compared with the time between two prompts under load; afterwards it only has to show a change
-/// of pace or the start of streams.
+/// Interval between load reports of the server on the same VM. While its pace is being measured,
+/// the interval is short compared with the time between two prompts under load; afterwards it only
+/// has to show a change of pace or the start of streams.
 const MEASURING_INTERVAL: Duration = Duration::from_millis(100);
 const MONITORING_INTERVAL: Duration = Duration::from_secs(1);
 /// Minimum time between two writes of an entry; a server's pace rarely changes.
@@ -49,8 +50,8 @@
     }
 }
 
-/// Registers the relay, retrying until the store holds its entry, and updates the entry when the server's
-/// pace has changed.
+/// Registers the relay, retrying until the store holds its entry, and updates the entry when the
+/// server's pace has changed.
 pub async fn maintain_entry(
     settings: NodeSettings,
     entry: RelayEntry,
@@ -118,10 +119,11 @@
         }
     }
 
-    /// Adopts the entry that the store holds for this VM. Returns false if it differs from the own entry.
+    /// Adopts the entry that the store holds for this VM. Returns false if it differs from the own
+    /// entry.
     ///
-    /// A pace that an earlier run measured stays valid until this run has measured one, so that the relays of
-    /// a fleet that restarts after a power loss do not all write their entries.
+    /// A pace that an earlier run measured stays valid until this run has measured one, so that the
+    /// relays of a fleet that restarts after a power loss do not all write their entries.
     fn adopt(&mut self, known: RelayEntry) -> bool {
         let pace_us = self.entry.pace_us.or(known.pace_us);
         let same = known == RelayEntry { pace_us, ..self.entry.clone() };
--- a/toucanrail-gateway/src/report_client.rs
+++ b/toucanrail-gateway/src/report_client.rs
@@ -9,8 +9,8 @@
 /// Timeout of a report call; the server is on the same VM.
 const REPORT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Reads the load reports of the backend server on this VM, where they are current and cost no call to
-/// the store.
+/// Reads the load reports of the backend server on this VM, where they are current and cost no call
+/// to the store.
 #[derive(Debug)]
 pub struct ReportClient {
     client: StoreClient,
@@ -29,7 +29,7 @@
         self.client.fetch_report(self.server, REPORT_TIMEOUT).await
     }
 
-    /// Fetches a report, or returns `None` if the server does not answer with one.
+    /// Fetches a report, or returns `None` if the server does not respond with one.
     pub async fn try_fetch(&self) -> Option<BackendReport> {
         match self.fetch().await {
             Ok(report) => Some(report),
--- a/toucanrail-gateway/src/request_context.rs
+++ b/toucanrail-gateway/src/request_context.rs
@@ -28,13 +28,13 @@
 
 /// An admitted request.
 #[derive(Debug)]
-pub struct RequestPlan<'call> {
+pub struct RequestPlan<'request> {
     /// Request head as received.
-    pub head: &'call RequestHead,
+    pub head: &'request RequestHead,
     /// Complete request body.
-    pub body: &'call [u8],
+    pub body: &'request [u8],
     /// Fields parsed from the head.
-    pub facts: RequestInfo,
+    pub info: RequestInfo,
     /// Matched route.
     pub route: Arc<RouteRule>,
     /// Customer that pays; `None` on a public route.
@@ -77,11 +77,11 @@
 
 /// Context of one attempt: the request and the server that it is sent to.
 #[derive(Debug, Clone, Copy)]
-pub struct AttemptContext<'run, 'call> {
+pub struct AttemptContext<'run, 'request> {
     /// The gateway that serves the request.
     pub gateway: &'run Rc<Gateway>,
     /// The admitted request.
-    pub plan: &'run RequestPlan<'call>,
+    pub plan: &'run RequestPlan<'request>,
     /// The server to send it to.
     pub target: &'run BackendEntry,
     /// Address of another server that holds the shared parts of the prompt in its cache.
@@ -109,11 +109,11 @@
 #[derive(Debug)]
 pub struct OpenExchange {
     /// Connection to the server.
-    pub channel: BufferedConnection,
+    pub connection: BufferedConnection,
     /// Response head.
     pub head: ResponseHead,
     /// Finds the end of the response body.
-    pub framer: BodyDecoder,
+    pub decoder: BodyDecoder,
     /// Whether the whole request was written.
     pub request_sent: bool,
 }
@@ -121,10 +121,10 @@
 impl OpenExchange {
     /// Returns the connection to the pool if the exchange is complete in both directions and the
     /// server keeps the connection open.
-    pub fn release_channel(self, gateway: &Gateway, backend: &Arc<str>) {
-        if self.framer.is_done() && self.request_sent && !self.head.close {
+    pub fn release_connection(self, gateway: &Gateway, backend: &Arc<str>) {
+        if self.decoder.is_done() && self.request_sent && !self.head.close {
             let stated = self.head.fields.get("keep-alive").and_then(keepalive::parse_keep_alive);
-            gateway.channels.put(backend, self.channel, stated);
+            gateway.connections.put(backend, self.connection, stated);
         }
     }
 }
@@ -148,7 +148,7 @@
         Self { scanner, first_byte_at: None, longest_pause: Duration::ZERO }
     }
 
-    /// Returns the ID of the last event that was forwarded.
+    /// Returns the id of the last event that was forwarded.
     pub fn last_event(&self) -> Option<u64> {
         self.scanner.last_id
     }
--- a/toucanrail-gateway/src/sending.rs
+++ b/toucanrail-gateway/src/sending.rs
@@ -51,14 +51,14 @@
     let opened = open_exchange(context, stream.last_event()).await;
     let exchange = match opened {
         Ok(exchange) => exchange,
-        Err(fate) => return AttemptResult::Incomplete(fate),
+        Err(outcome) => return AttemptResult::Incomplete(outcome),
     };
-    let facts = requests::parse_response(&exchange.head, &plan.facts.id);
-    if facts.declined {
+    let info = requests::parse_response(&exchange.head, &plan.info.id);
+    if info.declined {
         return finish_declined(context, exchange).await;
     }
     let succeeded = (200..300).contains(&exchange.head.status);
-    if succeeded && !facts.signed {
+    if succeeded && !info.signed {
         // The response is not signed, so it was not made by a backend server.
         return AttemptResult::Incomplete(AttemptOutcome::Lost);
     }
@@ -75,7 +75,7 @@
     target: &BackendEntry,
 ) -> FlightGuard {
     let mut tables = gateway.tables.borrow_mut();
-    let prompt = plan.facts.prompt.as_ref();
+    let prompt = plan.info.prompt.as_ref();
     let parts = prompt.map_or(&[][..], |prompt| &prompt.parts);
     let uncached = prompt.map_or(0, |prompt| {
         let row = tables.backends.get(&target.id);
@@ -106,9 +106,9 @@
     last_event: Option<u64>,
 ) -> Result<OpenExchange, AttemptOutcome> {
     let AttemptContext { plan, target, .. } = *context;
-    let mut channel = open_channel(context).await?;
+    let mut connection = open_connection(context).await?;
     let has_no_body = plan.body.is_empty() && plan.head.fields.get("content-length").is_none();
-    let order = ForwardInfo {
+    let info = ForwardInfo {
         backend: &target.id,
         customer: plan.customer.as_ref().map(|customer| &customer.name),
         time_left: plan.time_left(),
@@ -124,9 +124,9 @@
         // From here on the server may process the prompt, even if the caller disconnects.
         budget.set_may_have_run(true);
     }
-    let mut bytes = requests::write_request_head(plan.head, &order);
+    let mut bytes = requests::write_request_head(plan.head, &info);
     bytes.extend_from_slice(plan.body);
-    let exchange = exchange_heads(&mut channel, &bytes, &plan.facts.id);
+    let exchange = exchange_heads(&mut connection, &bytes, &plan.info.id);
     let watched = exchange.or(wait_until_unresponsive(context));
     let (head, request_sent) =
         match time_limits::io_timeout(plan.time_left_to_first_byte(), watched).await {
@@ -144,11 +144,11 @@
                 return Err(AttemptOutcome::Lost);
             }
         };
-    let framer = BodyDecoder::for_response(head.length);
-    Ok(OpenExchange { channel, head, framer, request_sent })
+    let decoder = BodyDecoder::for_response(head.length);
+    Ok(OpenExchange { connection, head, decoder, request_sent })
 }
 
-async fn open_channel(
+async fn open_connection(
     context: &AttemptContext<'_, '_>,
 ) -> Result<BufferedConnection, AttemptOutcome> {
     let AttemptContext { gateway, plan, target, .. } = *context;
@@ -156,15 +156,16 @@
         RouteKind::Once | RouteKind::Stream { resumable: false } => ONCE_MAX_IDLE,
         RouteKind::Repeatable | RouteKind::Stream { resumable: true } => REPEATABLE_MAX_IDLE,
     };
-    if let Some(channel) = gateway.channels.take(&target.id, idle) {
-        return Ok(channel);
+    if let Some(connection) = gateway.connections.take(&target.id, idle) {
+        return Ok(connection);
     }
     gateway.metrics.count_event("connections_opened");
-    let bound = CONNECT_TIMEOUT.min(plan.time_left());
-    let opened = time_limits::io_timeout(bound, BufferedConnection::connect(target.address)).await;
+    let timeout = CONNECT_TIMEOUT.min(plan.time_left());
+    let opened =
+        time_limits::io_timeout(timeout, BufferedConnection::connect(target.address)).await;
     opened.map_err(|error| {
         tracing::info!(
-            event = "connect_failed", request = %plan.facts.id, server = %target.id,
+            event = "connect_failed", request = %plan.info.id, server = %target.id,
             address = %target.address, %error,
         );
         AttemptOutcome::NotSent
@@ -174,11 +175,11 @@
 /// Writes the request and reads the response head, which may arrive before the request is fully
 /// written.
 async fn exchange_heads(
-    channel: &mut BufferedConnection,
+    connection: &mut BufferedConnection,
     bytes: &[u8],
     id: &str,
 ) -> io::Result<(ResponseHead, bool)> {
-    let writer = channel.writer();
+    let writer = connection.writer();
     let mut request_sent = false;
     let writing = async {
         // A server that responds early may close its side before it has read the whole request; its
@@ -186,21 +187,21 @@
         request_sent = writer.write_all(bytes).await.is_ok();
         std::future::pending().await
     };
-    let head = read_matching_head(channel, id).or(writing).await?;
+    let head = read_matching_head(connection, id).or(writing).await?;
     Ok((head, request_sent))
 }
 
 /// Reads response heads until one belongs to this request.
 ///
-/// A late response to an earlier request may arrive where this one's is expected. It carries the ID
+/// A late response to an earlier request may arrive where this one's is expected. It carries the id
 /// of another attempt and is skipped together with its body.
 async fn read_matching_head(
-    channel: &mut BufferedConnection,
+    connection: &mut BufferedConnection,
     id: &str,
 ) -> io::Result<ResponseHead> {
     let mut foreign = 0;
     loop {
-        let bytes = channel.read_head(MAX_HEAD_BYTES).await?;
+        let bytes = connection.read_head(MAX_HEAD_BYTES).await?;
         let bytes = bytes.ok_or(io::ErrorKind::UnexpectedEof)?;
         let head = ResponseHead::parse(&bytes).map_err(|_| io::ErrorKind::InvalidData)?;
         if (100..200).contains(&head.status) {
@@ -213,21 +214,21 @@
         if foreign > MAX_FOREIGN_RESPONSES || head.close {
             return Err(io::ErrorKind::InvalidData.into());
         }
-        skip_body(channel, &head).await?;
+        skip_body(connection, &head).await?;
     }
 }
 
-async fn skip_body(channel: &mut BufferedConnection, head: &ResponseHead) -> io::Result<()> {
-    let mut framer = BodyDecoder::for_response(head.length);
+async fn skip_body(connection: &mut BufferedConnection, head: &ResponseHead) -> io::Result<()> {
+    let mut decoder = BodyDecoder::for_response(head.length);
     let mut body = Vec::new();
     loop {
-        let consumed = framer.feed(&channel.buffer, &mut body);
-        channel.buffer.drain(..consumed);
+        let consumed = decoder.feed(&connection.buffer, &mut body);
+        connection.buffer.drain(..consumed);
         body.clear();
-        if framer.is_done() {
+        if decoder.is_done() {
             return Ok(());
         }
-        if framer.is_malformed() || channel.fill().await? == 0 {
+        if decoder.is_malformed() || connection.fill().await? == 0 {
             return Err(io::ErrorKind::InvalidData.into());
         }
     }
@@ -243,17 +244,17 @@
     let status = exchange.head.status;
     if status == 421 {
         gateway.tables.borrow_mut().backends.record_leaving(&target.id);
-        gateway.channels.evict(&target.id);
+        gateway.connections.evict(&target.id);
     }
     tracing::info!(
-        event = "declined", request = %plan.facts.id, server = %target.id, status,
+        event = "declined", request = %plan.info.id, server = %target.id, status,
     );
     let mut body = Vec::new();
-    let bound = CONNECT_TIMEOUT.min(plan.time_left());
+    let timeout = CONNECT_TIMEOUT.min(plan.time_left());
     let read =
-        time_limits::io_timeout(bound, forwarding::read_body(&mut exchange, &mut body)).await;
+        time_limits::io_timeout(timeout, forwarding::read_body(&mut exchange, &mut body)).await;
     if read.is_ok() && status != 421 {
-        exchange.release_channel(gateway, &target.id);
+        exchange.release_connection(gateway, &target.id);
     }
     AttemptResult::Incomplete(AttemptOutcome::Declined)
 }
--- a/toucanrail-gateway/src/starting.rs
+++ b/toucanrail-gateway/src/starting.rs
@@ -42,7 +42,7 @@
     let front = gateway.settings.front.ok_or(io::ErrorKind::AddrNotAvailable)?;
     let callers = bind(front.callers)?;
     let readiness = bind(front.readiness)?;
-    let inner = bind(gateway.settings.internal)?;
+    let internal = bind(gateway.settings.internal)?;
     tracing::info!(
         event = "start", id = %gateway.id, data_centre = %gateway.settings.data_centre,
         callers = %front.callers, store = %gateway.settings.store,
@@ -52,13 +52,13 @@
     let executor = &gateway.executor;
     executor.spawn(accepting::serve_callers(Rc::clone(&shared), callers)).detach();
     executor.spawn(admin::serve_admin(Rc::clone(&shared), readiness)).detach();
-    executor.spawn(admin::serve_admin(Rc::clone(&shared), inner)).detach();
-    let ways = store_access::maintain_endpoint(
+    executor.spawn(admin::serve_admin(Rc::clone(&shared), internal)).detach();
+    let maintaining = store_access::maintain_endpoint(
         Rc::clone(&shared.store),
         shared.settings.store,
         UNMEASURED_LIST_INTERVAL,
     );
-    executor.spawn(ways).detach();
+    executor.spawn(maintaining).detach();
     executor.spawn(store_watch::watch_config(Rc::clone(&shared))).detach();
     executor.spawn(store_watch::watch_servers(Rc::clone(&shared))).detach();
     executor.spawn(store_watch::watch_evacuations(Rc::clone(&shared))).detach();
@@ -76,8 +76,9 @@
     let clock = ProcessClock::start();
     let executor = Rc::new(LocalExecutor::new());
     let data_centre = Arc::clone(&settings.data_centre);
-    let ways = EndpointTable::new(settings.store, data_centre, Arc::clone(&settings.region));
-    let store = Rc::new(StoreAccess::new(StoreClient::new(STORE_CONNECT_TIMEOUT), ways, clock));
+    let endpoints = EndpointTable::new(settings.store, data_centre, Arc::clone(&settings.region));
+    let store =
+        Rc::new(StoreAccess::new(StoreClient::new(STORE_CONNECT_TIMEOUT), endpoints, clock));
     let grant_manager =
         GrantManager::new(&id, Rc::clone(&store), tuning, metrics.clone(), Rc::clone(&executor));
     let evacuations =
@@ -102,7 +103,7 @@
         metrics,
         executor,
         tables: RefCell::new(tables),
-        channels: KeepAlivePool::new(),
+        connections: KeepAlivePool::new(),
         clock,
         stop_requested: Cell::new(None),
         admission_closed: Cell::new(false),
--- a/toucanrail-gateway/src/state.rs
+++ b/toucanrail-gateway/src/state.rs
@@ -59,7 +59,7 @@
 pub struct Gateway {
     /// Settings of this node.
     pub settings: NodeSettings,
-    /// ID of this process, unique to each start.
+    /// Id of this process, unique to each start.
     pub id: EntryId,
     /// Access to the platform's store.
     pub store: Rc<StoreAccess>,
@@ -70,7 +70,7 @@
     /// Tables that decisions read and update.
     pub tables: RefCell<GatewayTables>,
     /// Pool of connections to backend servers and relays.
-    pub channels: KeepAlivePool,
+    pub connections: KeepAlivePool,
     /// Clock that starts with the process.
     pub clock: ProcessClock,
     /// Time of the stop signal.
@@ -121,7 +121,7 @@
     ///
     /// An entry whose VM is cut off from all others cannot confirm budgets and refuses nearly every
     /// request, while other entries can still serve: the balancer must send new callers there. The
-    /// state is detected by the tasks that follow the store and ends with their first successful
+    /// state is detected by the tasks that watch the store and ends with their first successful
     /// call.
     pub fn is_isolated(&self) -> bool {
         let is_unanswered = |kind: &str| self.store.unanswered_for(kind) > ISOLATION_THRESHOLD;
--- a/toucanrail-gateway/src/stopping.rs
+++ b/toucanrail-gateway/src/stopping.rs
@@ -60,9 +60,9 @@
     let stop_requested = Instant::now();
     gateway.stop_requested.set(Some(stop_requested));
     tracing::info!(event = "stop", in_flight = gateway.in_flight.get());
-    let lending = gateway.hosted_relay.borrow().as_ref().map(|office| {
-        let bound = gateway.settings.shutdown_grace.saturating_sub(LENDING_MARGIN);
-        gateway.executor.spawn(drain_loans(Rc::clone(office), bound))
+    let lending = gateway.hosted_relay.borrow().as_ref().map(|api| {
+        let timeout = gateway.settings.shutdown_grace.saturating_sub(LENDING_MARGIN);
+        gateway.executor.spawn(drain_loans(Rc::clone(api), timeout))
     });
     smol::Timer::after(IDLE_CLOSE_DELAY).await;
     gateway.close_idle.set(true);
@@ -85,8 +85,8 @@
     );
 }
 
-async fn drain_loans(office: Rc<RelayApi>, bound: Duration) {
-    relay_api::drain(&office, bound).await;
+async fn drain_loans(api: Rc<RelayApi>, timeout: Duration) {
+    relay_api::drain(&api, timeout).await;
 }
 
 /// Waits until no request is in flight, at most until `limit` after the stop signal.
--- a/toucanrail-gateway/src/store_access.rs
+++ b/toucanrail-gateway/src/store_access.rs
@@ -21,17 +21,18 @@
 
 /// Kind of the relays' entries in the store.
 pub const RELAY_KIND: &str = "relays";
-/// Interval between listings of the relays, which change only with their VMs. A listing from a stale copy
-/// counts as a tenth of a call.
+/// Interval between listings of the relays, which change only with their VMs. A listing from a
+/// stale copy counts as a tenth of a call.
 pub const RELAY_LIST_INTERVAL: Duration = Duration::from_secs(12);
 /// The same for an entry while the pace of a backend server is unknown.
 pub const UNMEASURED_LIST_INTERVAL: Duration = Duration::from_secs(2);
-/// Time after the start in which relays are listed often, and the interval then. A restarted entry may be cut
-/// off moments later and would have no relays and lenders until the network recovers; in a fleet that
-/// starts, the relays themselves register in this time.
+/// Time after the start in which relays are listed often, and the interval then. A restarted entry
+/// may be cut off moments later and would have no relays and lenders until the network recovers; in
+/// a fleet that starts, the relays themselves register in this time.
 const STARTUP_TIME: Duration = Duration::from_secs(4);
 const STARTUP_LIST_INTERVAL: Duration = Duration::from_secs(1);
-/// The same time in a fleet with hosted relays only, which start once it is known that there are no others.
+/// The same time in a fleet with hosted relays only, which start once it is known that there are no
+/// others.
 const HOSTED_STARTUP_TIME: Duration = Duration::from_secs(10);
 /// Timeout of a listing of the relays and of a probe of the direct endpoint.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(600);
@@ -48,8 +49,8 @@
     /// Notified when another endpoint is used from now on.
     endpoint_changed: Event,
     clock: ProcessClock,
-    /// Time of the last answer to any use of the store.
-    answered_at: Cell<Option<Duration>>,
+    /// Time of the last response to any use of the store.
+    responded_at: Cell<Option<Duration>>,
     /// Uses of the store whose last call was not answered, and since when.
     unanswered: RefCell<BTreeMap<&'static str, Duration>>,
 }
@@ -65,7 +66,7 @@
             relays_listed: Cell::new(false),
             endpoint_changed: Event::new(),
             clock,
-            answered_at: Cell::new(None),
+            responded_at: Cell::new(None),
             unanswered: RefCell::default(),
         }
     }
@@ -80,17 +81,18 @@
         self.clock.now()
     }
 
-    /// Returns the time since the store last answered.
-    pub fn time_since_answer(&self) -> Duration {
-        self.now().saturating_sub(self.answered_at.get().unwrap_or_default())
+    /// Returns the time since the store last responded.
+    pub fn time_since_response(&self) -> Duration {
+        self.now().saturating_sub(self.responded_at.get().unwrap_or_default())
     }
 
-    /// Records whether a call was answered. Logs when a use of the store begins or ceases to be unanswered.
-    pub fn record_call(&self, usage: &'static str, answered: bool) {
+    /// Records whether a call was answered. Logs when a use of the store begins or ceases to be
+    /// unanswered.
+    pub fn record_call(&self, usage: &'static str, responded: bool) {
         let mut unanswered = self.unanswered.borrow_mut();
-        if answered {
-            let age = self.time_since_answer().as_millis() as u64;
-            self.answered_at.set(Some(self.now()));
+        if responded {
+            let age = self.time_since_response().as_millis() as u64;
+            self.responded_at.set(Some(self.now()));
             if unanswered.remove(usage).is_some() {
                 tracing::info!(event = "store_regained", usage, store_age_ms = age);
             }
@@ -100,7 +102,7 @@
         }
     }
 
-    /// Tells whether the last call of a use of the store was not answered.
+    /// Returns whether the last call of a use of the store was not answered.
     pub fn is_unanswered(&self, usage: &str) -> bool {
         self.unanswered.borrow().contains_key(usage)
     }
@@ -116,7 +118,7 @@
         self.endpoints.borrow().lenders()
     }
 
-    /// Returns the relay on a VM, and the address on which it answers entries.
+    /// Returns the relay on a VM, and the address on which it serves entries.
     pub fn relay_at(&self, vm: IpAddr) -> Option<(RelayName, SocketAddr)> {
         self.endpoints.borrow().relay_at(vm)
     }
@@ -126,17 +128,17 @@
         self.endpoints.borrow().paces()
     }
 
-    /// Tells whether calls go directly to the store.
+    /// Returns whether calls go directly to the store.
     pub fn is_direct(&self) -> bool {
         self.endpoints.borrow().current().0 == StoreEndpoint::Direct
     }
 
-    /// Tells whether the relays have been listed and none runs on a VM of its own.
+    /// Returns whether the relays have been listed and none runs on a VM of its own.
     pub fn has_only_hosted_relays(&self) -> bool {
         self.relays_listed.get() && self.endpoints.borrow().uses_hosted_relays()
     }
 
-    /// Tells whether the store lists a relay of this name.
+    /// Returns whether the store lists a relay of this name.
     pub fn has_relay(&self, name: &str) -> bool {
         self.endpoints.borrow().has_relay(name)
     }
@@ -177,8 +179,8 @@
         listing
     }
 
-    /// Waits for changes of a kind. Fails early when another call finds the endpoint broken, instead of waiting
-    /// for its own timeout on it.
+    /// Waits for changes of a kind. Fails early when another call finds the endpoint broken,
+    /// instead of waiting for its own timeout on it.
     pub async fn watch_kind(
         &self,
         kind: &str,
@@ -217,8 +219,8 @@
     }
 
     fn announce_endpoint_change(&self, reason: &str) {
-        let (way, address) = self.endpoints.borrow().current();
-        tracing::info!(event = "store_way", ?way, %address, reason);
+        let (endpoint, address) = self.endpoints.borrow().current();
+        tracing::info!(event = "store_way", way = ?endpoint, %address, reason);
         self.endpoint_changed.notify(usize::MAX);
     }
 
@@ -236,9 +238,9 @@
 
 /// Keeps the list of relays up to date, and returns to the direct endpoint when it works again.
 ///
-/// `unmeasured` is the interval between listings while a relay has not stated its server's pace yet. Entries
-/// that place prompts set a short one: until the pace is known, a slow server gets as many prompts as a fast
-/// one.
+/// `unmeasured` is the interval between listings while a relay has not stated its server's pace
+/// yet. Entries that place prompts set a short one: until the pace is known, a slow server gets as
+/// many prompts as a fast one.
 pub async fn maintain_endpoint(store: Rc<StoreAccess>, direct: SocketAddr, unmeasured: Duration) {
     let mut listed_at: Option<Duration> = None;
     loop {
@@ -263,7 +265,7 @@
     }
 }
 
-/// Lists the relays. Returns false if the store did not answer.
+/// Lists the relays. Returns false if the store did not respond.
 async fn list_relays(store: &StoreAccess) -> bool {
     let objects = match store.list_kind(RELAY_KIND, ListFreshness::Stale, PROBE_TIMEOUT).await {
         Ok(listing) => listing.objects,
--- a/toucanrail-gateway/src/store_watch.rs
+++ b/toucanrail-gateway/src/store_watch.rs
@@ -1,6 +1,8 @@
-//! The loops that keep the configuration, the backend servers and the evacuations up to date from the store.
+//! The loops that keep the configuration, the backend servers and the evacuations up to date from
+//! the store.
 //!
-//! Changes come from a board, which is a relay's copy of store objects, or from a watch of the store itself.
+//! Changes come from a board, which is a relay's copy of store objects, or from a watch of the
+//! store itself.
 
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -17,25 +19,26 @@
 use crate::relay_client;
 use crate::state::{Gateway, GatewayTables};
 
-/// Long-poll wait of one watch. Each watch is a counted call, which favours long waits; a connection that went
-/// silent is noticed only when its watch is overdue, and a change must be known within 2 s even then.
+/// Long-poll wait of one watch. Each watch is a counted call, which favours long waits; a
+/// connection that went silent is noticed only when its watch is overdue, and a change must be
+/// known within 2 s even then.
 const WATCH_WAIT: Duration = Duration::from_millis(1_500);
 /// Added to the wait before a watch counts as unanswered.
-const ANSWER_SLACK: Duration = Duration::from_millis(500);
-/// Long-poll wait of a query to a board, the same for evacuations, and the time added to it before the query
-/// counts as unanswered.
+const RESPONSE_SLACK: Duration = Duration::from_millis(500);
+/// Long-poll wait of a query to a board, the same for evacuations, and the time added to it before
+/// the query counts as unanswered.
 const BOARD_WAIT: Duration = Duration::from_millis(800);
 const EVACUATION_BOARD_WAIT: Duration = Duration::from_millis(1_500);
 const BOARD_SLACK: Duration = Duration::from_millis(400);
-/// Time for which a board that gets no answers from the store is not queried.
+/// Time for which a board that gets no responses from the store is not queried.
 const STALE_BACKOFF: Duration = Duration::from_secs(1);
 /// Pause after a failed call; it doubles with each consecutive failure, up to the maximum.
 const MIN_RETRY_PAUSE: Duration = Duration::from_millis(80);
 const MAX_RETRY_PAUSE: Duration = Duration::from_millis(640);
 /// Time after an outage of the store in which a server missing from it may still register again.
 const REREGISTRATION_WINDOW: Duration = Duration::from_secs(2);
-/// Time without an answer after which servers' entries may have expired in the store. Three heartbeat
-/// intervals of a server are longer than this.
+/// Time without a response after which servers' entries may have expired in the store. Three
+/// heartbeat intervals of a server are longer than this.
 const EXPIRY_THRESHOLD: Duration = Duration::from_millis(2_500);
 /// Interval at which expired state is dropped.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(200);
@@ -53,9 +56,9 @@
     /// Applies one change.
     fn apply_change(&mut self, gateway: &Gateway, change: &MirrorChange);
 
-    /// Called before each update is applied. `silence` is the time since the previous answer, `age` the longest
-    /// time ago that a change in this update can have been made.
-    fn record_answer(&mut self, gateway: &Gateway, silence: Duration, age: Duration);
+    /// Called before each update is applied. `silence` is the time since the previous response,
+    /// `age` the longest time ago that a change in this update can have been made.
+    fn record_response(&mut self, gateway: &Gateway, silence: Duration, age: Duration);
 }
 
 /// Keeps the configuration up to date.
@@ -75,8 +78,8 @@
     }
 }
 
-/// Periodic maintenance: drops servers that did not register again after an outage and connections that are
-/// too old, and applies the paces of servers as measured by relays.
+/// Periodic maintenance: drops servers that did not register again after an outage and connections
+/// that are too old, and applies the paces of servers as measured by relays.
 pub async fn sweep(gateway: Rc<Gateway>) {
     let mut swept_at = gateway.now();
     loop {
@@ -85,10 +88,10 @@
         let expired = gateway.tables.borrow_mut().backends.drop_expired(now);
         for id in expired {
             tracing::info!(event = "server_gone", server = %id, reason = "lapsed");
-            gateway.channels.evict(&id);
+            gateway.connections.evict(&id);
         }
         gateway.tables.borrow_mut().backends.apply_paces(&gateway.store.server_paces());
-        gateway.channels.evict_expired();
+        gateway.connections.evict_expired();
         let tables = gateway.tables.borrow();
         gateway.load_reports.retain(|server| tables.backends.get(server).is_some());
         drop(tables);
@@ -102,9 +105,9 @@
 struct WatchState {
     /// The revision up to which every change is known; `None` before the first listing.
     revision: Option<Version>,
-    /// Time of the last answer.
-    answered_at: Duration,
-    /// Backoff of direct calls to the store while no board gets answers from it.
+    /// Time of the last response.
+    responded_at: Duration,
+    /// Backoff of direct calls to the store while no board gets responses from it.
     outage: OutageBackoff,
 }
 
@@ -113,13 +116,13 @@
     Handler: KindHandler,
 {
     let outage = OutageBackoff::default();
-    let mut state = WatchState { revision: None, answered_at: gateway.now(), outage };
+    let mut state = WatchState { revision: None, responded_at: gateway.now(), outage };
     let mut pause = MIN_RETRY_PAUSE;
     loop {
         match step(&gateway, &mut handler, &mut state).await {
             Ok(next) => {
                 state.revision = Some(next);
-                state.answered_at = gateway.now();
+                state.responded_at = gateway.now();
                 pause = MIN_RETRY_PAUSE;
                 gateway.store.record_call(Handler::KIND, true);
             }
@@ -147,13 +150,13 @@
     Handler: KindHandler,
 {
     let revision = state.revision;
-    let age = gateway.now().saturating_sub(state.answered_at);
+    let age = gateway.now().saturating_sub(state.responded_at);
     let update = match query_boards::<Handler>(gateway, revision).await {
         BoardOutcome::Updated(update) => update,
         BoardOutcome::Stale => query_in_outage(gateway, Handler::KIND, state).await?,
         BoardOutcome::Unavailable => query_store(gateway, Handler::KIND, revision).await?,
     };
-    handler.record_answer(gateway, gateway.now().saturating_sub(state.answered_at), age);
+    handler.record_response(gateway, gateway.now().saturating_sub(state.responded_at), age);
     match update {
         ChangesReply::Listing { objects, revision } => {
             handler.apply_listing(gateway, &objects);
@@ -165,22 +168,23 @@
             }
             Ok(seen.max(revision.unwrap_or_default()))
         }
-        ChangesReply::Stale => Err(no_answer()),
+        ChangesReply::Stale => Err(no_response()),
     }
 }
 
-fn no_answer() -> StoreError {
+fn no_response() -> StoreError {
     StoreError::NoResponse(std::io::ErrorKind::TimedOut.into())
 }
 
-/// Queries a store from which no board gets answers: it may reject the boards' VMs and still serve this one.
+/// Queries a store from which no board gets responses: it may reject the boards' VMs and still
+/// serve this one.
 async fn query_in_outage(
     gateway: &Gateway,
     kind: &str,
     state: &mut WatchState,
 ) -> Result<ChangesReply, StoreError> {
     if !state.outage.may_ask(gateway.now()) {
-        return Err(no_answer());
+        return Err(no_response());
     }
     let result = query_store(gateway, kind, state.revision).await;
     if result.is_err() {
@@ -200,16 +204,16 @@
         let (objects, revision) = (listing.objects, listing.revision);
         return Ok(ChangesReply::Listing { objects, revision });
     };
-    let watched = gateway.store.watch_kind(kind, revision, WATCH_WAIT, ANSWER_SLACK).await?;
+    let watched = gateway.store.watch_kind(kind, revision, WATCH_WAIT, RESPONSE_SLACK).await?;
     Ok(ChangesReply::Changes { changes: watched.changes, revision: watched.revision })
 }
 
 /// Outcome of a query to the boards of the region.
 #[derive(Debug)]
 enum BoardOutcome {
-    /// A board answered.
+    /// A board responded.
     Updated(ChangesReply),
-    /// The boards answer, but get no answers from the store.
+    /// The boards respond, but get no responses from the store.
     Stale,
     /// A board failed, or there are none.
     Unavailable,
@@ -217,9 +221,9 @@
 
 /// Queries the boards of the region in order.
 ///
-/// A board that fails is put in backoff, and this entry queries the store itself immediately, so that its
-/// knowledge is never older than one timeout of a board plus one of its own. A stale board says so
-/// immediately, and the next one is queried.
+/// A board that fails is put in backoff, and this entry queries the store itself immediately, so
+/// that its knowledge is never older than one timeout of a board plus one of its own. A stale board
+/// says so immediately, and the next one is queried.
 async fn query_boards<Handler>(gateway: &Gateway, after: Option<Version>) -> BoardOutcome
 where
     Handler: KindHandler,
@@ -239,7 +243,8 @@
         let result =
             relay_client::call_relay(gateway, board, *address, CHANGES_PATH, &query, timeout).await;
         let reason = match result {
-            // A listing that is older than the known revision would bring back servers that have left.
+            // A listing that is older than the known revision would bring back servers that have
+            // left.
             Ok(ChangesReply::Listing { revision, .. }) if after.is_some_and(|at| revision < at) => {
                 "behind".to_owned()
             }
@@ -303,7 +308,7 @@
         }
     }
 
-    fn record_answer(&mut self, _: &Gateway, _: Duration, _: Duration) {}
+    fn record_response(&mut self, _: &Gateway, _: Duration, _: Duration) {}
 }
 
 struct ServerHandler {
@@ -328,10 +333,11 @@
                     let restarted =
                         known.as_ref().is_some_and(|known| known.started_at != entry.started_at);
                     if restarted || entry.draining {
-                        gateway.channels.evict(&entry.id);
+                        gateway.connections.evict(&entry.id);
                     }
                 }
-                // The remaining cold time of an entry that a listing repeats was stated some time ago.
+                // The remaining cold time of an entry that a listing repeats was stated some time
+                // ago.
                 let cold = if known.as_ref() == Some(&entry) { Duration::ZERO } else { entry.cold };
                 tables.backends.apply_entry(entry);
                 if !cold.is_zero() {
@@ -346,8 +352,8 @@
         }
     }
 
-    /// Records that a known server is missing from the store. After an outage it may have expired there and
-    /// register again, so it is kept for a while.
+    /// Records that a known server is missing from the store. After an outage it may have expired
+    /// there and register again, so it is kept for a while.
     fn record_missing(&self, gateway: &Gateway, id: &Arc<str>) {
         let now = gateway.now();
         let window = |since: &Duration| now.saturating_sub(*since) < REREGISTRATION_WINDOW;
@@ -360,7 +366,7 @@
         let lapsed = since.is_some();
         tracing::info!(event = "server_missing", server = %id, lapsed);
         if !lapsed {
-            gateway.channels.evict(id);
+            gateway.connections.evict(id);
         }
     }
 }
@@ -387,7 +393,7 @@
         }
     }
 
-    fn record_answer(&mut self, gateway: &Gateway, silence: Duration, _: Duration) {
+    fn record_response(&mut self, gateway: &Gateway, silence: Duration, _: Duration) {
         if silence > EXPIRY_THRESHOLD {
             self.outage_ended_at = Some(gateway.now());
         }
@@ -437,7 +443,7 @@
         tracing::info!(event = "evacuation", %data_centre, age_ms, revision);
     }
 
-    fn record_answer(&mut self, _: &Gateway, _: Duration, age: Duration) {
+    fn record_response(&mut self, _: &Gateway, _: Duration, age: Duration) {
         self.age = age;
     }
 }
--- a/toucanrail-gateway/tests/cold_servers.rs
+++ b/toucanrail-gateway/tests/cold_servers.rs
@@ -1,4 +1,5 @@
-//! Cold servers, which have just started, receive no more requests than their configured rate allows.
+//! Cold servers, which have just started, receive no more requests than their configured rate
+//! allows.
 
 mod platform;
 
@@ -8,8 +9,8 @@
 use platform::{Action, Backend, Process, Store, request};
 use serde_json::json;
 
-/// Maximum number of requests per second to a cold server: the configured rate of 10, times `cold_over` of 1.5,
-/// plus `cold_slack` of 5.
+/// Maximum number of requests per second to a cold server: the configured rate of 10, times
+/// `cold_over` of 1.5, plus `cold_slack` of 5.
 const MAX_REQUESTS: usize = 20;
 
 /// Starts a store and one backend server, and configures its service with a cold start.
@@ -57,8 +58,9 @@
     senders.into_iter().filter_map(|sender| sender.join().ok()).filter(|served| *served).count()
 }
 
-/// An idle cold server joins and two gateways send it a burst. Guards against overload of a cold server: it
-/// receives only as many requests as permits allow, and the others are refused without running.
+/// An idle cold server joins and two gateways send it a burst. Guards against overload of a cold
+/// server: it receives only as many requests as permits allow, and the others are refused without
+/// running.
 #[test]
 fn cold_burst() {
     let (store, backend, _relay, gateways) = start_service();
@@ -88,8 +90,8 @@
     assert_eq!(count_requests(&backend), 60);
 }
 
-/// The relay beside a cold server is not listed yet, but another one is. If gateways asked the other relay for
-/// permits, the two relays would together grant twice what the server can take.
+/// The relay beside a cold server is not listed yet, but another one is. If gateways asked the
+/// other relay for permits, the two relays would together grant twice what the server can take.
 #[test]
 fn unlisted_relay() {
     let (store, backend) = start_server();
--- a/toucanrail-gateway/tests/evacuations.rs
+++ b/toucanrail-gateway/tests/evacuations.rs
@@ -29,7 +29,8 @@
     (response.status(), String::from_utf8_lossy(&response.body).into_owned())
 }
 
-/// Sends groups of requests until all responses of a group have this body. Returns how long that took.
+/// Sends groups of requests until all responses of a group have this body. Returns how long that
+/// took.
 fn wait_for_body(gateway: &Process, expected: &str) -> Duration {
     let start = Instant::now();
     let mut number = 0;
@@ -40,8 +41,8 @@
     start.elapsed()
 }
 
-/// The nearer of two servers receives no requests once its data centre is evacuated, and serves again when the
-/// evacuation is removed.
+/// The nearer of two servers receives no requests once its data centre is evacuated, and serves
+/// again when the evacuation is removed.
 #[test]
 fn near_evacuated() {
     let (store, near, _far, gateway) = start_pair();
@@ -55,7 +56,8 @@
     wait_for_body(&gateway, "near");
 }
 
-/// Both data centres are evacuated: requests are refused immediately with a `Retry-After`, and are not run.
+/// Both data centres are evacuated: requests are refused immediately with a `Retry-After`, and are
+/// not run.
 #[test]
 fn both_evacuated() {
     let (store, near, far, gateway) = start_pair();
@@ -72,8 +74,8 @@
     assert_eq!(near.seen().len() + far.seen().len(), received);
 }
 
-/// The store discards its history together with the evacuation's event, so that no watch reports it; the gateway
-/// must learn of the evacuation from a listing.
+/// The store discards its history together with the evacuation's event, so that no watch reports
+/// it; the gateway must learn of the evacuation from a listing.
 #[test]
 fn evacuation_without_event() {
     let (store, _near, _far, gateway) = start_pair();
@@ -81,8 +83,9 @@
     assert!(wait_for_body(&gateway, "far") < EVACUATION_LIMIT);
 }
 
-/// The store is unavailable while an evacuation is in force. A gateway that knows of the evacuation still
-/// honours it, and one that starts meanwhile sends nothing before it has listed the evacuations.
+/// The store is unavailable while an evacuation is in force. A gateway that knows of the evacuation
+/// still honours it, and one that starts meanwhile sends nothing before it has listed the
+/// evacuations.
 #[test]
 fn store_unavailable() {
     let (store, near, _far, mut gateway) = start_pair();
@@ -103,8 +106,8 @@
     assert_eq!(near.seen().len(), received);
 }
 
-/// The allowed regions of a route and of a customer both apply. If together they leave no server, the request is
-/// refused and must not reach a server of another region.
+/// The allowed regions of a route and of a customer both apply. If together they leave no server,
+/// the request is refused and must not reach a server of another region.
 #[test]
 fn allowed_regions_apply() {
     let (store, near, far, gateway) = start_pair();
--- a/toucanrail-gateway/tests/fault_soak.rs
+++ b/toucanrail-gateway/tests/fault_soak.rs
@@ -1,7 +1,7 @@
 //! Seeded soak test: real gateways and relays under load, while they are killed, stopped, paused
 //! and cut off from the store, and servers lose, truncate and mix up responses. A second test adds
-//! proxies that delay, reset, silence or cut in one direction the connections to servers and to the
-//! store. The guarantees are checked against what callers and servers observe.
+//! proxies that delay, reset or stall the connections to servers and to the store, or cut them in
+//! one direction. The guarantees are checked against what callers and servers observe.
 //!
 //! `TOUCANRAIL_SOAK_SEEDS="1 2 3"` selects the seeds. CI runs those of `SEEDS`; each seed that ever
 //! fails is added to them.
@@ -32,11 +32,11 @@
 /// What servers ran and callers received.
 #[derive(Debug, Default)]
 struct SoakRecord {
-    /// Number of runs by attempt ID, which starts with the route's name.
+    /// Number of runs by attempt id, which starts with the route's name.
     runs: BTreeMap<String, u32>,
     /// Attempts that were refused as not run.
     refused: Vec<String>,
-    /// Number of events that callers received, by attempt ID.
+    /// Number of events that callers received, by attempt id.
     events: BTreeMap<String, u64>,
     served: u64,
     violations: Vec<String>,
@@ -184,8 +184,8 @@
     }
 }
 
-/// Disturbs the connections through one proxy for a while; connections that it silences stay
-/// silent.
+/// Injects a fault into the connections through one proxy for a while. Stalled connections stay
+/// stalled.
 fn inject_network_fault(rng: &mut fastrand::Rng, proxies: &[Proxy]) {
     let proxy = &proxies[rng.usize(0..proxies.len())];
     let time = Duration::from_millis(rng.u64(200..1_500));
@@ -254,7 +254,7 @@
     run_seeds(&SEEDS, false);
 }
 
-/// The same while connections are delayed, reset, cut in one direction or silenced for good. A
+/// The same while connections are delayed, reset, cut in one direction or stalled permanently. A
 /// request sent on such a connection may have run, whatever the entry receives.
 #[test]
 fn network_faults() {
--- a/toucanrail-gateway/tests/fleet_boards.rs
+++ b/toucanrail-gateway/tests/fleet_boards.rs
@@ -7,7 +7,8 @@
 
 use platform::{Action, Backend, Process, Store, request};
 
-/// Starts a relay and registers it under thirty names, so that the fleet is large enough to use boards.
+/// Starts a relay and registers it under thirty names, so that the fleet is large enough to use
+/// boards.
 fn start_fleet(store: &Store) -> Process {
     let relay = Process::start_relay(store, "side-0");
     platform::wait_until("the relay", || store.has("relays", "side-0"));
@@ -25,7 +26,8 @@
     platform::configure(&store, 1, &[&backend]);
     let relay = start_fleet(&store);
     let gateway = Process::start_gateway(&store);
-    // The gateway lists the relays shortly after its start; the watches that it began before then expire.
+    // The gateway lists the relays shortly after its start; the watches that it began before then
+    // expire.
     thread::sleep(Duration::from_secs(4));
     (store, backend, relay, gateway)
 }
@@ -41,8 +43,9 @@
     assert!(start.elapsed() < Duration::from_secs(2), "{:?}", start.elapsed());
 }
 
-/// The board watches the store in place of the entry, which still has a new configuration within two seconds.
-/// Without boards, thirty entries that watch the store make half of its calls, and each change wakes them all.
+/// The board watches the store in place of the entry, which still has a new configuration within
+/// two seconds. Without boards, thirty entries that watch the store make half of its calls, and
+/// each change wakes them all.
 #[test]
 fn board_watches() {
     let (store, backend, _relay, gateway) = start_board();
@@ -52,7 +55,8 @@
     assert_eq!(store.watch_count(), before);
 }
 
-/// The board is killed. Its entries must not wait for it but watch the store themselves immediately.
+/// The board is killed. Its entries must not wait for it but watch the store themselves
+/// immediately.
 #[test]
 fn dead_board() {
     let (store, backend, relay, gateway) = start_board();
@@ -69,8 +73,9 @@
     relay.signal("CONT");
 }
 
-/// The store does not answer for some seconds, and the board is queried again once the store is back. If the
-/// entries continued to watch the store themselves, each server that registers anew would wake them all.
+/// The store does not answer for some seconds, and the board is queried again once the store is
+/// back. If the entries continued to watch the store themselves, each server that registers anew
+/// would wake them all.
 #[test]
 fn stale_board() {
     let (store, backend, _relay, gateway) = start_board();
--- a/toucanrail-gateway/tests/hosted_relays.rs
+++ b/toucanrail-gateway/tests/hosted_relays.rs
@@ -34,8 +34,8 @@
     thread::sleep(Duration::from_secs(2));
 }
 
-/// Only one of two entries holds a grant, and lends to both. Guards against entries that each hold their own
-/// grants, compete for the rest of a budget and lose most writes to version conflicts.
+/// Only one of two entries holds a grant, and lends to both. Guards against entries that each hold
+/// their own grants, compete for the rest of a budget and lose most writes to version conflicts.
 #[test]
 fn one_lender() {
     let (store, _backend, entries) = start_entries();
--- a/toucanrail-gateway/tests/lender_shutdown.rs
+++ b/toucanrail-gateway/tests/lender_shutdown.rs
@@ -7,10 +7,10 @@
 
 use platform::{Action, Backend, Process, Store, request};
 
-/// A lender is stopped while a stream that it lent the budget for is in progress. It must stay until the loan
-/// has ended. If it exited at once, the entry could not end the loan, the stream would never be billed, and
-/// its unused budget would stay granted to the dead lender: a tenth of a customer's budget was lost in this
-/// way with each VM that was removed.
+/// A lender is stopped while a stream that it lent the budget for is in progress. It must stay
+/// until the loan has ended. If it exited at once, the entry could not end the loan, the stream
+/// would never be billed, and its unused budget would stay granted to the dead lender: a tenth of a
+/// customer's budget was lost in this way with each VM that was removed.
 #[test]
 fn open_loan() {
     let store = Store::start();
@@ -40,7 +40,7 @@
 
 /// A lender that is stopping lends no more; the next request is served all the same.
 #[test]
-fn leaving_lender() {
+fn stopping_lender() {
     let store = Store::start();
     let stream =
         [platform::STREAM_HEAD, &platform::chunk("id: 1\ndata: a\n\n"), "0\r\n\r\n"].concat();
@@ -61,9 +61,9 @@
     assert!(!store.granted("acme").keys().any(|holder| holder.starts_with("side-1")));
 }
 
-/// A relay's VM freezes: the process does not answer while its kernel still accepts connections. If each
-/// request waited for the full timeout of 650 ms, a first event that is due within half a second would be
-/// late. The entry must turn to the second lender well before that.
+/// A relay's VM freezes: the process does not answer while its kernel still accepts connections. If
+/// each request waited for the full timeout of 650 ms, a first event that is due within half a
+/// second would be late. The entry must turn to the second lender well before that.
 #[test]
 fn frozen_lender() {
     let store = Store::start();
--- a/toucanrail-gateway/tests/platform/mod.rs
+++ b/toucanrail-gateway/tests/platform/mod.rs
@@ -1,6 +1,6 @@
-//! The users' platform for tests. The store, the backend servers and the callers are fakes that read and write
-//! raw bytes, so that they do not share the adapter's view of the wire format; gateway and relay are real
-//! processes.
+//! The users' platform for tests. The store, the backend servers and the callers are fakes that
+//! read and write raw bytes, so that they do not share the adapter's view of the wire format;
+//! gateway and relay are real processes.
 
 // Each test file uses only a part of this module.
 #![allow(dead_code)]
@@ -20,7 +20,8 @@
 use self::proxies::Proxy;
 use serde_json::{Value, json};
 
-/// Timeout of everything that a test waits for. Reaching it is a failure; no test depends on its length.
+/// Timeout of everything that a test waits for. Reaching it is a failure; no test depends on its
+/// length.
 const TIMEOUT: Duration = Duration::from_secs(20);
 /// Polling interval.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
@@ -29,9 +30,9 @@
 
 static NEXT_PORT: AtomicU16 = AtomicU16::new(0);
 
-/// Number of ports of one test program, and the first port of all programs. They lie below the kernel's range
-/// of ephemeral ports: a port in that range was sometimes taken by an outgoing connection between being
-/// chosen and being used.
+/// Number of ports of one test program, and the first port of all programs. They lie below the
+/// kernel's range of ephemeral ports: a port in that range was sometimes taken by an outgoing
+/// connection between being chosen and being used.
 const PORT_COUNT: u16 = 100;
 const PORT_BASE: u16 = 10_000;
 /// Number of test programs with disjoint port ranges.
@@ -86,7 +87,8 @@
             .map(|(_, value)| value)
     }
 
-    /// Returns the second word of the first line: the target of a request, or the status of a response.
+    /// Returns the second word of the first line: the target of a request, or the status of a
+    /// response.
     pub fn target(&self) -> &str {
         self.head.split(' ').nth(1).unwrap_or_default()
     }
@@ -181,7 +183,8 @@
         Self { state, address, relay_address, cut_off, blocked, watches }
     }
 
-    /// Returns the store with proxies in front of its address for gateways and its address for relays.
+    /// Returns the store with proxies in front of its address for gateways and its address for
+    /// relays.
     pub fn behind(&self, gateways: &Proxy, relays: &Proxy) -> Self {
         Self { address: gateways.address, relay_address: relays.address, ..self.clone() }
     }
@@ -236,7 +239,7 @@
         state.objects.get(&(kind.to_owned(), name.to_owned())).map(|(_, spec)| spec.clone())
     }
 
-    /// Tells whether an object exists.
+    /// Returns whether an object exists.
     pub fn has(&self, kind: &str, name: &str) -> bool {
         let state = self.state.lock().expect("the store");
         state.objects.contains_key(&(kind.to_owned(), name.to_owned()))
@@ -273,7 +276,8 @@
     json!({"metadata": {"name": name, "revision": revision, "deleting": false}, "spec": spec})
 }
 
-/// Writes an object at the next revision and adds the event to the history. Returns the object as stored.
+/// Writes an object at the next revision and adds the event to the history. Returns the object as
+/// stored.
 fn write(state: &mut StoreState, kind: &str, name: &str, spec: Value) -> Value {
     state.revision += 1;
     let revision = state.revision;
@@ -347,8 +351,8 @@
 /// How a fake backend server reacts to a request.
 #[derive(Debug, Clone)]
 pub enum Action {
-    /// Writes these bytes, in which `ID` stands for the attempt's id and `PAUSE` for a pause of 30 ms, then waits
-    /// for the next request.
+    /// Writes these bytes, in which `ID` stands for the attempt's id and `PAUSE` for a pause of 30
+    /// ms, then waits for the next request.
     Respond(String),
     /// Writes these bytes and closes or resets the connection.
     Disconnect(String),
@@ -363,7 +367,8 @@
 }
 
 impl Backend {
-    /// Starts a server that reacts to each request as `script` says, which gets the request's number from 0.
+    /// Starts a server that reacts to each request as `script` says, which gets the request's
+    /// number from 0.
     pub fn start<Script>(id: &str, script: Script) -> Self
     where
         Script: Fn(usize, &Message) -> Action + Send + Sync + 'static,
@@ -378,7 +383,7 @@
                     received.len() - 1
                 };
                 let id = message.field("x-attempt-id").unwrap_or_default().to_owned();
-                let (text, breaks) = match script(number, &message) {
+                let (text, disconnects) = match script(number, &message) {
                     Action::Respond(text) => (text, false),
                     Action::Disconnect(text) => (text, true),
                 };
@@ -388,7 +393,7 @@
                     }
                     thread::sleep(Duration::from_millis(30));
                 }
-                if breaks {
+                if disconnects {
                     return;
                 }
             }
@@ -396,7 +401,8 @@
         Self { id: id.to_owned(), address, seen }
     }
 
-    /// Starts a server that responds as soon as it has read a request's head, and reads the body later.
+    /// Starts a server that responds as soon as it has read a request's head, and reads the body
+    /// later.
     pub fn start_early_responder(id: &str) -> Self {
         let seen: Arc<Mutex<Vec<Message>>> = Arc::default();
         let received = Arc::clone(&seen);
@@ -486,12 +492,14 @@
         process
     }
 
-    /// Starts a gateway without waiting for it to be ready, such as one that finds no configuration.
+    /// Starts a gateway without waiting for it to be ready, such as one that finds no
+    /// configuration.
     pub fn start_unready(store: &Store) -> Self {
         Self::start(env!("CARGO_BIN_EXE_toucanrail-gateway"), store.address, "front-1", None)
     }
 
-    /// Starts a gateway with evacuations and limits for cold servers turned on, and waits until it is ready.
+    /// Starts a gateway with evacuations and limits for cold servers turned on, and waits until it
+    /// is ready.
     pub fn start_with_limits(store: &Store) -> Self {
         let program = env!("CARGO_BIN_EXE_toucanrail-gateway");
         let process = Self::start_with(program, store.address, "front-1", None, LIMIT_SETTINGS);
@@ -512,8 +520,8 @@
         process
     }
 
-    /// Starts a process and waits until it listens. If it exits first, as when another process has taken one of
-    /// its ports, starts another one with other ports.
+    /// Starts a process and waits until it listens. If it exits first, as when another process has
+    /// taken one of its ports, starts another one with other ports.
     fn start(program: &'static str, store: SocketAddr, vm: &str, app: Option<SocketAddr>) -> Self {
         Self::start_with(program, store, vm, app, "")
     }
@@ -567,7 +575,8 @@
         let settings = std::env::temp_dir().join(name);
         std::fs::write(&settings, text).expect("a settings file");
         let child = Self::spawn(program, &settings);
-        // A gateway opens its first internal port last; a relay the next one, on which it answers entries.
+        // A gateway opens its first internal port last; a relay the next one, on which it answers
+        // entries.
         let last_port = internal_port + u16::from(program.ends_with("relay"));
         let last_address = SocketAddr::from(([127, 0, 0, 1], last_port));
         Self { program, child, callers, readiness, last_address, settings }
@@ -607,8 +616,8 @@
     /// Waits until the process reports that it is ready, or that it is not.
     pub fn wait_ready(&self, ready: bool) {
         wait_until("readiness", || {
-            let reply = call(self.readiness, "GET /api/ready HTTP/1.1\r\nHost: x\r\n\r\n");
-            reply.is_some_and(|response| (response.status() == 200) == ready)
+            let response = call(self.readiness, "GET /api/ready HTTP/1.1\r\nHost: x\r\n\r\n");
+            response.is_some_and(|response| (response.status() == 200) == ready)
         });
     }
 }
@@ -678,7 +687,8 @@
 pub const PROMPT_HEADERS: &str =
     "X-Model: m\r\nX-Token-Usage: 100,60\r\nX-Prefix-Hash: a:60,b:40\r\n";
 
-/// Writes a configuration with plain routes `/once/` and `/safe/` and streaming routes `/stream/` and `/resume/`.
+/// Writes a configuration with plain routes `/once/` and `/safe/` and streaming routes `/stream/`
+/// and `/resume/`.
 pub fn configure(store: &Store, version: u64, backends: &[&Backend]) {
     configure_prepaid(store, version, backends, 1_000);
 }
--- a/toucanrail-gateway/tests/platform/proxies.rs
+++ b/toucanrail-gateway/tests/platform/proxies.rs
@@ -100,8 +100,8 @@
     server.shutdown(Shutdown::Both).ok();
 }
 
-/// Forwards one direction until either end closes. A direction that dropped bytes forwards nothing more, like a
-/// TCP connection whose peer never receives the missing segment.
+/// Forwards one direction until either end closes. A direction that dropped bytes forwards nothing
+/// more, like a TCP connection whose peer never receives the missing segment.
 fn forward_bytes(
     mut from: &TcpStream,
     mut to: &TcpStream,
--- a/toucanrail-gateway/tests/relay_registration.rs
+++ b/toucanrail-gateway/tests/relay_registration.rs
@@ -8,9 +8,9 @@
 use platform::{Process, Store};
 use serde_json::json;
 
-/// A restarted relay keeps the pace in its entry that its earlier run measured. If it cleared the pace and
-/// wrote it again once measured, all relays that restart after a power loss would make two more calls each, at
-/// the same time.
+/// A restarted relay keeps the pace in its entry that its earlier run measured. If it cleared the
+/// pace and wrote it again once measured, all relays that restart after a power loss would make two
+/// more calls each, at the same time.
 #[test]
 fn kept_pace() {
     let store = Store::start();
