--- a/toucanrail-daemons/src/attempts.rs
+++ b/toucanrail-daemons/src/attempts.rs
@@ -17,9 +17,9 @@
 use toucanrail_wire::clients::{RequestError, StreamingResponse};
 use toucanrail_wire::time_limits;
 
-use crate::fleets::routes;
+use crate::fleet_client::routes;
 use crate::reclaiming;
-use crate::states::Entry;
+use crate::state::Entry;
 
 /// Time without a frame after which the connection to an agent counts as lost; the agent sends
 /// keep-alive frames four times as often.
@@ -143,7 +143,7 @@
         None => ExchangeError::CallerGone,
     };
     // If one connection to the agent is lost, its idle connections are probably lost too.
-    entry.client.forget(target.address);
+    entry.client.evict(target.address);
     let waited = time_limits::timeout(
         RESULT_TIMEOUT,
         query_result(entry, target, &command.run, command.hold),
@@ -255,7 +255,7 @@
     let query = RunQuery { run: Arc::clone(run), mode: QueryMode::Cancel };
     loop {
         let reply: io::Result<AgentReply> =
-            entry.client.send(target.address, routes::ASK, &query, QUERY_TIMEOUT).await;
+            entry.client.send(target.address, routes::RUN_QUERY, &query, QUERY_TIMEOUT).await;
         match reply {
             Ok(reply) if reply.agent != target.agent => return gone_result(hold),
             Ok(AgentReply { fate: Some(RunReport::NeverCame), .. }) => {
--- a/toucanrail-daemons/src/billing.rs
+++ b/toucanrail-daemons/src/billing.rs
@@ -11,7 +11,7 @@
 use crate::attempts::{self, AttemptResult, AttemptTarget};
 use crate::planning::RequestPlan;
 use crate::recording;
-use crate::states::Entry;
+use crate::state::Entry;
 
 /// Usage of a request's attempts that has not been billed yet.
 #[derive(Debug, Default)]
--- a/toucanrail-daemons/src/bin/toucanrail-agent.rs
+++ b/toucanrail-daemons/src/bin/toucanrail-agent.rs
@@ -1,4 +1,4 @@
-//! The agent as a process.
+//! Main function of the agent program.
 
 use std::process::ExitCode;
 
@@ -7,21 +7,21 @@
 
 fn main() -> ExitCode {
     let rows: Vec<_> = starting::COMMON_SETTINGS.into_iter().chain(agents::SETTINGS).collect();
-    let about = "stands beside one backend server";
+    let about = "runs beside one backend server and meters its requests";
     let mut values = match starting::read_settings("toucanrail-agent", about, &rows) {
         Ok(values) => values,
         Err(code) => return code,
     };
     let settings = AgentSettings::read(&mut values);
-    if starting::print_faults(&values) {
+    if starting::print_errors(&values) {
         return ExitCode::from(starting::EXIT_USAGE);
     }
-    starting::start_logs(values.text("log"));
+    starting::init_logging(values.text("log"));
     starting::run_main(async move {
         match agents::start(settings) {
             Ok(handle) => {
                 println!("listening on {}", handle.address);
-                starting::wait_stop().await;
+                starting::wait_for_stop().await;
                 handle.stop().await;
                 ExitCode::SUCCESS
             }
--- a/toucanrail-gateway/src/grant_manager.rs
+++ b/toucanrail-gateway/src/grant_manager.rs
@@ -19,7 +19,7 @@
 use toucanrail::ids::{CustomerId, EntryId, ShardName, Tokens};
 use toucanrail::syncs::{SyncMachine, SyncOutcome};
 use toucanrail::{paths, policies};
-use toucanrail_daemons::observing::MetricBoard;
+use toucanrail_daemons::metrics::ProcessMetrics;
 use toucanrail_wire::time_limits;
 
 use crate::store_access::StoreAccess;
@@ -41,7 +41,7 @@
 /// requests. A slow or lost response is followed by another one within this time, while an outage
 /// lasts for seconds.
 const OUTAGE_THRESHOLD: Duration = Duration::from_millis(800);
-/// Longest wait of a request for a grant. Most requests are covered by the current grant; the
+/// Maximum wait of a request for a grant. Most requests are covered by the current grant; the
 /// others need one sync.
 const GRANT_WAIT: Duration = Duration::from_millis(400);
 /// Interval at which shards are checked for due syncs.
@@ -73,7 +73,7 @@
     pub grants: RefCell<GrantTable>,
     store: Rc<StoreAccess>,
     tuning: GatewayTuning,
-    metrics: MetricBoard,
+    metrics: ProcessMetrics,
     executor: Rc<LocalExecutor<'static>>,
     /// Recent refusals, by customer.
     refusals: RefCell<BTreeMap<CustomerId, CachedRefusal>>,
@@ -95,7 +95,7 @@
         id: &EntryId,
         store: Rc<StoreAccess>,
         tuning: GatewayTuning,
-        metrics: MetricBoard,
+        metrics: ProcessMetrics,
         executor: Rc<LocalExecutor<'static>>,
     ) -> Self {
         Self {
--- a/toucanrail-gateway/src/relay_client.rs
+++ b/toucanrail-gateway/src/relay_client.rs
@@ -18,7 +18,7 @@
 
 /// Connect timeout. Relays are a few milliseconds away; a dead one does not respond at all.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(120);
-/// Longest idle time of a pooled connection.
+/// Maximum idle time of a pooled connection.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 /// Backoff of a relay that did not respond or is stopping. It doubles with each consecutive
 /// failure, up to the maximum, since a relay whose VM was removed never responds again.
