--- a/toucanrail-gateway/src/state.rs
+++ b/toucanrail-gateway/src/state.rs
@@ -13,7 +13,7 @@
 use toucanrail::ids::{EntryId, ServiceName};
 use toucanrail::matching::RouteTable;
 use toucanrail::probes::{ProbeRow, SlotGauge};
-use toucanrail::retries::{RetryBounds, RetryBudget};
+use toucanrail::retries::{RetryBudget, RetryLimits};
 use toucanrail_daemons::metrics::ProcessMetrics;
 use toucanrail_daemons::starting::ProcessClock;
 use toucanrail_platform::names;
@@ -183,10 +183,10 @@
     where
         Work: FnOnce(&mut RetryBudget) -> Value,
     {
-        let bounds = self.retry_bounds();
+        let limits = self.retry_limits();
         let mut tables = self.tables.borrow_mut();
         let budget = tables.retries.entry(Arc::clone(service)).or_default();
-        budget.set_bounds(bounds);
+        budget.set_limits(limits);
         work(budget)
     }
 
@@ -194,13 +194,13 @@
     ///
     /// Until the relays have been listed, the number of servers is used in place of theirs.
     /// Otherwise each entry that starts during an outage would take a quarter of the reserve.
-    fn retry_bounds(&self) -> RetryBounds {
+    fn retry_limits(&self) -> RetryLimits {
         let relays = match self.store.relay_count() {
             0 => self.tables.borrow().backends.rows().count(),
             relays => relays,
         };
         let parts = relays.max(MIN_ENTRY_COUNT) as f64;
-        RetryBounds {
+        RetryLimits {
             share: self.settings.retry_share * FLEET_RETRY_FRACTION,
             reserve: self.settings.retry_reserve * FLEET_RETRY_FRACTION / parts,
             window: self.settings.retry_window,
--- a/toucanrail/src/evacuations.rs
+++ b/toucanrail/src/evacuations.rs
@@ -36,7 +36,8 @@
 /// Data centres that get no new work.
 #[derive(Debug, Default, Serialize)]
 pub struct EvacuationTable {
-    bound: Duration,
+    #[serde(rename = "bound")]
+    deadline: Duration,
     awaits_listing: bool,
     rows: BTreeMap<DataCentre, EvacuationRow>,
 }
@@ -44,9 +45,9 @@
 impl EvacuationTable {
     /// Creates a table that accepts no work at any server until the evacuations were listed, since
     /// one may have been in effect from before this process started. Each evacuation must take
-    /// effect within `bound`.
-    pub fn awaiting_listing(bound: Duration) -> Self {
-        Self { bound, awaits_listing: true, rows: BTreeMap::new() }
+    /// effect within `deadline`.
+    pub fn awaiting_listing(deadline: Duration) -> Self {
+        Self { deadline, awaits_listing: true, rows: BTreeMap::new() }
     }
 
     /// Returns whether the evacuations were listed.
@@ -69,7 +70,7 @@
         let ended: Vec<DataCentre> = ended.cloned().collect();
         self.rows.retain(|known, _| listed.contains(known));
         for data_centre in listed {
-            self.begin(data_centre, self.bound, now);
+            self.begin(data_centre, self.deadline, now);
         }
         ended
     }
@@ -86,11 +87,11 @@
     /// assert!(table.accepts_work("b", "server-2", Duration::ZERO));
     /// ```
     pub fn begin(&mut self, data_centre: &DataCentre, age: Duration, now: Duration) {
-        let deadline = |fraction: f64| now + self.bound.mul_f64(fraction).saturating_sub(age);
+        let end_of = |fraction: f64| now + self.deadline.mul_f64(fraction).saturating_sub(age);
         let row = EvacuationRow {
             from: now,
-            until: deadline(CLOSING_FRACTION),
-            fetch_until: deadline(FETCH_FRACTION),
+            until: end_of(CLOSING_FRACTION),
+            fetch_until: end_of(FETCH_FRACTION),
         };
         self.rows.entry(Arc::clone(data_centre)).or_insert(row);
     }
--- a/toucanrail/src/retries.rs
+++ b/toucanrail/src/retries.rs
@@ -18,7 +18,7 @@
 
 /// Limits of a retry budget.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
-pub struct RetryBounds {
+pub struct RetryLimits {
     /// Retries allowed per original request of the latest window.
     pub share: f64,
     /// Additional retries per window.
@@ -27,7 +27,7 @@
     pub window: Duration,
 }
 
-impl Default for RetryBounds {
+impl Default for RetryLimits {
     fn default() -> Self {
         Self { share: RETRY_SHARE, reserve: RETRY_RESERVE, window: RETRY_WINDOW }
     }
@@ -51,7 +51,8 @@
 /// lookup was retried.
 #[derive(Debug, Clone, Serialize)]
 pub struct RetryBudget {
-    bounds: RetryBounds,
+    #[serde(rename = "bounds")]
+    limits: RetryLimits,
     /// Buckets of the latest window and one more, oldest first.
     #[serde(rename = "steps")]
     buckets: VecDeque<WindowBucket>,
@@ -62,7 +63,7 @@
 impl RetryBudget {
     /// Creates a budget with the default limits.
     pub fn new() -> Self {
-        Self::with_bounds(RetryBounds::default())
+        Self::with_limits(RetryLimits::default())
     }
 
     /// Creates a budget.
@@ -71,13 +72,13 @@
     /// requests in the window that ends with the last retry. Processes that divide a reserve among
     /// themselves thus keep a bound on their total without coordination: their windows end at
     /// different times, and all of them lie within two windows of the fleet.
-    pub fn with_bounds(bounds: RetryBounds) -> Self {
-        Self { bounds, buckets: VecDeque::new(), refused: 0 }
+    pub fn with_limits(limits: RetryLimits) -> Self {
+        Self { limits, buckets: VecDeque::new(), refused: 0 }
     }
 
     /// Replaces the limits; requests and retries already counted in the window are kept.
-    pub fn set_bounds(&mut self, bounds: RetryBounds) {
-        self.bounds = bounds;
+    pub fn set_limits(&mut self, limits: RetryLimits) {
+        self.limits = limits;
     }
 
     /// Records an original request.
@@ -115,7 +116,7 @@
     /// ```
     pub fn may_spend(&mut self, now: Duration) -> bool {
         let current = self.bucket_at(now).number;
-        let RetryBounds { share, reserve, .. } = self.bounds;
+        let RetryLimits { share, reserve, .. } = self.limits;
         // A bucket that is only partly inside the window counts for its retries, but not for its
         // original requests.
         let recent = self
@@ -129,7 +130,7 @@
 
     /// Returns the bucket of a time, and drops those that are outside every window containing it.
     fn bucket_at(&mut self, now: Duration) -> &mut WindowBucket {
-        let length = (self.bounds.window / WINDOW_BUCKETS).max(Duration::from_millis(1));
+        let length = (self.limits.window / WINDOW_BUCKETS).max(Duration::from_millis(1));
         let number = (now.as_millis() / length.as_millis()) as u64;
         self.buckets.retain(|bucket| bucket.number + u64::from(WINDOW_BUCKETS) >= number);
         if self.buckets.back().is_none_or(|bucket| bucket.number < number) {
--- a/toucanrail/tests/attempt_steps.rs
+++ b/toucanrail/tests/attempt_steps.rs
@@ -6,7 +6,7 @@
 use toucanrail::attempts::{AttemptHistory, AttemptOutcome, NextStep};
 use toucanrail::codes::RunState;
 use toucanrail::matching::RouteKind;
-use toucanrail::retries::{RetryBounds, RetryBudget};
+use toucanrail::retries::{RetryBudget, RetryLimits};
 
 const LEFT: Duration = Duration::from_secs(1);
 const WINDOW: Duration = Duration::from_secs(10);
@@ -62,8 +62,8 @@
     #[test]
     fn shared_budget(entries in 1_usize..30, steps in prop::collection::vec((0_usize..30, any::<bool>()), 0..400)) {
         let (share, reserve) = (0.12, 30.0);
-        let bounds = RetryBounds { share, reserve: reserve / entries as f64, window: WINDOW };
-        let mut budgets = vec![RetryBudget::with_bounds(bounds); entries];
+        let limits = RetryLimits { share, reserve: reserve / entries as f64, window: WINDOW };
+        let mut budgets = vec![RetryBudget::with_limits(limits); entries];
         let (mut fresh, mut retries) = (0_u32, 0_u32);
         for (index, retry) in steps {
             let budget = &mut budgets[index % entries];
@@ -85,8 +85,8 @@
         steps in prop::collection::vec((0_usize..8, 0_u64..400, 0_u8..4), 0..600),
     ) {
         let (share, reserve) = (0.1, 8.0);
-        let bounds = RetryBounds { share, reserve: reserve / entries as f64, window: WINDOW };
-        let mut budgets = vec![RetryBudget::with_bounds(bounds); entries];
+        let limits = RetryLimits { share, reserve: reserve / entries as f64, window: WINDOW };
+        let mut budgets = vec![RetryBudget::with_limits(limits); entries];
         let (mut fresh, mut retries) = (Vec::new(), Vec::new());
         let mut now = Duration::ZERO;
         for (index, pause, kind) in steps {
@@ -118,8 +118,8 @@
 /// failures.
 #[test]
 fn grouped_failures() {
-    let bounds = RetryBounds { share: 0.1, reserve: 1.4, window: WINDOW };
-    let mut budget = RetryBudget::with_bounds(bounds);
+    let limits = RetryLimits { share: 0.1, reserve: 1.4, window: WINDOW };
+    let mut budget = RetryBudget::with_limits(limits);
     // 13.7 requests a second, 4 of them lookups.
     let group = 13.7 / 4.0 * 7.0 * 3.0;
     let requests = (0..2_000).map(|number| Duration::from_secs_f64(f64::from(number) / 13.7));
