--- a/toucanrail-gateway/src/state.rs
+++ b/toucanrail-gateway/src/state.rs
@@ -13,7 +13,7 @@
 use toucanrail::ids::{EntryId, ServiceName};
 use toucanrail::matching::RouteTable;
 use toucanrail::probes::{ProbeRow, SlotGauge};
-use toucanrail::retries::{RetryBounds, RetryBudget};
+use toucanrail::retries::{RetryBudget, RetryLimits};
 use toucanrail_daemons::metrics::ProcessMetrics;
 use toucanrail_daemons::starting::ProcessClock;
 use toucanrail_platform::names;
@@ -59,7 +59,7 @@
 pub struct Gateway {
     /// Settings of this node.
     pub settings: NodeSettings,
-    /// ID of this process, unique to each start.
+    /// Id of this process, unique to each start.
     pub id: EntryId,
     /// Access to the platform's store.
     pub store: Rc<StoreAccess>,
@@ -70,7 +70,7 @@
     /// Tables that decisions read and update.
     pub tables: RefCell<GatewayTables>,
     /// Pool of connections to backend servers and relays.
-    pub channels: KeepAlivePool,
+    pub connections: KeepAlivePool,
     /// Clock that starts with the process.
     pub clock: ProcessClock,
     /// Time of the stop signal.
@@ -121,7 +121,7 @@
     ///
     /// An entry whose VM is cut off from all others cannot confirm budgets and refuses nearly every
     /// request, while other entries can still serve: the balancer must send new callers there. The
-    /// state is detected by the tasks that follow the store and ends with their first successful
+    /// state is detected by the tasks that watch the store and ends with their first successful
     /// call.
     pub fn is_isolated(&self) -> bool {
         let is_unanswered = |kind: &str| self.store.unanswered_for(kind) > ISOLATION_THRESHOLD;
@@ -183,10 +183,10 @@
     where
         Work: FnOnce(&mut RetryBudget) -> Value,
     {
-        let bounds = self.retry_bounds();
+        let limits = self.retry_limits();
         let mut tables = self.tables.borrow_mut();
         let budget = tables.retries.entry(Arc::clone(service)).or_default();
-        budget.set_bounds(bounds);
+        budget.set_limits(limits);
         work(budget)
     }
 
@@ -194,13 +194,13 @@
     ///
     /// Until the relays have been listed, the number of servers is used in place of theirs.
     /// Otherwise each entry that starts during an outage would take a quarter of the reserve.
-    fn retry_bounds(&self) -> RetryBounds {
+    fn retry_limits(&self) -> RetryLimits {
         let relays = match self.store.relay_count() {
             0 => self.tables.borrow().backends.rows().count(),
             relays => relays,
         };
         let parts = relays.max(MIN_ENTRY_COUNT) as f64;
-        RetryBounds {
+        RetryLimits {
             share: self.settings.retry_share * FLEET_RETRY_FRACTION,
             reserve: self.settings.retry_reserve * FLEET_RETRY_FRACTION / parts,
             window: self.settings.retry_window,
