--- a/benches/overhead.sh
+++ b/benches/overhead.sh
@@ -16,7 +16,7 @@
     if [ "$way" = direct ]; then ENTRIES=("${ENGINES[@]}"); else ENTRIES=("${ENTRY[@]}"); fi
     cpu_before=$(awk '{print $14+$15}' "/proc/${ENTRY_PIDS[0]}/stat")
     agent_before=$(awk '{print $14+$15}' "/proc/${AGENT_PIDS[0]}/stat")
-    line=$(run_load --rate "$rate" "${load[@]}" | grep -E 'right answers|first token' | tr -s ' ' | tr '\n' ' ')
+    line=$(run_load --rate "$rate" "${load[@]}" | grep -E 'correct responses|first token' | tr -s ' ' | tr '\n' ' ')
     cpu=$(( $(awk '{print $14+$15}' "/proc/${ENTRY_PIDS[0]}/stat") - cpu_before ))
     agent=$(( $(awk '{print $14+$15}' "/proc/${AGENT_PIDS[0]}/stat") - agent_before ))
     echo "rate $rate $way: $line entry cpu ${cpu}0 ms, agent cpu ${agent}0 ms"
